--- a/plumline/coordination/keeper.py
+++ b/plumline/coordination/keeper.py
@@ -54,7 +54,7 @@
     def wanted(self, now: float, synced: int, committed: int, caught_up: bool) -> View | None:
         """The view that should follow the present one; None if that is well, or is for others to mend."""
         view = self.views.view
-        if view is None or self.me not in view.acceptors:
+        if view is None or self.me not in (*view.acceptors, *view.chain):
             return None
         chain = self.fit_chain(now, view)
         if not chain or not self.holds_all(view, chain[0], caught_up):
@@ -64,7 +64,7 @@
             chain = (*chain, learner)
         if not self.enough(now, view, chain, caught_up, committed):
             return None
-        acceptors = self.acceptors(now, view, chain, learner)
+        acceptors = self.acceptors(now, view, chain)
         if (chain, acceptors) == (view.chain, view.acceptors):
             return None
         return View(view.number + 1, acceptors, chain)
@@ -129,32 +129,44 @@
                 return member
         return None
 
-    def acceptors(
-        self, now: float, view: View, chain: tuple[Member, ...], learner: Member | None
-    ) -> tuple[Member, ...]:
+    def acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
         """One acceptor comes, goes or takes another's seat in one view. Whoever comes takes the seat of one
         that does not vote where there is any: were it added, and the other removed after it, the view
-        between would need the votes of all that are left, and one more loss there would stop the core."""
-        if learner and learner not in view.acceptors:
-            seat = self.vacant_seat(now, view, chain, learner)
-            return (*(each for each in view.acceptors if each != seat), learner)
+        between would need the votes of all that are left, and one more loss there would stop the core.
+        With acceptors enough and no vacant seat nobody is added: it serves in the chain without a vote."""
+        newcomer = self.next_acceptor(now, view, chain)
+        if newcomer:
+            seat = self.vacant_seat(now, view, chain, newcomer)
+            if seat or len(view.acceptors) < self.enough_acceptors():
+                return (*(each for each in view.acceptors if each != seat), newcomer)
         if len(view.acceptors) > self.enough_acceptors():
             for each in view.acceptors:
                 if each not in chain and each != self.me and self.votes_no_more(now, each):
                     return tuple(other for other in view.acceptors if other != each)
         return view.acceptors
 
+    def next_acceptor(self, now: float, view: View, chain: tuple[Member, ...]) -> Member | None:
+        """The member of the chain that gets the next seat: one whose earlier incarnation has a seat, else
+        the first that has none. Only members that answer and are well."""
+        without = [
+            each
+            for each in chain
+            if each not in view.acceptors and self.heard(now, each) and not self.unfit(now, each)[0]
+        ]
+        seated = {address for address, _ in view.acceptors}
+        return next((each for each in without if each[0] in seated), without[0] if without else None)
+
     def enough_acceptors(self) -> int:
         """So many keep a majority when as many are lost as may be."""
         return 2 * self.copies - 1
 
     def vacant_seat(
-        self, now: float, view: View, chain: tuple[Member, ...], learner: Member
+        self, now: float, view: View, chain: tuple[Member, ...], newcomer: Member
     ) -> Member | None:
-        """The acceptor whose seat the learner takes: its own earlier incarnation, else one that votes no
+        """The acceptor whose seat the newcomer takes: its own earlier incarnation, else one that votes no
         more, the longest silent first."""
         for each in view.acceptors:
-            if each[0] == learner[0]:
+            if each[0] == newcomer[0]:
                 return each
         vacant = [
             each
@@ -193,7 +205,10 @@
 
     def dispensable(self, now: float, view: View) -> bool:
         """Whether this acceptor may end: the others are a majority, and none could be taken out for it. Where
-        there are no more acceptors than enough it stays one, by its disk: fewer would bear no more."""
+        there are no more acceptors than enough it stays one, by its disk: fewer would bear no more. It waits
+        while a member of the chain could take its seat."""
+        if self.next_acceptor(now, view, view.chain):
+            return False
         others = [each for each in view.acceptors if each != self.me]
         voting = [each for each in others if self.heard(now, each) and not self.votes_no_more(now, each)]
         return len(view.acceptors) <= self.enough_acceptors() and len(voting) >= view.majority()
--- a/plumline/coordination/view.py
+++ b/plumline/coordination/view.py
@@ -116,7 +116,7 @@
 
     def propose(self, now: float, chance: random.Random, view: View) -> None:
         """Puts `view`, the successor of the present one, to the acceptors; another may be decided instead."""
-        if self.view is None or view.number != self.view.number + 1 or not self.may_accept():
+        if self.view is None or view.number != self.view.number + 1:
             return
         if now < self.retry_at or (self.proposal and now - self.proposal.began < PROPOSAL_PATIENCE):
             return
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -372,3 +372,57 @@
     world.start(world.nodes["d"])
     assert world.go(7.0, lambda: world.chain() == "bcd")
     world.put(1)
+
+
+def with_a_successor() -> World:
+    """Three formed machines and a fourth, all in the chain; no seat was vacant for the fourth."""
+    world = with_a_spare()
+    world.start(world.nodes["d"])
+    world.settle("abcd")
+    assert addresses(world.newest.acceptors) == "abc"
+    return world
+
+
+@pytest.mark.parametrize("gone", "abc")
+def test_a_successor_takes_the_seat_of_the_machine_that_goes(gone: str) -> None:
+    world = with_a_successor()
+    world.crash(world.nodes[gone])
+    rest = "".join(sorted(set("abc") - {gone}))
+    world.settle(rest + "d")
+    assert addresses(world.newest.acceptors) == rest + "d"
+    assert all(len(view.acceptors) == 3 for view in world.views.values())
+    world.put(1)
+
+
+@pytest.mark.parametrize("gone", "abc")
+def test_a_successor_whose_disk_is_lost_as_any_machine_is_killed_stops_nothing(gone: str) -> None:
+    world = with_a_successor()
+    world.crash(world.nodes[gone])
+    world.wipe(world.nodes["d"])
+    world.start(world.nodes["d"])
+    rest = "".join(sorted(set("abc") - {gone}))
+    world.settle(rest + "d")
+    world.put(1)
+
+
+def test_a_member_without_a_seat_takes_learners_in_as_the_tail() -> None:
+    world = with_a_successor()
+    world.nodes["b"].core.sick = True
+    assert world.go(3.0, lambda: world.chain() == "acd")
+    world.nodes["b"].core.sick = False
+    world.settle("abcd")
+    assert world.chain() == "acdb"
+    assert addresses(world.newest.acceptors) == "abc"
+
+
+def test_who_leaves_waits_until_a_member_without_a_seat_has_taken_its_own() -> None:
+    """It was out of the chain before, so only its seat is left to give up."""
+    world = with_a_successor()
+    core = world.nodes["c"].core
+    core.sick = True
+    world.settle("abd")
+    world.go(0.5)
+    core.leave(local(world, "c"))
+    assert core.remaining_duty(local(world, "c")) is Duty.ACCEPTOR
+    assert world.go(1.0, lambda: core.remaining_duty(local(world, "c")) is None)
+    assert addresses(world.newest.acceptors) == "abd"
