--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from plumline.coordination.ballot import Ballots, Persist, Send, Terms
-from plumline.coordination.chain import Chain
 from plumline.coordination.contacts import SUSPECT_AFTER, Contacts
 from plumline.coordination.effects import Effects, Member, Message, Record
 from plumline.coordination.formation import Formation
 from plumline.coordination.keeper import Duty, Keeper
+from plumline.coordination.replication import Chain
 from plumline.coordination.view import View, Views
 
 
--- a/plumline/coordination/chain.py
+++ b/plumline/coordination/replication.py
@@ -7,17 +7,18 @@
 A predecessor's log always holds all that its successor's does; a view keeps the order of those that stay.
 Who is not in the chain is a learner: it holds committed entries only, and is then admitted as the new tail.
 
-Whoever lacks entries that are no longer kept pulls a whole state piece by piece (`transfer`). Entries go to a
-successor a window at a time, to a learner a lesson at a time, so what is on its way to a member is bounded.
+Whoever lacks entries that are no longer kept pulls a whole state piece by piece (`snapshot_transfer`).
+Entries go to a successor a window at a time, to a learner a lesson at a time, so what is on its way to a
+member is bounded.
 """
 
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from plumline.coordination.confirmation import Confirmations
 from plumline.coordination.effects import Effects, Member, Message, Record
 from plumline.coordination.log import Entry, Log
-from plumline.coordination.transfer import (
+from plumline.coordination.read_barrier import Confirmations
+from plumline.coordination.snapshot_transfer import (
     Patience,
     Piece,
     Snapshot,
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -13,7 +13,7 @@
 from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member, Message, Record
-from plumline.coordination.topics import Topics
+from plumline.coordination.soft_state import Topics
 from plumline.coordination.view import View
 from plumline.counters import Counters
 from plumline.prompts.index import TOLD_PART
--- a/plumline/registrar/feeding.py
+++ b/plumline/registrar/feeding.py
@@ -12,8 +12,8 @@
 
 from plumline.configuration.difference import as_amend
 from plumline.configuration.document import Document
-from plumline.coordination.chain import Chain
-from plumline.coordination.topics import Topics
+from plumline.coordination.replication import Chain
+from plumline.coordination.soft_state import Topics
 from plumline.counters import Counters
 from plumline.errors import FrameError
 from plumline.registrar.backlog import Backlog
--- a/plumline/router/following.py
+++ b/plumline/router/following.py
@@ -20,7 +20,7 @@
 from plumline.configuration.routes import RouteTable
 from plumline.configuration.state import State
 from plumline.coordination.ring import Candidate, watchers
-from plumline.coordination.topics import Topics
+from plumline.coordination.soft_state import Topics
 from plumline.counters import Counters
 from plumline.errors import FrameError, PlumlineError
 from plumline.routing.fleet import Fleet
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -12,7 +12,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from plumline.coordination import chain as chain_module
+from plumline.coordination import replication as replication_module
 from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member, Message, Record
@@ -443,7 +443,7 @@
 
 def on_disk(node: Node) -> tuple[str, ...]:
     """What a core that starts from this disk would hold, committed or not."""
-    found = chain_module.Chain(
+    found = replication_module.Chain(
         node.me, 1, NoEffects(), Register(), Register.load, lambda number, change: None
     )
     for record in node.disk:
@@ -454,5 +454,5 @@
 
 @contextmanager
 def short_logs() -> Iterator[None]:
-    with patch.object(chain_module, "KEPT_ENTRIES", KEPT):
+    with patch.object(replication_module, "KEPT_ENTRIES", KEPT):
         yield
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -14,8 +14,8 @@
 
 from plumline.configuration.history import History, Match
 from plumline.configuration.state import State
-from plumline.coordination.chain import Answer, Chain
 from plumline.coordination.core import Core
+from plumline.coordination.replication import Answer, Chain
 from plumline.errors import (
     ConfigurationInvalidError,
     PlumlineError,
--- a/tests/test_core_explorer.py
+++ b/tests/test_core_explorer.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from plumline.coordination.chain import Chain
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member
 from plumline.coordination.formation import ASK_EVERY, Formation
+from plumline.coordination.replication import Chain
 from plumline.coordination.view import Ballot, View, Views
 from tests.core_register import ViolationError
 from tests.core_schedule import explore
--- a/tests/test_feeding.py
+++ b/tests/test_feeding.py
@@ -7,7 +7,7 @@
 
 from plumline.configuration.document import Document
 from plumline.configuration.state import State
-from plumline.coordination.topics import Topics
+from plumline.coordination.soft_state import Topics
 from plumline.counters import Counters
 from plumline.registrar import backlog as backlog_module
 from plumline.registrar.feeding import Feed
--- a/tests/test_chain.py
+++ b/tests/test_replication.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from plumline.coordination.chain import Chain
-from plumline.coordination.topics import Topics
-from plumline.coordination.transfer import Piece, Snapshot
+from plumline.coordination.replication import Chain
+from plumline.coordination.snapshot_transfer import Piece, Snapshot
+from plumline.coordination.soft_state import Topics
 from plumline.coordination.view import View
 from plumline.errors import UnavailableError, VersionConflictError
 from tests.core_world import NoEffects, Register, World, on_disk, short_logs
--- a/tests/test_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plumline.coordination import chain as chain_module
-from plumline.coordination import transfer as transfer_module
+from plumline.coordination import replication as replication_module
+from plumline.coordination import snapshot_transfer as transfer_module
 from plumline.coordination.log import Log
-from plumline.coordination.transfer import (
+from plumline.coordination.snapshot_transfer import (
     FIRST_PATIENCE,
     MOST_PATIENCE,
     PIECE_BYTES,
@@ -172,8 +172,8 @@
     """So small that every state takes several, as an explored one is only a few names."""
     with (
         patch.object(transfer_module, "PIECE_BYTES", 12),
-        patch.object(chain_module, "WINDOW_BYTES", 40),
-        patch.object(chain_module, "LESSON_BYTES", 30),
+        patch.object(replication_module, "WINDOW_BYTES", 40),
+        patch.object(replication_module, "LESSON_BYTES", 30),
     ):
         yield
 
@@ -275,14 +275,14 @@
     world.settle()
     taken = bytes_of(world, *TRANSFER)[name]
     print("bytes", taken, "state", state, "seconds", round(world.now - began, 2))
-    assert taken < 1.1 * state + 2 * chain_module.LESSON_BYTES
+    assert taken < 1.1 * state + 2 * replication_module.LESSON_BYTES
     assert world.ids(name) == world.ids(other)
 
 
 def test_changes_of_a_megabyte_leave_a_bounded_log_and_come_once() -> None:
     world = without("c", 12, 1_000_000)
     for name in "ab":
-        assert world.nodes[name].core.chain.log.size() <= chain_module.KEPT_BYTES
+        assert world.nodes[name].core.chain.log.size() <= replication_module.KEPT_BYTES
     world.spy = True
     world.start(world.nodes["c"])
     world.settle()
@@ -336,7 +336,7 @@
         world.go(0.01)
     chain = world.nodes["a"].core.chain
     most = chain.log.bytes_between(world.nodes["c"].core.chain.synced, chain.last)
-    assert most <= chain_module.LESSON_BYTES
+    assert most <= replication_module.LESSON_BYTES
 
 
 def test_a_successor_that_is_slow_is_sent_no_more_than_its_window() -> None:
@@ -357,7 +357,7 @@
         sent = head.core.chain.log.bytes_between(head.core.chain.reported, head.core.chain.sent)
         most = max(most, sent)
     assert told == [None] * 40
-    assert chain_module.WINDOW_BYTES // 2 < most <= chain_module.WINDOW_BYTES
+    assert replication_module.WINDOW_BYTES // 2 < most <= replication_module.WINDOW_BYTES
     for name in "bc":
         sent = bytes_of(world, *TRANSFER)[name]
         assert sent < 1.1 * 40 * 100_000, name  # each entry once
--- a/tests/test_topics.py
+++ b/tests/test_soft_state.py
@@ -1,6 +1,6 @@
 """Soft topics between two holders of a lease whose terms overlap."""
 
-from plumline.coordination.topics import Topics
+from plumline.coordination.soft_state import Topics
 
 
 def test_a_holder_whose_term_is_over_tells_nothing_more() -> None:
