--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -12,7 +12,7 @@
 from plumline.coordination.effects import Effects, Member, Message, Record
 from plumline.coordination.formation import Formation
 from plumline.coordination.keeper import Duty, Keeper
-from plumline.coordination.replication import Chain
+from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View, Views
 
 
@@ -38,7 +38,7 @@
         self.me, self.seeds, self.effects, self.now = me, seeds, effects, now
         self.changed, self.leases = changed, tuple(leases)
         self.views = Views(me, effects, self.installed)
-        self.chain = Chain(me, copies, effects, empty, load, applied)
+        self.chain = ChainReplica(me, copies, effects, empty, load, applied)
         self.contacts = Contacts(me, effects)
         self.keeper = Keeper(me, self.views, self.contacts, chance, copies)
         self.formation = Formation(me, seeds, first_start, effects, self.views, known_elsewhere)
--- a/plumline/coordination/log.py
+++ b/plumline/coordination/log.py
@@ -19,7 +19,7 @@
     end: int
 
 
-class Log:
+class ReplicationLog:
     def __init__(self) -> None:
         self.entries: deque[Entry] = deque()
         self.end = 0
--- a/plumline/coordination/read_barrier.py
+++ b/plumline/coordination/read_barrier.py
@@ -7,11 +7,11 @@
 from plumline.coordination.effects import Effects
 from plumline.coordination.view import View
 
-MOST_OPEN = 64  # questions that wait for their answers; the oldest is answered with no beyond that
+MAX_PENDING_READS = 64  # questions that wait for their answers; the oldest is answered with no beyond that
 
 
 @dataclass(slots=True)
-class Question:
+class PendingConfirmation:
     """Asked of all acceptors of a view; the acceptors that have said yes."""
 
     view: View
@@ -19,18 +19,18 @@
     confirmed: set[str] = field(default_factory=set)
 
 
-class Confirmations:
+class ReadBarrier:
     """`answer(True)` once a majority of acceptors has said that it knows no newer view."""
 
     def __init__(self, effects: Effects) -> None:
         self.effects = effects
-        self.open: dict[int, Question] = {}  # by nonce
+        self.open: dict[int, PendingConfirmation] = {}  # by nonce
         self.nonce = secrets.randbits(48)  # what was sent to an earlier life answers nothing in this one
 
     def ask(self, view: View, answer: Callable[[bool], None]) -> None:
         self.nonce += 1
-        self.open[self.nonce] = Question(view, answer)
-        while len(self.open) > MOST_OPEN:
+        self.open[self.nonce] = PendingConfirmation(view, answer)
+        while len(self.open) > MAX_PENDING_READS:
             self.open.pop(next(iter(self.open))).answer(False)
         for address, _ in view.acceptors:
             self.effects.send(address, ["view-check", self.nonce, view.number])
--- a/plumline/coordination/replication.py
+++ b/plumline/coordination/replication.py
@@ -16,32 +16,32 @@
 from typing import Any
 
 from plumline.coordination.effects import Effects, Member, Message, Record
-from plumline.coordination.log import Entry, Log
-from plumline.coordination.read_barrier import Confirmations
+from plumline.coordination.log import Entry, ReplicationLog
+from plumline.coordination.read_barrier import ReadBarrier
 from plumline.coordination.snapshot_transfer import (
-    Patience,
-    Piece,
+    ChunkRequest,
+    RetryTimer,
     Snapshot,
+    SnapshotChunk,
+    SnapshotFetch,
     SnapshotSender,
-    Transfer,
-    Wanted,
 )
 from plumline.coordination.view import View
 from plumline.errors import PlumlineError, UnavailableError
 
 #: Committed entries kept in memory for those that follow; who is further behind gets the state.
-KEPT_ENTRIES = 512
-KEPT_BYTES = 4 * 1024 * 1024  # of them on the wire: about 16 MiB of memory
-TICK = 0.2  # s between reports to the predecessor
+RETAINED_ENTRIES = 512
+RETAINED_BYTES = 4 * 1024 * 1024  # of them on the wire: about 16 MiB of memory
+REPORT_INTERVAL_S = 0.2  # s between reports to the predecessor
 WINDOW_BYTES = (
     1024 * 1024
 )  # of entries that a successor may have been sent and not reported; one at the least
-LESSON_BYTES = 128 * 1024  # of entries in one lesson; one at the least
-LESSON_PATIENCE = 0.8  # s at the most until the next one is asked for a lesson
-Answer = Callable[[PlumlineError | None], None]  # None: committed
+CATCH_UP_BATCH_BYTES = 128 * 1024  # of entries in one lesson; one at the least
+CATCH_UP_RETRY_S = 0.8  # s at the most until the next one is asked for a lesson
+SubmitCallback = Callable[[PlumlineError | None], None]  # None: committed
 
 
-class Chain:
+class ChainReplica:
     """`state` is any object with check(change) -> bool (True: taken before), apply(change) -> state,
     to_wire(); `load` makes one from the wire. check raises PlumlineError for what may not be applied."""
 
@@ -58,7 +58,7 @@
         self.me, self.copies, self.effects, self.load, self.applied = me, copies, effects, load, applied
         self.view: View | None = None
         self.position: int | None = None  # in the chain; None: learner
-        self.log = Log()  # the newest is `last`
+        self.log = ReplicationLog()  # the newest is `last`
         self.state = empty  # committed
         self.newest = empty  # with all entries of the log
         self.committed = self.last = self.synced = 0
@@ -66,19 +66,19 @@
         self.stale = False  # was taken out with uncommitted entries, to be dropped
         self.floor: int | None = None  # number from which on it is
         self.life = 0  # rises when entries are dropped or replaced: what was being written counts no more
-        self.waiting: dict[int, list[tuple[Answer, PlumlineError | None]]] = {}
+        self.waiting: dict[int, list[tuple[SubmitCallback, PlumlineError | None]]] = {}
         self.reported = -1  # `last` that the successor told on its newest report; -1: it hasn't
         self.sent = -1  # the newest entry that the successor was sent
-        self.resend = Patience()  # for the successor to take what it was sent
+        self.resend = RetryTimer()  # for the successor to take what it was sent
         self.unreported = 0  # bytes taken since the newest report
         self.now = self.tick_at = 0.0
         self.snapshots = SnapshotSender(
             lambda: (self.committed, self.state.to_wire()),
             lambda number: number == self.committed or self.log.leads_on(number),
         )
-        self.transfer = Transfer()
+        self.transfer = SnapshotFetch()
         self.near = False  # the newest lesson left nothing over
-        self.confirmations = Confirmations(effects)
+        self.confirmations = ReadBarrier(effects)
         self.lessons = -1
 
     # Durable state.
@@ -129,7 +129,7 @@
         was_head = self.is_head()
         self.view, self.position = view, view.position(self.me)
         self.floor, self.reported, self.sent = None, -1, -1
-        self.resend, self.near = Patience(), False
+        self.resend, self.near = RetryTimer(), False
         self.transfer.begin_view()
         if (view.number == 1 and self.position is not None) or self.position is None:
             self.set_caught_up(self.position is not None)
@@ -187,7 +187,7 @@
 
     # Changes.
 
-    def submit(self, change: list[Any], answer: Answer) -> None:
+    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         """At the head. `answer(None)` once it is committed, also if the same was taken before; else an error.
         An error that rests on an entry not yet committed waits for that one."""
         if not self.is_head() or not self.can_commit():
@@ -254,7 +254,7 @@
                 answer(error)
 
     def trim(self) -> None:
-        self.log.trim(self.committed, KEPT_ENTRIES, KEPT_BYTES)
+        self.log.trim(self.committed, RETAINED_ENTRIES, RETAINED_BYTES)
 
     # Reports to the predecessor; what it sends for them.
 
@@ -262,7 +262,7 @@
         self.now = now
         self.snapshots.tick(now)
         if now >= self.tick_at:
-            self.tick_at = now + TICK
+            self.tick_at = now + REPORT_INTERVAL_S
             if self.position is None:
                 self.learn()
             else:
@@ -353,7 +353,7 @@
         """Asks for the piece that is wanted next."""
         self.ask_piece(source, self.transfer.ask(self.now, source))
 
-    def ask_piece(self, source: str, wanted: Wanted) -> None:
+    def ask_piece(self, source: str, wanted: ChunkRequest) -> None:
         self.effects.send(source, ["chain-pull", self.number(), wanted.number, wanted.digest, wanted.offset])
 
     def pull_again(self) -> None:
@@ -366,21 +366,21 @@
         if self.transfer.may_ask(self.now):
             self.pull(sender)
 
-    def on_pull(self, sender: str, wanted: Wanted) -> None:
+    def on_pull(self, sender: str, wanted: ChunkRequest) -> None:
         piece = self.snapshots.answer(self.now, wanted)
         self.effects.send(sender, ["chain-piece", self.number(), *piece.to_wire()])
 
     def on_piece(self, sender: str, wire: list[Any]) -> None:
         """Only a state from beyond what is held here is of use."""
         try:
-            match self.transfer.take(self.now, sender, Piece.from_wire(wire), self.committed):
+            match self.transfer.take(self.now, sender, SnapshotChunk.from_wire(wire), self.committed):
                 case Snapshot() as whole:
                     if self.position is None:
                         self.drop_uncommitted()
                     self.take_state(whole.name.number, whole.wire())
                     if self.position is None:
                         self.ask_lesson(sender)
-                case Wanted() as wanted:
+                case ChunkRequest() as wanted:
                     self.ask_piece(sender, wanted)
         except PlumlineError:
             self.transfer.drop()
@@ -405,14 +405,14 @@
 
     def ask_lesson(self, teacher: str) -> None:
         self.transfer.source = teacher
-        self.transfer.patience.ask(self.now, LESSON_PATIENCE)
+        self.transfer.patience.ask(self.now, CATCH_UP_RETRY_S)
         self.effects.send(teacher, ["chain-learn", self.number(), self.committed])
 
     def on_learn(self, sender: str, place: int) -> None:
         if place < self.committed and not self.log.leads_on(place):
-            self.on_pull(sender, Wanted())
+            self.on_pull(sender, ChunkRequest())
             return
-        entries = list(first_bytes(list(self.log.between(place, self.committed)), LESSON_BYTES))
+        entries = list(first_bytes(list(self.log.between(place, self.committed)), CATCH_UP_BATCH_BYTES))
         more = bool(entries) and entries[-1].number < self.committed
         told = [[each.number, each.change] for each in entries]
         self.effects.send(sender, ["chain-lesson", self.number(), more, told])
@@ -482,7 +482,7 @@
                     self.on_behind(sender)
             case ["chain-pull", number, int(n), str(digest), int(offset)]:
                 if number == self.number() and self.position is not None:
-                    self.on_pull(sender, Wanted(n, digest, offset))
+                    self.on_pull(sender, ChunkRequest(n, digest, offset))
             case ["chain-piece", number, *wire]:
                 if number == self.number() and (self.position is None or sender == self.neighbour(-1)):
                     self.on_piece(sender, wire)
--- a/plumline/coordination/snapshot_transfer.py
+++ b/plumline/coordination/snapshot_transfer.py
@@ -18,18 +18,18 @@
 
 from plumline.errors import FrameError
 
-PIECE_BYTES = 64 * 1024
-LARGEST_STATE = 16 * 1024 * 1024  # bytes, unpacked
+CHUNK_BYTES = 64 * 1024
+MAX_STATE_BYTES = 16 * 1024 * 1024  # bytes, unpacked
 COMPRESS_LEVEL = 1
-FIRST_PATIENCE = 0.4  # s for an answer, before it is asked for again
-MOST_PATIENCE = 3.2  # s
-PATIENCE_PER_ANSWER = 4  # times what the last answer took, at the least
-TRIES = 3  # of a piece, before what came of its state is dropped
-PINNED_S = 5.0  # s that a snapshot is kept after it was last asked for
+INITIAL_RETRY_S = 0.4  # s for an answer, before it is asked for again
+MAX_RETRY_S = 3.2  # s
+RETRY_PER_ROUND_TRIP = 4  # times what the last answer took, at the least
+MAX_ATTEMPTS = 3  # of a piece, before what came of its state is dropped
+SNAPSHOT_IDLE_S = 5.0  # s that a snapshot is kept after it was last asked for
 
 
 @dataclass(frozen=True, slots=True)
-class SnapshotName:
+class SnapshotId:
     """Which state it is: entry number, digest of the packed bytes, and how many of them there are."""
 
     number: int
@@ -41,13 +41,13 @@
 class Snapshot:
     """A packed state."""
 
-    name: SnapshotName
+    name: SnapshotId
     data: bytes
 
     @classmethod
     def of(cls, number: int, wire: Any) -> "Snapshot":  # noqa: ANN401
         data = zlib.compress(ormsgpack.packb(wire), COMPRESS_LEVEL)
-        return cls(SnapshotName(number, hashlib.sha256(data).hexdigest(), len(data)), data)
+        return cls(SnapshotId(number, hashlib.sha256(data).hexdigest(), len(data)), data)
 
     def wire(self) -> Any:  # noqa: ANN401
         """Raises FrameError if it is not what its name says."""
@@ -55,7 +55,7 @@
             raise FrameError("a state whose digest is another than was told")
         expander = zlib.decompressobj()
         try:
-            body = expander.decompress(self.data, LARGEST_STATE)
+            body = expander.decompress(self.data, MAX_STATE_BYTES)
             if expander.unconsumed_tail or not expander.eof:
                 raise FrameError("a state that is too large, or ends early")
             return ormsgpack.unpackb(body)
@@ -64,10 +64,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
+class SnapshotChunk:
     """Some bytes of a snapshot."""
 
-    name: SnapshotName
+    name: SnapshotId
     offset: int
     data: bytes
 
@@ -75,15 +75,15 @@
         return [self.name.number, self.name.digest, self.name.size, self.offset, self.data]
 
     @classmethod
-    def from_wire(cls, wire: list[Any]) -> "Piece":
+    def from_wire(cls, wire: list[Any]) -> "SnapshotChunk":
         match wire:
             case [int(number), str(digest), int(size), int(offset), bytes(data)]:
-                return cls(SnapshotName(number, digest, size), offset, data)
+                return cls(SnapshotId(number, digest, size), offset, data)
         raise FrameError("a malformed piece of a state")
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
+class ChunkRequest:
     """What a receiver asks for next: a place in a snapshot, or the beginning of any."""
 
     number: int = 0
@@ -101,7 +101,7 @@
         self.pinned: Snapshot | None = None
         self.asked_at = 0.0
 
-    def answer(self, now: float, wanted: Wanted) -> Piece:
+    def answer(self, now: float, wanted: ChunkRequest) -> SnapshotChunk:
         """The piece that is wanted, or the first of another snapshot where this one is not had."""
         snapshot, self.asked_at = self.pinned, now
         if snapshot is None or not self.leads_on(snapshot.name.number):
@@ -110,22 +110,22 @@
         name = snapshot.name
         known = (wanted.number, wanted.digest) == (name.number, name.digest) and wanted.offset < name.size
         offset = wanted.offset if known else 0
-        return Piece(name, offset, snapshot.data[offset : offset + PIECE_BYTES])
+        return SnapshotChunk(name, offset, snapshot.data[offset : offset + CHUNK_BYTES])
 
     def tick(self, now: float) -> None:
         """Lets go of a snapshot that nobody asks for any more."""
-        if self.pinned is not None and now - self.asked_at > PINNED_S:
+        if self.pinned is not None and now - self.asked_at > SNAPSHOT_IDLE_S:
             self.pinned = None
 
 
-class Patience:
+class RetryTimer:
     """How long an answer is waited for: longer each time that none came, and where answers take long."""
 
     def __init__(self) -> None:
         self.asked_at: float | None = None  # None: nothing is awaited
-        self.seconds = FIRST_PATIENCE
+        self.seconds = INITIAL_RETRY_S
 
-    def ask(self, now: float, most: float = MOST_PATIENCE) -> None:
+    def ask(self, now: float, most: float = MAX_RETRY_S) -> None:
         if self.asked_at is not None:  # no answer came to the last one
             self.seconds = 2 * self.seconds
         self.seconds = min(self.seconds, most)
@@ -133,8 +133,8 @@
 
     def answered(self, now: float) -> None:
         if self.asked_at is not None:
-            took = PATIENCE_PER_ANSWER * (now - self.asked_at)
-            self.seconds = min(max(FIRST_PATIENCE, took), MOST_PATIENCE)
+            took = RETRY_PER_ROUND_TRIP * (now - self.asked_at)
+            self.seconds = min(max(INITIAL_RETRY_S, took), MAX_RETRY_S)
         self.asked_at = None
 
     @property
@@ -149,25 +149,25 @@
     """Puts a snapshot together. At most one is under way; a newer one takes its place only from its start."""
 
     def __init__(self) -> None:
-        self.name: SnapshotName | None = None
+        self.name: SnapshotId | None = None
         self.data = bytearray()
 
     @property
     def active(self) -> bool:
         return self.name is not None
 
-    def wanted(self) -> Wanted:
+    def wanted(self) -> ChunkRequest:
         if self.name is None:
-            return Wanted()
-        return Wanted(self.name.number, self.name.digest, len(self.data))
+            return ChunkRequest()
+        return ChunkRequest(self.name.number, self.name.digest, len(self.data))
 
-    def take(self, piece: Piece) -> Snapshot | None:
+    def take(self, piece: SnapshotChunk) -> Snapshot | None:
         """The whole snapshot, if this was its last piece. One that isn't wanted now changes nothing."""
         if piece.name != self.name:
             if piece.offset != 0 or (self.name is not None and piece.name.number <= self.name.number):
                 return None
-            if not 0 < piece.name.size <= LARGEST_STATE:
-                raise FrameError(f"a state of {piece.name.size} bytes; {LARGEST_STATE} at the most")
+            if not 0 < piece.name.size <= MAX_STATE_BYTES:
+                raise FrameError(f"a state of {piece.name.size} bytes; {MAX_STATE_BYTES} at the most")
             self.name, self.data = piece.name, bytearray()
         if piece.offset != len(self.data) or not piece.data:
             return None
@@ -182,13 +182,13 @@
         self.name, self.data = None, bytearray()
 
 
-class Transfer:
+class SnapshotFetch:
     """A receiver with whom it asks, and how long it waits."""
 
     def __init__(self) -> None:
         self.receiver = SnapshotReceiver()
         self.source = ""  # who was asked last
-        self.patience = Patience()  # for the answer
+        self.patience = RetryTimer()  # for the answer
         self.tries = 0  # of the question, beyond the first
 
     @property
@@ -198,7 +198,7 @@
 
     def begin_view(self) -> None:
         """Others may be asked now, and at once; what has come is kept."""
-        self.patience, self.tries = Patience(), 0
+        self.patience, self.tries = RetryTimer(), 0
 
     def may_ask(self, now: float) -> bool:
         return self.patience.over(now)
@@ -206,17 +206,19 @@
     def awaits(self, sender: str) -> bool:
         return sender == self.source and self.patience.waiting
 
-    def ask(self, now: float, source: str) -> Wanted:
+    def ask(self, now: float, source: str) -> ChunkRequest:
         """What to ask the source for. One that answers nothing of use may not have this snapshot any more."""
         self.tries = self.tries + 1 if self.patience.waiting else 0
-        if self.tries >= TRIES:
+        if self.tries >= MAX_ATTEMPTS:
             self.drop()
             self.tries = 0
         self.source = source
         self.patience.ask(now)
         return self.receiver.wanted()
 
-    def take(self, now: float, sender: str, piece: Piece, held: int) -> Snapshot | Wanted | None:
+    def take(
+        self, now: float, sender: str, piece: SnapshotChunk, held: int
+    ) -> Snapshot | ChunkRequest | None:
         """The whole snapshot, or what to ask the sender for next; None if the piece changes nothing.
 
         `held`: number of the state that the receiver has.
--- a/plumline/coordination/soft_state.py
+++ b/plumline/coordination/soft_state.py
@@ -6,36 +6,36 @@
 from dataclasses import dataclass
 from typing import Any
 
-Number = tuple[int, int]
+Version = tuple[int, int]
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class VersionedValue:
     """What a topic holds, and its number."""
 
-    number: Number
+    number: Version
     payload: Any
 
 
-class Topics:
+class SoftState:
     """The newest that this process knows of each topic."""
 
     def __init__(self) -> None:
-        self.told: dict[str, Told] = {}
+        self.told: dict[str, VersionedValue] = {}
 
-    def offer(self, name: str, number: Number, payload: Any) -> bool:  # noqa: ANN401
+    def offer(self, name: str, number: Version, payload: Any) -> bool:  # noqa: ANN401
         """Takes it if it is newer than what is known; whether it was."""
         known = self.told.get(name)
         if known is not None and known.number >= number:
             return False
-        self.told[name] = Told(number, payload)
+        self.told[name] = VersionedValue(number, payload)
         return True
 
     def payload(self, name: str) -> Any:  # noqa: ANN401
         """None if nothing was told."""
         return self.told[name].payload if name in self.told else None
 
-    def next_number(self, name: str, term: int) -> Number | None:
+    def next_number(self, name: str, term: int) -> Version | None:
         """The number under which the holder of the lease of this term tells the topic next. None if somebody
         has told it under a later term: this one is over, whatever its holder's clock says."""
         known = self.told.get(name)
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -13,7 +13,7 @@
 from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member, Message, Record
-from plumline.coordination.soft_state import Topics
+from plumline.coordination.soft_state import SoftState
 from plumline.coordination.view import View
 from plumline.counters import Counters
 from plumline.prompts.index import TOLD_PART
@@ -50,7 +50,7 @@
     def __init__(self, settings: Settings, settings_file: SettingsFile | None = None) -> None:
         self.settings, self.settings_file = settings, settings_file or SettingsFile(None)
         self.loop = asyncio.get_running_loop()
-        self.counters, self.topics = Counters(), Topics()
+        self.counters, self.topics = Counters(), SoftState()
         host, port = settings.internal_address
         self.address = f"{host}:{port}"
         self.writer: Writer = MemoryWriter()
--- a/plumline/registrar/feeding.py
+++ b/plumline/registrar/feeding.py
@@ -12,8 +12,8 @@
 
 from plumline.configuration.difference import as_amend
 from plumline.configuration.document import Document
-from plumline.coordination.replication import Chain
-from plumline.coordination.soft_state import Topics
+from plumline.coordination.replication import ChainReplica
+from plumline.coordination.soft_state import SoftState
 from plumline.counters import Counters
 from plumline.errors import FrameError
 from plumline.registrar.backlog import Backlog
@@ -52,8 +52,8 @@
 
     def __init__(
         self,
-        chain: Chain,
-        topics: Topics,
+        chain: ChainReplica,
+        topics: SoftState,
         counters: Counters,
         heartbeat_s: float,
         may_feed: Callable[[], bool] = lambda: True,
--- a/plumline/router/following.py
+++ b/plumline/router/following.py
@@ -20,7 +20,7 @@
 from plumline.configuration.routes import RouteTable
 from plumline.configuration.state import State
 from plumline.coordination.ring import Candidate, watchers
-from plumline.coordination.soft_state import Topics
+from plumline.coordination.soft_state import SoftState
 from plumline.counters import Counters
 from plumline.errors import FrameError, PlumlineError
 from plumline.routing.fleet import Fleet
@@ -88,7 +88,7 @@
         port = settings.internal_ports[0]
         self.seeds = settings.seeds
         self.registrars: dict[str, str] = {}  # address -> zone, as told by the newest beat
-        self.topics = Topics()
+        self.topics = SoftState()
         self.sources: dict[str, Source] = {}
         self.shunned: dict[str, float] = {}
         self.state, self.place = State(), 0  # the newest that came
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -438,7 +438,7 @@
 def short_memory(remembered: int = 0) -> Iterator[None]:
     """Short logs, the state above in the cores, and, if given, few repeats remembered."""
     with ExitStack() as stack:
-        stack.enter_context(patch.object(replication_module, "KEPT_ENTRIES", KEPT))
+        stack.enter_context(patch.object(replication_module, "RETAINED_ENTRIES", KEPT))
         stack.enter_context(patch.object(core_world, "Register", NamedState))
         if remembered:
             stack.enter_context(patch.object(history_module, "SEGMENT", 2))
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -7,7 +7,7 @@
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member, Message, Record
 from plumline.coordination.keeper import Duty, Keeper
-from plumline.coordination.replication import Chain
+from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View, Views
 
 
@@ -80,14 +80,14 @@
             super().restore(record)
 
 
-class TakesEntriesOfAnyView(Chain):
+class TakesEntriesOfAnyView(ChainReplica):
     def on_message(self, sender: str, message: Message) -> bool:
         if message[0] in ("chain-entry", "chain-state"):
             message = [message[0], self.number(), *message[2:]]
         return super().on_message(sender, message)
 
 
-class TakesReportsOfAnyView(Chain):
+class TakesReportsOfAnyView(ChainReplica):
     def on_message(self, sender: str, message: Message) -> bool:
         if message[0] in ("chain-floor", "chain-report", "chain-commit"):
             message = [message[0], self.number(), *message[2:]]
@@ -97,6 +97,6 @@
 def mutation(name: str) -> dict[str, Any]:
     """Keywords of a schedule whose cores are without that guard."""
     kind = globals()[name]
-    parts = {Keeper: "keeper", Ballots: "ballots", Views: "views", Chain: "chain"}
+    parts = {Keeper: "keeper", Ballots: "ballots", Views: "views", ChainReplica: "chain"}
     part = next(part for base, part in parts.items() if issubclass(kind, base))
     return {"mutate": exchange(part, kind)}
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -443,7 +443,7 @@
 
 def on_disk(node: Node) -> tuple[str, ...]:
     """What a core that starts from this disk would hold, committed or not."""
-    found = replication_module.Chain(
+    found = replication_module.ChainReplica(
         node.me, 1, NoEffects(), Register(), Register.load, lambda number, change: None
     )
     for record in node.disk:
@@ -454,5 +454,5 @@
 
 @contextmanager
 def short_logs() -> Iterator[None]:
-    with patch.object(replication_module, "KEPT_ENTRIES", KEPT):
+    with patch.object(replication_module, "RETAINED_ENTRIES", KEPT):
         yield
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -15,7 +15,7 @@
 from plumline.configuration.history import History, Match
 from plumline.configuration.state import State
 from plumline.coordination.core import Core
-from plumline.coordination.replication import Answer, Chain
+from plumline.coordination.replication import ChainReplica, SubmitCallback
 from plumline.errors import (
     ConfigurationInvalidError,
     PlumlineError,
@@ -72,10 +72,10 @@
 # Guards taken out.
 
 
-class RefusesAtOnce(Chain):
+class RefusesAtOnce(ChainReplica):
     """Does not wait until what a refusal rests on is committed."""
 
-    def submit(self, change: list[Any], answer: Answer) -> None:
+    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         if self.is_head() and self.can_commit():
             try:
                 self.newest.check(change)
@@ -85,20 +85,20 @@
         super().submit(change, answer)
 
 
-class ReadsWithoutAsking(Chain):
+class ReadsWithoutAsking(ChainReplica):
     def read(self, answer: Callable[[Any], None]) -> None:
         answer(self.state if self.is_tail() and self.caught_up else None)
 
 
-class AcknowledgesBeforeCommit(Chain):
-    def submit(self, change: list[Any], answer: Answer) -> None:
+class AcknowledgesBeforeCommit(ChainReplica):
+    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         super().submit(change, lambda error: None)
         if self.is_head() and self.can_commit() and self.newest is not self.state:
             answer(None)
 
 
-class AcknowledgesAnUncommittedRepeat(Chain):
-    def submit(self, change: list[Any], answer: Answer) -> None:
+class AcknowledgesAnUncommittedRepeat(ChainReplica):
+    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         try:
             known = self.is_head() and self.can_commit() and self.newest.check(change)
         except PlumlineError:
--- a/tests/test_core_explorer.py
+++ b/tests/test_core_explorer.py
@@ -13,7 +13,7 @@
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member
 from plumline.coordination.formation import ASK_EVERY, Formation
-from plumline.coordination.replication import Chain
+from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import Ballot, View, Views
 from tests.core_register import ViolationError
 from tests.core_schedule import explore
@@ -38,13 +38,13 @@
 # Guards taken out. Each is a core with one part exchanged.
 
 
-class CommitsAnywhere(Chain):
+class CommitsAnywhere(ChainReplica):
     def commit_if_tail(self) -> None:
         if self.can_commit():
             self.advance(self.synced)
 
 
-class CaughtUpAtOnce(Chain):
+class CaughtUpAtOnce(ChainReplica):
     def install(self, view: View) -> None:
         super().install(view)
         if self.position is not None:
@@ -52,17 +52,17 @@
             self.commit_if_tail()
 
 
-class ReadsWithoutAsking(Chain):
+class ReadsWithoutAsking(ChainReplica):
     def read(self, answer: Callable[[Any], None]) -> None:
         answer(self.state if self.is_tail() and self.caught_up else None)
 
 
-class KeepsWhatToDrop(Chain):
+class KeepsWhatToDrop(ChainReplica):
     def drop_after(self, number: int) -> None:
         pass
 
 
-class CommitsWithAnyCopies(Chain):
+class CommitsWithAnyCopies(ChainReplica):
     def can_commit(self) -> bool:
         return True
 
--- a/tests/test_feeding.py
+++ b/tests/test_feeding.py
@@ -7,7 +7,7 @@
 
 from plumline.configuration.document import Document
 from plumline.configuration.state import State
-from plumline.coordination.soft_state import Topics
+from plumline.coordination.soft_state import SoftState
 from plumline.counters import Counters
 from plumline.registrar import backlog as backlog_module
 from plumline.registrar.feeding import Feed
@@ -95,7 +95,7 @@
 
     def __init__(self, routers: int = 1) -> None:
         self.chain, self.fresh = FakeChain(), True
-        self.feed = Feed(self.chain, Topics(), Counters(), 1.2, lambda: self.fresh)  # type: ignore[arg-type]
+        self.feed = Feed(self.chain, SoftState(), Counters(), 1.2, lambda: self.fresh)  # type: ignore[arg-type]
         self.routers = [self.join(f"n{at}") for at in range(routers)]
 
     def join(self, node: str, place: int = 0, primary: bool = True) -> Router:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from plumline.coordination.replication import Chain
-from plumline.coordination.snapshot_transfer import Piece, Snapshot
-from plumline.coordination.soft_state import Topics
+from plumline.coordination.replication import ChainReplica
+from plumline.coordination.snapshot_transfer import Snapshot, SnapshotChunk
+from plumline.coordination.soft_state import SoftState
 from plumline.coordination.view import View
 from plumline.errors import UnavailableError, VersionConflictError
 from tests.core_world import NoEffects, Register, World, on_disk, short_logs
@@ -245,7 +245,7 @@
     assert b.core.chain.synced == 5
     assert b.core.chain.committed == 3
     snapshot = Snapshot.of(4, [*early.ids, "c4"])
-    world.deliver("a", "b", ["chain-piece", 1, *Piece(snapshot.name, 0, snapshot.data).to_wire()])
+    world.deliver("a", "b", ["chain-piece", 1, *SnapshotChunk(snapshot.name, 0, snapshot.data).to_wire()])
     assert b.core.chain.committed == 4
     assert b.core.chain.last == 5
     assert b.core.chain.synced == 5
@@ -258,7 +258,7 @@
     for number in range(6):
         world.put(number)
     chain = world.nodes["b"].core.chain
-    again = Chain(chain.me, 2, NoEffects(), Register(), Register.load, lambda number, change: None)
+    again = ChainReplica(chain.me, 2, NoEffects(), Register(), Register.load, lambda number, change: None)
     for record in chain.records():
         again.restore(record)
     assert (again.state, again.newest, again.last, again.synced) == (
@@ -283,7 +283,7 @@
 
 
 def test_the_newest_of_a_topic_wins() -> None:
-    topics = Topics()
+    topics = SoftState()
     assert topics.offer("roster", (1, 2), ["x"])
     assert not topics.offer("roster", (1, 2), ["y"])
     assert not topics.offer("roster", (1, 1), ["y"])
@@ -309,8 +309,8 @@
         done()
 
 
-def chain_of(recorder: Recorder) -> Chain:
-    return Chain(("a", "a-1"), 2, recorder, Register(), Register.load, lambda number, change: None)
+def chain_of(recorder: Recorder) -> ChainReplica:
+    return ChainReplica(("a", "a-1"), 2, recorder, Register(), Register.load, lambda number, change: None)
 
 
 def test_a_removed_member_keeps_what_may_be_committed_and_drops_it_as_it_joins_again() -> None:
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -13,18 +13,18 @@
 
 from plumline.coordination import replication as replication_module
 from plumline.coordination import snapshot_transfer as transfer_module
-from plumline.coordination.log import Log
+from plumline.coordination.log import ReplicationLog
 from plumline.coordination.snapshot_transfer import (
-    FIRST_PATIENCE,
-    MOST_PATIENCE,
-    PIECE_BYTES,
-    PINNED_S,
-    Patience,
-    Piece,
+    CHUNK_BYTES,
+    INITIAL_RETRY_S,
+    MAX_RETRY_S,
+    SNAPSHOT_IDLE_S,
+    ChunkRequest,
+    RetryTimer,
     Snapshot,
+    SnapshotChunk,
     SnapshotReceiver,
     SnapshotSender,
-    Wanted,
 )
 from plumline.errors import FrameError, UnavailableError
 from tests.core_schedule import explore
@@ -48,16 +48,16 @@
     sender = SnapshotSender(lambda: (7, wire_of(1_000_000)), lambda number: True)
     wire, asked = carried(SnapshotReceiver(), sender)
     assert wire == wire_of(1_000_000)
-    assert asked == 1_000_000 // PIECE_BYTES + 1
+    assert asked == 1_000_000 // CHUNK_BYTES + 1
 
 
 @given(st.randoms(use_true_random=False), st.integers(1, 400))
 def test_lost_doubled_and_reordered_pieces_cost_time_only(chance: random.Random, size: int) -> None:
-    with patch.object(transfer_module, "PIECE_BYTES", 16):
+    with patch.object(transfer_module, "CHUNK_BYTES", 16):
         newest = 7
         sender = SnapshotSender(lambda: (newest, wire_of(size, newest)), lambda number: number > newest - 4)
         receiver = SnapshotReceiver()
-        on_the_way: list[Piece] = []
+        on_the_way: list[SnapshotChunk] = []
         for step in range(20_000):
             if step % 50 == 49 and newest < 20:
                 newest += 1
@@ -82,9 +82,9 @@
     for _ in range(4):
         receiver.take(first.answer(0.0, receiver.wanted()))
     held = receiver.wanted().offset
-    assert held == 4 * PIECE_BYTES
+    assert held == 4 * CHUNK_BYTES
     assert second.answer(0.0, receiver.wanted()).offset == held
-    assert carried(receiver, second)[1] == 500_000 // PIECE_BYTES + 1 - 4
+    assert carried(receiver, second)[1] == 500_000 // CHUNK_BYTES + 1 - 4
 
 
 def test_one_snapshot_serves_all_that_ask_and_is_let_go() -> None:
@@ -98,48 +98,48 @@
     for _ in range(5):
         carried(SnapshotReceiver(), sender)
     assert len(made) == 1
-    sender.tick(PINNED_S - 0.1)
+    sender.tick(SNAPSHOT_IDLE_S - 0.1)
     assert sender.pinned is not None
-    sender.tick(PINNED_S + 0.1)
+    sender.tick(SNAPSHOT_IDLE_S + 0.1)
     assert sender.pinned is None
 
 
 def test_a_snapshot_that_no_entries_lead_on_from_is_made_anew() -> None:
     numbers, kept = iter([7, 30]), {7}
     sender = SnapshotSender(lambda: (next(numbers), wire_of(100)), lambda number: number in kept)
-    assert sender.answer(0.0, Wanted()).name.number == 7
-    assert sender.answer(0.0, Wanted()).name.number == 7
+    assert sender.answer(0.0, ChunkRequest()).name.number == 7
+    assert sender.answer(0.0, ChunkRequest()).name.number == 7
     kept.clear()
-    assert sender.answer(0.0, Wanted()).name.number == 30
+    assert sender.answer(0.0, ChunkRequest()).name.number == 30
 
 
 @pytest.mark.parametrize("wire", [[], [1, "d", 2, 0], [1, "d", 2, 0, "text"], ["1", "d", 2, 0, b""]])
 def test_a_malformed_piece_is_refused(wire: list[Any]) -> None:
     with pytest.raises(FrameError):
-        Piece.from_wire(wire)
+        SnapshotChunk.from_wire(wire)
 
 
 def test_a_state_that_is_not_what_its_name_says_is_refused() -> None:
     whole = Snapshot.of(7, wire_of(100))
     with pytest.raises(FrameError):
         Snapshot(whole.name, Snapshot.of(7, wire_of(100, seed=2)).data).wire()
-    large = Snapshot.of(7, [bytes(transfer_module.LARGEST_STATE + 1)])
+    large = Snapshot.of(7, [bytes(transfer_module.MAX_STATE_BYTES + 1)])
     with pytest.raises(FrameError):
         large.wire()
 
 
 def test_answers_are_waited_for_longer_where_they_take_long_or_do_not_come() -> None:
-    patience = Patience()
+    patience = RetryTimer()
     assert patience.over(0.0)
     patience.ask(0.0)
-    assert not patience.over(FIRST_PATIENCE - 0.01)
-    assert patience.over(FIRST_PATIENCE)
+    assert not patience.over(INITIAL_RETRY_S - 0.01)
+    assert patience.over(INITIAL_RETRY_S)
     now, waits = 0.0, []
     for _ in range(6):
         patience.ask(now)
         waits.append(patience.seconds)
         now += patience.seconds
-    assert waits[-1] == MOST_PATIENCE
+    assert waits[-1] == MAX_RETRY_S
     assert waits == sorted(waits)
     patience.answered(now - patience.seconds + 0.5)
     assert patience.seconds == 4 * 0.5
@@ -149,7 +149,7 @@
 
 
 def test_a_log_is_bounded_by_bytes_and_keeps_what_is_not_committed() -> None:
-    log = Log()
+    log = ReplicationLog()
     for number in range(1, 11):
         log.append(number, ["x" * 1000])
     log.trim(8, 512, 3000)
@@ -171,9 +171,9 @@
 def small_pieces() -> Iterator[None]:
     """So small that every state takes several, as an explored one is only a few names."""
     with (
-        patch.object(transfer_module, "PIECE_BYTES", 12),
+        patch.object(transfer_module, "CHUNK_BYTES", 12),
         patch.object(replication_module, "WINDOW_BYTES", 40),
-        patch.object(replication_module, "LESSON_BYTES", 30),
+        patch.object(replication_module, "CATCH_UP_BATCH_BYTES", 30),
     ):
         yield
 
@@ -275,14 +275,14 @@
     world.settle()
     taken = bytes_of(world, *TRANSFER)[name]
     print("bytes", taken, "state", state, "seconds", round(world.now - began, 2))
-    assert taken < 1.1 * state + 2 * replication_module.LESSON_BYTES
+    assert taken < 1.1 * state + 2 * replication_module.CATCH_UP_BATCH_BYTES
     assert world.ids(name) == world.ids(other)
 
 
 def test_changes_of_a_megabyte_leave_a_bounded_log_and_come_once() -> None:
     world = without("c", 12, 1_000_000)
     for name in "ab":
-        assert world.nodes[name].core.chain.log.size() <= replication_module.KEPT_BYTES
+        assert world.nodes[name].core.chain.log.size() <= replication_module.RETAINED_BYTES
     world.spy = True
     world.start(world.nodes["c"])
     world.settle()
@@ -336,7 +336,7 @@
         world.go(0.01)
     chain = world.nodes["a"].core.chain
     most = chain.log.bytes_between(world.nodes["c"].core.chain.synced, chain.last)
-    assert most <= replication_module.LESSON_BYTES
+    assert most <= replication_module.CATCH_UP_BATCH_BYTES
 
 
 def test_a_successor_that_is_slow_is_sent_no_more_than_its_window() -> None:
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -1,10 +1,10 @@
 """Soft topics between two holders of a lease whose terms overlap."""
 
-from plumline.coordination.soft_state import Topics
+from plumline.coordination.soft_state import SoftState
 
 
 def test_a_holder_whose_term_is_over_tells_nothing_more() -> None:
-    earlier, later = Topics(), Topics()
+    earlier, later = SoftState(), SoftState()
     number = later.next_number("marks", 2)
     assert number == (2, 1) and later.offer("marks", number, "new")
     assert earlier.next_number("marks", 1) == (1, 1)  # it has not heard of the later one yet
@@ -14,7 +14,7 @@
 
 
 def test_what_an_earlier_holder_tells_late_is_not_taken() -> None:
-    topics = Topics()
+    topics = SoftState()
     assert topics.offer("roster", (2, 1), "new")
     assert not topics.offer("roster", (1, 40), "old")
     assert not topics.offer("roster", (2, 1), "again")
