--- a/plumline/cli.py
+++ b/plumline/cli.py
@@ -51,7 +51,7 @@
     if role == "router":
         from plumline.router.app import run
     else:
-        from plumline.registrar.app import run
+        from plumline.registrar.process import run
     try:
         asyncio.run(run(loaded, settings.SettingsFile(os.environ.get(settings.VARIABLE))))
     except PlumlineError as error:
--- a/plumline/registrar/operators.py
+++ b/plumline/registrar/operator_api.py
@@ -9,7 +9,7 @@
 from plumline.coordination.core import Core
 from plumline.counters import Counters
 from plumline.errors import ConfigurationInvalidError, PlumlineError, UnavailableError
-from plumline.registrar.relay import Change, Outcome, Relay
+from plumline.registrar.forwarding import Change, Outcome, Relay
 from plumline.wire.calls import BASED_ON_VERSION, CALLS
 from plumline.wire.exchange import Exchange
 
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/process.py
@@ -18,8 +18,8 @@
 from plumline.counters import Counters
 from plumline.prompts.index import TOLD_PART
 from plumline.registrar.discovery import Discovery
-from plumline.registrar.feeding import Feed, Work
-from plumline.registrar.operators import Operators
+from plumline.registrar.operator_api import Operators
+from plumline.registrar.publisher import Feed, Work
 from plumline.registrar.stores import Stores
 from plumline.registrar.weights import Weights
 from plumline.settings import Settings, SettingsFile
--- a/plumline/registrar/feeding.py
+++ b/plumline/registrar/publisher.py
@@ -16,7 +16,7 @@
 from plumline.coordination.topics import Topics
 from plumline.counters import Counters
 from plumline.errors import FrameError
-from plumline.registrar.backlog import Backlog
+from plumline.registrar.publish_buffer import Backlog
 from plumline.routing.shares import summed
 from plumline.wire.frames import FrameLink, pack
 
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -17,7 +17,7 @@
 from plumline.coordination import chain as chain_module
 from plumline.coordination.effects import Message
 from plumline.errors import ConfigurationInvalidError, PlumlineError, VersionConflictError
-from plumline.registrar.relay import Relay
+from plumline.registrar.forwarding import Relay
 from tests import core_world
 from tests.core_register import ViolationError
 from tests.core_schedule import Schedule
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -22,7 +22,7 @@
     UnavailableError,
     VersionConflictError,
 )
-from plumline.registrar import relay as relay_module
+from plumline.registrar import forwarding
 from tests.control_world import ControlWorld, explore_control, short_memory
 from tests.core_register import ViolationError
 
@@ -167,7 +167,7 @@
     yield pytest.param({"cuts": True, "seconds": 22.0}, unknown, id="RefusesUnknownModels")
     yield pytest.param({}, patch.object(History, "match", knows_no_repeat), id="KnowsNoRepeat")
     yield pytest.param(few, patch.object(History, "match", knows_no_content), id="TakesAnyBodyForTheRepeat")
-    yield pytest.param({}, patch.object(relay_module, "PATIENCE_S", 3.0), id="WaitsLongerThanItsCallers")
+    yield pytest.param({}, patch.object(forwarding, "PATIENCE_S", 3.0), id="WaitsLongerThanItsCallers")
 
 
 @pytest.mark.parametrize(("how", "without"), list(guards()))
--- a/tests/test_relay.py
+++ b/tests/test_forwarding.py
@@ -5,7 +5,7 @@
 import pytest
 
 from plumline.errors import PlumlineError, UnavailableError, VersionConflictError
-from plumline.registrar.relay import LARGE_BODY_BYTES_PER_S, PATIENCE_S, Relay
+from plumline.registrar.forwarding import LARGE_BODY_BYTES_PER_S, PATIENCE_S, Relay
 
 CHANGE = ["amend", 1, {"Version": 2}]
 
--- a/tests/test_internal_asks.py
+++ b/tests/test_forwarding_properties.py
@@ -16,7 +16,7 @@
 from virtual_net import VirtualLoop
 
 from plumline.errors import PlumlineError, UnavailableError, VersionConflictError
-from plumline.registrar.relay import Relay
+from plumline.registrar.forwarding import Relay
 
 NAMES = ("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
 ASKS = 30
--- a/tests/test_feeding.py
+++ b/tests/test_publisher.py
@@ -9,8 +9,8 @@
 from plumline.configuration.state import State
 from plumline.coordination.topics import Topics
 from plumline.counters import Counters
-from plumline.registrar import backlog as backlog_module
-from plumline.registrar.feeding import Feed
+from plumline.registrar import publish_buffer
+from plumline.registrar.publisher import Feed
 from plumline.wire.frames import Unpacker
 
 
@@ -179,8 +179,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     packed: list[str] = []
-    pack = backlog_module.pack
-    monkeypatch.setattr(backlog_module, "pack", lambda message: packed.append(message[0]) or pack(message))
+    pack = publish_buffer.pack
+    monkeypatch.setattr(publish_buffer, "pack", lambda message: packed.append(message[0]) or pack(message))
     scene = Scene()
     scene.commit(["replace", 0, document(1, 4000)])
     for version in range(2, 1000):
@@ -197,7 +197,7 @@
         assert each.state.configuration == scene.chain.state.configuration
         assert each.bytes < size / 5
     assert packed == ["state"]  # one packed snapshot for all of them
-    assert scene.feed.backlog.bytes <= backlog_module.KEPT_BYTES
+    assert scene.feed.backlog.bytes <= publish_buffer.KEPT_BYTES
 
 
 def test_a_replaced_configuration_is_told_as_what_it_changes() -> None:
@@ -228,7 +228,7 @@
 
 
 def test_entries_kept_for_followers_are_bounded_by_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(backlog_module, "KEPT_BYTES", 2000)
+    monkeypatch.setattr(publish_buffer, "KEPT_BYTES", 2000)
     scene = Scene()
     scene.commit(["replace", 0, document(1, 20)])
     for version in range(2, 100):
--- a/tests/test_registrar.py
+++ b/tests/test_registrar_process.py
@@ -8,8 +8,8 @@
 from peers import play, soon
 
 from plumline.coordination.keeper import Duty
-from plumline.registrar import app
-from plumline.registrar.app import CLOSE_S, Registrar
+from plumline.registrar import process
+from plumline.registrar.process import CLOSE_S, Registrar
 from plumline.settings import Bounds, Settings
 
 PORTS = (47_641, 47_655)
@@ -142,7 +142,7 @@
     registrar = Registrar(settings)
     await soon(formed(registrar))
     registrar.core.remaining_duty = lambda now: Duty.REPLICA
-    with patch.object(app, "log") as log:
+    with patch.object(process, "log") as log:
         await soon(registrar.hand_over())
     assert "replica in the chain" in log.warning.call_args.args[0]
     assert registrar.counters.get("leave.incomplete") == 1
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -15,7 +15,7 @@
 from plumline.lab import Pace, flood
 from plumline.lab.clients import Tally
 from plumline.lab.engine import Engine, Shape
-from plumline.registrar.feeding import Feed, Follower
+from plumline.registrar.publisher import Feed, Follower
 from plumline.routing.shares import CALM, Standing
 from tests.dispatch_world import FULL, MODEL, Peer, Router, answer, document, made, within
 
