--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -17,11 +17,11 @@
 from plumline.coordination.view import View
 from plumline.counters import Counters
 from plumline.prompts.index import TOLD_PART
+from plumline.registrar.cache_stores import Stores
 from plumline.registrar.discovery import Discovery
 from plumline.registrar.feeding import Feed, Work
 from plumline.registrar.operators import Operators
-from plumline.registrar.stores import Stores
-from plumline.registrar.weights import Weights
+from plumline.registrar.rollout.plan import Weights
 from plumline.settings import Settings, SettingsFile
 from plumline.store.records import RecordFile
 from plumline.store.writer import DurableWriter, MemoryWriter, Writer
--- a/tests/test_stores_job.py
+++ b/tests/test_cache_stores.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from peers import Peer, play, soon
 
-from plumline.registrar.stores import StoreAnswerInvalidError, StoreBusyError, Stores, parse_events
+from plumline.registrar.cache_stores import StoreAnswerInvalidError, StoreBusyError, Stores, parse_events
 from plumline.wire.calls import Answer, Caller, CallFailedError, CallTimeoutError
 
 A, B = ("10.0.0.1", 80), ("10.0.0.2", 80)
--- a/tests/test_weights_job.py
+++ b/tests/test_rollout.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from plumline.registrar.weights import Kind, Report, Step, Weights, WeightsPlan, report_from
+from plumline.registrar.rollout.plan import Kind, Report, Step, Weights, WeightsPlan, report_from
 from plumline.routing.fleet import endpoints_from
 from plumline.wire.calls import Caller
 
