--- a/plumline/errors.py
+++ b/plumline/errors.py
@@ -52,7 +52,7 @@
     code, status = "store", 500
 
 
-class StoreDamagedError(StoreError):
+class StoreCorruptedError(StoreError):
     """A record in the middle of the file fails its checksum: the file is refused, never read by halves."""
 
     code = "store-damaged"
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -23,8 +23,8 @@
 from plumline.registrar.stores import Stores
 from plumline.registrar.weights import Weights
 from plumline.settings import Settings, SettingsFile
-from plumline.store.records import RecordFile
-from plumline.store.writer import DurableWriter, MemoryWriter, Writer
+from plumline.store.log_writers import GroupCommitWriter, LogWriter, VolatileWriter
+from plumline.store.write_ahead_log import WriteAheadLog
 from plumline.wire.calls import Caller
 from plumline.wire.frames import FrameLink, hello
 from plumline.wire.mesh import Mesh
@@ -53,7 +53,7 @@
         self.counters, self.topics = Counters(), Topics()
         host, port = settings.internal_address
         self.address = f"{host}:{port}"
-        self.writer: Writer = MemoryWriter()
+        self.writer: LogWriter = VolatileWriter()
         self.known = asyncio.Event()  # the incarnation is on the disk, and so may be told
         records, incarnation = self.open_store()
         self.mesh = self._make_mesh()
@@ -66,7 +66,7 @@
             may_feed=lambda: self.core.fresh(self.loop.time()),
         )
         if settings.data_directory is not None:
-            self.writer = DurableWriter(self.file, self.loop, self.image)
+            self.writer = GroupCommitWriter(self.file, self.loop, self.image)
             self.persist(["incarnation", incarnation], self.known.set)
         self.operators = Operators(self.core, self.send, self.counters)
         self.zones: dict[str, str] = {self.address: settings.zone}  # of registrars, by address
@@ -145,7 +145,7 @@
         fresh = secrets.token_hex(8)
         if self.settings.data_directory is None:
             return [], fresh
-        self.file = RecordFile(self.settings.data_directory)
+        self.file = WriteAheadLog(self.settings.data_directory)
         records = self.file.open()
         known = [record[1] for record in records if record[0] == "incarnation"]
         self.incarnation = known[-1] if known else fresh
@@ -308,7 +308,9 @@
         beat_at = told_at = summary_at = 0.0
         while True:
             now = self.loop.time()
-            self.core.sick = self.writer.broken is not None or (self.writer.oldest_pending(now) > SICK_AFTER)
+            self.core.sick = self.writer.failure is not None or (
+                self.writer.oldest_pending_age_s(now) > SICK_AFTER
+            )
             if (changed := self.settings_file.changed(now)) is not None:
                 self.core.set_seeds(changed.seeds)
             self.core.tick(now)
--- a/plumline/store/writer.py
+++ b/plumline/store/log_writers.py
@@ -1,7 +1,7 @@
-"""Writers of a RecordFile: in a thread beside the event loop, at once, or to nowhere.
+"""Writers of a WriteAheadLog: in a thread beside the event loop, at once, or to nowhere.
 
-All have the same interface: `submit`, `oldest_pending`, `broken`, `close`. The owner changes its memory
-first and submits after, so that an image of the memory contains everything submitted so far.
+All have the interface of LogWriter. The owner changes its memory first and submits after, so that an image
+of the memory contains everything submitted so far.
 """
 
 import asyncio
@@ -12,36 +12,36 @@
 from typing import Any, Protocol
 
 from plumline.errors import StoreError
-from plumline.store.records import RecordFile
+from plumline.store.write_ahead_log import WriteAheadLog
 
-RETRY_S = 0.3
-CLOSE_S = 1.0
+RETRY_INTERVAL_S = 0.3
+CLOSE_TIMEOUT_S = 1.0
 
 Done = Callable[[], None]
 Image = Callable[[], list[Any]]
 
 
-class Writer(Protocol):
+class LogWriter(Protocol):
     """What a state machine's owner needs of a writer."""
 
-    broken: StoreError | None
+    failure: StoreError | None
 
     def submit(self, records: list[Any], done: Done) -> None:
         """Queue the records; `done` is called, in order, once they are synced."""
 
-    def oldest_pending(self, now: float) -> float:
+    def oldest_pending_age_s(self, now: float) -> float:
         """Seconds that the oldest submit not yet done has waited by `now` (steady clock); 0 if none."""
 
     def close(self) -> None:
         """Write what is queued, if the disk lets it, and stop."""
 
 
-class DurableWriter:
+class GroupCommitWriter:
     """One thread does the blocking calls. Everything else belongs to the thread of `loop`."""
 
-    def __init__(self, file: RecordFile, loop: asyncio.AbstractEventLoop, image: Image) -> None:
+    def __init__(self, file: WriteAheadLog, loop: asyncio.AbstractEventLoop, image: Image) -> None:
         """`file` is open already. `image` is called in the loop's thread."""
-        self.broken: StoreError | None = None
+        self.failure: StoreError | None = None
         self._file = file
         self._loop = loop
         self._image = image
@@ -62,16 +62,16 @@
             self._queue.append(records)
             self._changed.notify()
 
-    def oldest_pending(self, now: float) -> float:
+    def oldest_pending_age_s(self, now: float) -> float:
         """Seconds that the oldest submit not yet done has waited; 0 if none."""
         return max(0.0, now - self._pending[0][0]) if self._pending else 0.0
 
     def close(self) -> None:
-        """Sync what is queued and stop, waiting CLOSE_S at most: a stalled disk doesn't hold up the end."""
+        """Sync what is queued and stop, within CLOSE_TIMEOUT_S: a stalled disk doesn't hold up the end."""
         with self._changed:
             self._closing = True
             self._changed.notify()
-        self._thread.join(CLOSE_S)
+        self._thread.join(CLOSE_TIMEOUT_S)
         if not self._thread.is_alive():
             self._file.close()
 
@@ -109,19 +109,19 @@
             try:
                 self._file.append([record for batch in batches for record in batch])
             except StoreError as error:
-                self.broken = error
+                self.failure = error
                 if not self._heal():
                     return
             else:
                 self._call(self._finish, len(batches))
-                if self._file.wants_rewrite and not self._compact() and not self._heal():
+                if self._file.needs_compaction and not self._compact() and not self._heal():
                     return
 
     def _heal(self) -> bool:
         """Rewrite until it works; False once the writer is closing."""
         while True:
             with self._changed:
-                if self._changed.wait_for(lambda: self._closing, RETRY_S):
+                if self._changed.wait_for(lambda: self._closing, RETRY_INTERVAL_S):
                     return False
             if self._compact():
                 return True
@@ -138,11 +138,11 @@
         try:
             if isinstance(image, StoreError):
                 raise image
-            self._file.rewrite(image)
+            self._file.compact(image)
         except StoreError as error:
-            self.broken = error
+            self.failure = error
             return False
-        self.broken = None
+        self.failure = None
         self._call(self._finish, covered)
         return True
 
@@ -166,11 +166,11 @@
             self._calling = False
 
 
-class ImmediateWriter:
+class SynchronousWriter:
     """Writes within `submit`. After a failure each submit, or `retry`, tries to rewrite."""
 
-    def __init__(self, file: RecordFile, image: Image, clock: Callable[[], float] = lambda: 0.0) -> None:
-        self.broken: StoreError | None = None
+    def __init__(self, file: WriteAheadLog, image: Image, clock: Callable[[], float] = lambda: 0.0) -> None:
+        self.failure: StoreError | None = None
         self._file = file
         self._image = image
         self._clock = clock
@@ -179,29 +179,29 @@
 
     def submit(self, records: list[Any], done: Done) -> None:
         self._pending.append((self._clock(), done))
-        if self.broken:
+        if self.failure:
             self.retry()
             return
         try:
             self._file.append(records)
         except StoreError as error:
-            self.broken = error
+            self.failure = error
             return
         self._finish()
-        if self._file.wants_rewrite:
+        if self._file.needs_compaction:
             self.retry()
 
     def retry(self) -> None:
         """Rewrite from the image; on success everything pending is done."""
         try:
-            self._file.rewrite(self._image())
+            self._file.compact(self._image())
         except StoreError as error:
-            self.broken = error
+            self.failure = error
             return
-        self.broken = None
+        self.failure = None
         self._finish()
 
-    def oldest_pending(self, now: float) -> float:
+    def oldest_pending_age_s(self, now: float) -> float:
         return max(0.0, now - self._pending[0][0]) if self._pending else 0.0
 
     def close(self) -> None:
@@ -214,17 +214,17 @@
             self._in_turn.call(done)
 
 
-class MemoryWriter:
+class VolatileWriter:
     """Keeps nothing: for a process without a folder. Everything is done at once."""
 
     def __init__(self) -> None:
-        self.broken: StoreError | None = None
+        self.failure: StoreError | None = None
         self._in_turn = _InTurn()
 
     def submit(self, records: list[Any], done: Done) -> None:
         self._in_turn.call(done)
 
-    def oldest_pending(self, now: float) -> float:
+    def oldest_pending_age_s(self, now: float) -> float:
         return 0.0
 
     def close(self) -> None:
--- a/plumline/store/records.py
+++ b/plumline/store/write_ahead_log.py
@@ -7,7 +7,7 @@
 The rule by which a torn tail is told from damage: each append is one batch, written only after the batch
 before it was synced, and never after a failure. So only the last batch can be torn by a loss of power, and
 any part of it may be missing. Reading stops at the first bad record; the batch that it belongs to is
-dropped whole (a batch is there wholly or not at all). It is damage, and StoreDamagedError, if
+dropped whole (a batch is there wholly or not at all). It is damage, and StoreCorruptedError, if
 - the bad record lies within the synced length of the header (what the last rewrite wrote), or
 - after it a valid record of a later batch is found, which proves that the bad one had been synced.
 Damage in the very last batch can't be told from a torn one and counts as torn.
@@ -24,11 +24,11 @@
 
 import ormsgpack
 
-from plumline.errors import StoreDamagedError, StoreError, StoreFullError
+from plumline.errors import StoreCorruptedError, StoreError, StoreFullError
 
-MAX_RECORD = 16 * 1024 * 1024
-REWRITE_FLOOR = 1024 * 1024
-REWRITE_FACTOR = 4
+MAX_RECORD_BYTES = 16 * 1024 * 1024
+COMPACTION_MIN_BYTES = 1024 * 1024
+COMPACTION_GROWTH_FACTOR = 4
 
 _MAGIC = b"PLSTOR"
 _FORMAT = 1
@@ -60,7 +60,7 @@
             value = ormsgpack.packb(record)
         except (TypeError, ValueError) as error:
             raise StoreError(f"a record can't be encoded: {error}") from error
-        if len(value) > MAX_RECORD:
+        if len(value) > MAX_RECORD_BYTES:
             raise StoreError(f"a record of {len(value)} bytes is too long")
         body = _PLACE.pack(sequence + index, index, len(records)) + value
         parts += (_RECORD.pack(len(value), _MARKER, zlib.crc32(body, salt)), body)
@@ -73,7 +73,7 @@
         return None
     length, marker, check = _RECORD.unpack_from(data, at)
     end = at + _PREFIX_SIZE + length
-    if marker != _MARKER or length > MAX_RECORD or end > len(data):
+    if marker != _MARKER or length > MAX_RECORD_BYTES or end > len(data):
         return None
     if zlib.crc32(memoryview(data)[at + _RECORD.size : end], salt) != check:
         return None
@@ -90,7 +90,7 @@
         found = data.find(_MARKER, found + 1)
 
 
-class RecordFile:
+class WriteAheadLog:
     """The file `name`.log in `folder`. All calls block; one thread at a time may use it."""
 
     def __init__(self, folder: Path, name: str = "state") -> None:
@@ -102,12 +102,12 @@
         self._sequence = 0
         self._rewritten = 0
         self.size = 0
-        self.broken = False
+        self.failed = False
 
     def open(self) -> list[Any]:
         """Create the file, or replay it: the values in order, all of them durable when this returns.
 
-        StoreDamagedError: see above. StoreError: the disk doesn't let it be read or made.
+        StoreCorruptedError: see above. StoreError: the disk doesn't let it be read or made.
         """
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
@@ -116,7 +116,7 @@
         except OSError as error:
             raise _store_error(error, "open") from error
         if not exists:
-            self.rewrite([])
+            self.compact([])
             return []
         try:
             data = self._path.read_bytes()
@@ -125,7 +125,7 @@
                 # A sync of an earlier life may have failed: then what is read here may be in the page cache
                 # only, and no later sync of this file would write it.
                 with contextlib.suppress(StoreError):
-                    self.rewrite(values)
+                    self.compact(values)
                     return values
                 data = self._path.read_bytes()
                 values, end = self._replay(data)
@@ -137,19 +137,19 @@
             os.fsync(self._fd)
             self._sync_folder()
         except OSError as error:
-            self.broken = True
+            self.failed = True
             raise _store_error(error, "open") from error
-        self.size, self.broken = end, False
+        self.size, self.failed = end, False
         return values
 
     def append(self, records: list[Any]) -> None:
         """Write and sync one batch. StoreFullError, StoreError: it may be there; broken until a rewrite."""
-        if self.broken or self._fd < 0:
+        if self.failed or self._fd < 0:
             raise StoreError("the file is broken until it is rewritten")
         if not records:
             return
         data = _encode(records, self._salt, self._sequence)
-        self.broken = True
+        self.failed = True
         try:
             written = os.write(self._fd, data)
             if written != len(data):
@@ -157,11 +157,11 @@
             os.fdatasync(self._fd)
         except OSError as error:
             raise _store_error(error, "append") from error
-        self.broken = False
+        self.failed = False
         self._sequence += len(records)
         self.size += len(data)
 
-    def rewrite(self, records: list[Any]) -> None:
+    def compact(self, records: list[Any]) -> None:
         """Put exactly these values in place of the whole contents, all or nothing; heals a broken file."""
         salt = int.from_bytes(os.urandom(4), "little")
         body = _encode(records, salt, 0)
@@ -176,7 +176,7 @@
                 raise StoreFullError(f"rewrite: {written} of {size} bytes written")
             os.fsync(fd)
             # From here on the old descriptor may be that of a file without a name.
-            self.broken = True
+            self.failed = True
             os.rename(self._rewrite_path, self._path)
             self._sync_folder()
         except (OSError, StoreError) as error:
@@ -190,12 +190,12 @@
         self.close()
         self._fd, self._salt, self._sequence = fd, salt, len(records)
         self.size = self._rewritten = size
-        self.broken = False
+        self.failed = False
 
     @property
-    def wants_rewrite(self) -> bool:
+    def needs_compaction(self) -> bool:
         """The file is long beside what the last rewrite left."""
-        return self.size > max(REWRITE_FLOOR, REWRITE_FACTOR * self._rewritten)
+        return self.size > max(COMPACTION_MIN_BYTES, COMPACTION_GROWTH_FACTOR * self._rewritten)
 
     def close(self) -> None:
         """Close the descriptor; appends are refused from then on."""
@@ -213,10 +213,10 @@
     def _replay(self, data: bytes) -> tuple[list[Any], int]:
         """The values of all whole batches and where the last of these ends."""
         if len(data) < _HEADER_SIZE:
-            raise StoreDamagedError("the header is cut short")
+            raise StoreCorruptedError("the header is cut short")
         magic, version, salt, synced = _HEADER.unpack_from(data)
         if data[:_HEADER_SIZE] != _header(salt, synced) or magic != _MAGIC or version != _FORMAT:
-            raise StoreDamagedError("the header is not one of this format")
+            raise StoreCorruptedError("the header is not one of this format")
         values: list[Any] = []
         batch: list[Any] = []
         at = end = _HEADER_SIZE
@@ -233,8 +233,10 @@
         if at < len(data):
             for number, index in _valid_after(data, at, salt):
                 if number - index > sequence:
-                    raise StoreDamagedError(f"record {sequence} at byte {at} is bad, record {number} is not")
+                    raise StoreCorruptedError(
+                        f"record {sequence} at byte {at} is bad, record {number} is not"
+                    )
         if end < synced:
-            raise StoreDamagedError(f"record {sequence} at byte {at} is bad and had been synced")
+            raise StoreCorruptedError(f"record {sequence} at byte {at} is bad and had been synced")
         self._salt, self._sequence, self._rewritten = salt, sequence - len(batch), synced
         return values, end
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -12,11 +12,11 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from plumline.errors import StoreDamagedError, StoreError, StoreFullError
-from plumline.store import records as records_module
-from plumline.store import writer as writer_module
-from plumline.store.records import RecordFile
-from plumline.store.writer import DurableWriter, ImmediateWriter, MemoryWriter
+from plumline.errors import StoreCorruptedError, StoreError, StoreFullError
+from plumline.store import log_writers as writers_module
+from plumline.store import write_ahead_log as log_module
+from plumline.store.log_writers import GroupCommitWriter, SynchronousWriter, VolatileWriter
+from plumline.store.write_ahead_log import WriteAheadLog
 
 BATCHES: list[list[Any]] = [[["a", 1], {"k": [1.5, None]}], ["x" * 300], [b"\x00" * 50, "y", 7]]
 FLAT = [record for batch in BATCHES for record in batch]
@@ -24,7 +24,7 @@
 
 def written(folder: Path) -> tuple[Path, list[int]]:
     """A file with BATCHES appended: its path and the size before and after each batch."""
-    file = RecordFile(folder)
+    file = WriteAheadLog(folder)
     assert file.open() == []
     sizes = [file.size]
     for batch in BATCHES:
@@ -37,7 +37,7 @@
 
 
 def reopened(folder: Path) -> list[Any]:
-    file = RecordFile(folder)
+    file = WriteAheadLog(folder)
     try:
         return file.open()
     finally:
@@ -46,7 +46,7 @@
 
 def test_replay_and_going_on(tmp_path: Path) -> None:
     written(tmp_path)
-    file = RecordFile(tmp_path)
+    file = WriteAheadLog(tmp_path)
     assert file.open() == FLAT
     file.append(["more"])
     file.append([])
@@ -61,7 +61,7 @@
         path.write_bytes(data[:cut])
         whole = sum(size <= cut for size in sizes[1:])
         left = [record for batch in BATCHES[:whole] for record in batch]
-        file = RecordFile(tmp_path)
+        file = WriteAheadLog(tmp_path)
         assert file.open() == left, cut
         file.append(["after"])
         file.close()
@@ -85,21 +85,21 @@
         bad = bytearray(data)
         bad[at] ^= 0x01
         path.write_bytes(bad)
-        with pytest.raises(StoreDamagedError):
+        with pytest.raises(StoreCorruptedError):
             reopened(tmp_path)
         assert path.read_bytes() == bad
 
 
 def test_damage_in_what_a_rewrite_left_is_never_a_torn_tail(tmp_path: Path) -> None:
-    file = RecordFile(tmp_path)
+    file = WriteAheadLog(tmp_path)
     file.open()
-    file.rewrite(FLAT)
+    file.compact(FLAT)
     file.close()
     path = tmp_path / "state.log"
     data = path.read_bytes()
     for bad in (data[:-1], data[:40], data[:-1] + b"\xff", b""):
         path.write_bytes(bad)
-        with pytest.raises(StoreDamagedError):
+        with pytest.raises(StoreCorruptedError):
             reopened(tmp_path)
 
 
@@ -119,9 +119,9 @@
     """Blocks that a file had before a rewrite may turn up behind the new one."""
     path, _ = written(tmp_path)
     older = path.read_bytes()
-    file = RecordFile(tmp_path)
+    file = WriteAheadLog(tmp_path)
     file.open()
-    file.rewrite(["new"])
+    file.compact(["new"])
     file.close()
     path.write_bytes(path.read_bytes() + older[-200:])
     assert reopened(tmp_path) == ["new"]
@@ -137,8 +137,8 @@
 def test_too_long_and_not_encodable_values_break_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(records_module, "MAX_RECORD", 100)
-    file = RecordFile(tmp_path)
+    monkeypatch.setattr(log_module, "MAX_RECORD_BYTES", 100)
+    file = WriteAheadLog(tmp_path)
     file.open()
     for bad in ("x" * 101, object()):
         with pytest.raises(StoreError):
@@ -149,24 +149,24 @@
 
 
 def test_wants_rewrite(tmp_path: Path) -> None:
-    file = RecordFile(tmp_path)
+    file = WriteAheadLog(tmp_path)
     file.open()
     block = "x" * 300_000
     file.append([block] * 3)
-    assert not file.wants_rewrite
+    assert not file.needs_compaction
     file.append([block])
-    assert file.wants_rewrite
-    file.rewrite([block])
-    assert not file.wants_rewrite
+    assert file.needs_compaction
+    file.compact([block])
+    assert not file.needs_compaction
     file.append([block] * 2)
-    assert not file.wants_rewrite
+    assert not file.needs_compaction
     file.append([block] * 2)
-    assert file.wants_rewrite
+    assert file.needs_compaction
     file.close()
 
 
 class Disk:
-    """Takes the place of the os calls in plumline.store.records; each may be made to fail."""
+    """Takes the place of the os calls in plumline.store.write_ahead_log; each may be made to fail."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.fail: dict[str, int] = {}
@@ -176,7 +176,7 @@
         self.go.set()
         self.calls: list[str] = []
         for name in ("write", "fdatasync", "fsync", "rename"):
-            monkeypatch.setattr(records_module.os, name, self._wrapped(name, getattr(os, name)))
+            monkeypatch.setattr(log_module.os, name, self._wrapped(name, getattr(os, name)))
 
     def _wrapped(self, name: str, real: Callable[..., Any]) -> Callable[..., Any]:
         def call(*args: Any) -> Any:  # noqa: ANN401
@@ -211,7 +211,7 @@
 def test_after_a_failure_only_a_rewrite_helps(
     tmp_path: Path, disk: Disk, call: str, number: int, kind: type[StoreError]
 ) -> None:
-    file = RecordFile(tmp_path)
+    file = WriteAheadLog(tmp_path)
     file.open()
     file.append(["kept"])
     disk.short = call == "short"
@@ -226,11 +226,11 @@
         file.append(["again"])
     disk.fail["fsync"] = errno.EIO
     with pytest.raises(StoreError):
-        file.rewrite(["no"])
+        file.compact(["no"])
     disk.fail.clear()
     with pytest.raises(StoreError):
         file.append(["again"])
-    file.rewrite(["kept", "healed"])
+    file.compact(["kept", "healed"])
     file.append(["again"])
     file.close()
     assert reopened(tmp_path) == ["kept", "healed", "again"]
@@ -239,11 +239,11 @@
 @pytest.mark.parametrize("call", ["write", "fsync", "rename"])
 def test_a_rewrite_that_fails_leaves_the_old_contents(tmp_path: Path, disk: Disk, call: str) -> None:
     written(tmp_path)
-    file = RecordFile(tmp_path)
+    file = WriteAheadLog(tmp_path)
     file.open()
     disk.fail[call] = errno.EIO
     with pytest.raises(StoreError):
-        file.rewrite(["new"])
+        file.compact(["new"])
     disk.fail.clear()
     file.close()
     assert reopened(tmp_path) == FLAT
@@ -258,7 +258,7 @@
         self.durable: dict[int, bytes] = {}  # by inode; what the last good sync covered
         self.lost: set[int] = set()  # inodes of which a sync failed
         for name in ("fdatasync", "fsync"):
-            monkeypatch.setattr(records_module.os, name, self._sync)
+            monkeypatch.setattr(log_module.os, name, self._sync)
 
     def _sync(self, descriptor: int) -> None:
         inode = os.fstat(descriptor).st_ino
@@ -277,7 +277,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     cache = PageCache(monkeypatch)
-    file = RecordFile(tmp_path)
+    file = WriteAheadLog(tmp_path)
     file.open()
     file.append(["kept"])
     cache.failing = True
@@ -297,7 +297,7 @@
 ) -> None:
     written(tmp_path)
     disk.fail[call] = errno.ENOSPC
-    file = RecordFile(tmp_path)
+    file = WriteAheadLog(tmp_path)
     assert file.open() == FLAT
     disk.fail.clear()
     file.append(["more"])
@@ -306,7 +306,7 @@
 
 
 def test_a_batch_is_one_write_and_one_sync(tmp_path: Path, disk: Disk) -> None:
-    file = RecordFile(tmp_path)
+    file = WriteAheadLog(tmp_path)
     file.open()
     disk.calls.clear()
     file.append(FLAT)
@@ -344,11 +344,11 @@
         await asyncio.wait_for(event.wait(), 10)
 
 
-async def start(folder: Path) -> tuple[Owner, RecordFile]:
-    file = RecordFile(folder)
+async def start(folder: Path) -> tuple[Owner, WriteAheadLog]:
+    file = WriteAheadLog(folder)
     file.open()
     owner = Owner()
-    owner.writer = DurableWriter(file, asyncio.get_running_loop(), owner.image)
+    owner.writer = GroupCommitWriter(file, asyncio.get_running_loop(), owner.image)
     return owner, file
 
 
@@ -356,7 +356,7 @@
     async def main() -> None:
         owner, _ = await start(tmp_path)
         loop = asyncio.get_running_loop()
-        assert owner.writer.oldest_pending(loop.time()) == 0.0
+        assert owner.writer.oldest_pending_age_s(loop.time()) == 0.0
         disk.go.clear()
         owner.put(0)
         assert await asyncio.to_thread(disk.stalled.wait, 10)
@@ -364,12 +364,12 @@
         for value in range(1, 50):
             owner.put(value)
         assert owner.done == []
-        assert owner.writer.oldest_pending(loop.time() + 5.0) >= 5.0
+        assert owner.writer.oldest_pending_age_s(loop.time() + 5.0) >= 5.0
         disk.go.set()
         await owner.until(50)
         assert owner.done == list(range(50))
         assert disk.calls.count("fdatasync") == 2  # the stalled one, then all others in one batch
-        assert owner.writer.oldest_pending(loop.time() + 5.0) == 0.0
+        assert owner.writer.oldest_pending_age_s(loop.time() + 5.0) == 0.0
         owner.writer.close()
 
     asyncio.run(main())
@@ -381,20 +381,20 @@
     async def main() -> None:
         owner, _ = await start(tmp_path)
         at_sync: list[list[Any]] = []
-        real = records_module.os.fdatasync
+        real = log_module.os.fdatasync
 
         def sync(fd: int) -> None:
             at_sync.append(list(owner.done))
             real(fd)
 
-        records_module.os.fdatasync = sync
+        log_module.os.fdatasync = sync
         try:
             owner.put("one")
             await owner.until(1)
             owner.put("two")
             await owner.until(2)
         finally:
-            records_module.os.fdatasync = real
+            log_module.os.fdatasync = real
         assert at_sync == [[], ["one"]]
         owner.writer.close()
 
@@ -404,7 +404,7 @@
 def test_a_broken_disk_heals_by_a_rewrite(
     tmp_path: Path, disk: Disk, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(writer_module, "RETRY_S", 0.01)
+    monkeypatch.setattr(writers_module, "RETRY_INTERVAL_S", 0.01)
 
     async def main() -> None:
         owner, file = await start(tmp_path)
@@ -428,14 +428,14 @@
         owner.put("queued")
         await asyncio.wait_for(tried.wait(), 10)
         assert owner.done == ["before"]
-        assert isinstance(owner.writer.broken, StoreFullError)
+        assert isinstance(owner.writer.failure, StoreFullError)
         disk.fail = {}
         await owner.until(4)
-        assert owner.writer.broken is None
+        assert owner.writer.failure is None
         owner.put("after")
         await owner.until(5)
         assert owner.done == ["before", "failed", "queued", "during", "after"]
-        assert not file.broken
+        assert not file.failed
         owner.writer.close()
 
     asyncio.run(main())
@@ -443,7 +443,7 @@
 
 
 def test_compaction(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(records_module, "REWRITE_FLOOR", 2000)
+    monkeypatch.setattr(log_module, "COMPACTION_MIN_BYTES", 2000)
 
     async def main() -> None:
         owner, file = await start(tmp_path)
@@ -476,7 +476,7 @@
 def test_close_does_not_wait_for_a_stalled_disk(
     tmp_path: Path, disk: Disk, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(writer_module, "CLOSE_S", 0.01)
+    monkeypatch.setattr(writers_module, "CLOSE_TIMEOUT_S", 0.01)
 
     async def main() -> None:
         owner, _ = await start(tmp_path)
@@ -507,28 +507,28 @@
 
 
 def test_immediate_writer(tmp_path: Path, disk: Disk) -> None:
-    file = RecordFile(tmp_path)
+    file = WriteAheadLog(tmp_path)
     file.open()
     owner = Owner()
-    owner.writer = ImmediateWriter(file, owner.image, lambda: 5.0)
+    owner.writer = SynchronousWriter(file, owner.image, lambda: 5.0)
     owner.put("one")
     assert owner.done == ["one"]
     disk.fail = {"fdatasync": errno.EIO, "fsync": errno.EIO}
     owner.put("two")
     owner.put("three")
     assert owner.done == ["one"]
-    assert isinstance(owner.writer.broken, StoreError)
-    assert owner.writer.oldest_pending(7.0) == 2.0
+    assert isinstance(owner.writer.failure, StoreError)
+    assert owner.writer.oldest_pending_age_s(7.0) == 2.0
     disk.fail = {}
     owner.writer.retry()
     assert owner.done == ["one", "two", "three"]
-    assert owner.writer.broken is None
+    assert owner.writer.failure is None
     owner.writer.close()
     assert reopened(tmp_path) == ["one", "two", "three"]
 
 
 def test_memory_writer_calls_in_order_also_from_within() -> None:
-    writer = MemoryWriter()
+    writer = VolatileWriter()
     heard: list[str] = []
 
     def first() -> None:
@@ -537,4 +537,4 @@
 
     writer.submit([], first)
     assert heard == ["first", "second"]
-    assert writer.oldest_pending(1.0) == 0.0
+    assert writer.oldest_pending_age_s(1.0) == 0.0
