--- a/plumline/coordination/chain.py
+++ b/plumline/coordination/chain.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from plumline.coordination.confirmation import Confirmations
-from plumline.coordination.effects import Effects, Member, Message, Record
+from plumline.coordination.environment import Environment, Member, Message, Record
 from plumline.coordination.log import Entry, Log
 from plumline.coordination.transfer import (
     Patience,
@@ -48,7 +48,7 @@
         self,
         me: Member,
         copies: int,
-        effects: Effects,
+        effects: Environment,
         empty: Any,  # noqa: ANN401
         load: Callable[[Any], Any],
         applied: Callable[[int, list[Any] | None], None],
--- a/plumline/coordination/confirmation.py
+++ b/plumline/coordination/confirmation.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from plumline.coordination.effects import Effects
+from plumline.coordination.environment import Environment
 from plumline.coordination.view import View
 
 MOST_OPEN = 64  # questions that wait for their answers; the oldest is answered with no beyond that
@@ -22,7 +22,7 @@
 class Confirmations:
     """`answer(True)` once a majority of acceptors has said that it knows no newer view."""
 
-    def __init__(self, effects: Effects) -> None:
+    def __init__(self, effects: Environment) -> None:
         self.effects = effects
         self.open: dict[int, Question] = {}  # by nonce
         self.nonce = secrets.randbits(48)  # what was sent to an earlier life answers nothing in this one
--- a/plumline/coordination/contacts.py
+++ b/plumline/coordination/contacts.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from plumline.coordination.effects import Effects, Member, Message
+from plumline.coordination.environment import Environment, Member, Message
 
 PING_EVERY = 0.15  # s
 SUSPECT_AFTER = 0.8  # s without an echo; a bound on pauses of a busy machine, well under any AcknowledgeMs
@@ -30,8 +30,8 @@
 
 
 class Contacts:
-    def __init__(self, me: Member, effects: Effects) -> None:
-        self.me, self.effects = me, effects
+    def __init__(self, me: Member, environment: Environment) -> None:
+        self.me, self.environment = me, environment
         self.peers: dict[str, Peer] = {}
         self.sent: dict[int, float] = {}
         self.nonce = secrets.randbits(48)  # an echo to an earlier life is none
@@ -56,7 +56,7 @@
         self.sent[self.nonce] = now
         self.sent.pop(self.nonce - 200, None)
         for address in self.peers:
-            self.effects.send(address, ["ping", self.nonce, *told])
+            self.environment.send(address, ["ping", self.nonce, *told])
 
     def on_message(self, now: float, sender: str, message: Message) -> bool:
         match message:
@@ -67,7 +67,7 @@
                         peer.well_since = now
                     peer.incarnation, peer.sick = incarnation, sick
                     _, _, _, peer.view, peer.synced, _, peer.leaving, peer.present = message
-                    self.effects.send(sender, ["pong", nonce])
+                    self.environment.send(sender, ["pong", nonce])
             case ["pong", int(nonce)]:
                 peer, at = self.peers.get(sender), self.sent.get(nonce)
                 if peer is not None and at is not None:
--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -10,7 +10,7 @@
 from plumline.coordination.ballot import Ballots, Persist, Send, Terms
 from plumline.coordination.chain import Chain
 from plumline.coordination.contacts import SUSPECT_AFTER, Contacts
-from plumline.coordination.effects import Effects, Member, Message, Record
+from plumline.coordination.environment import Environment, Member, Message, Record
 from plumline.coordination.formation import Formation
 from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.view import View, Views
@@ -25,7 +25,7 @@
         seeds: list[str],
         copies: int,
         first_start: bool,
-        effects: Effects,
+        environment: Environment,
         empty: Any,  # noqa: ANN401
         load: Callable[[Any], Any],
         leases: dict[str, Terms],
@@ -35,13 +35,13 @@
         changed: Callable[[View], None],
         known_elsewhere: Callable[[], bool],
     ) -> None:
-        self.me, self.seeds, self.effects, self.now = me, seeds, effects, now
+        self.me, self.seeds, self.environment, self.now = me, seeds, environment, now
         self.changed, self.leases = changed, tuple(leases)
-        self.views = Views(me, effects, self.installed)
-        self.chain = Chain(me, copies, effects, empty, load, applied)
-        self.contacts = Contacts(me, effects)
+        self.views = Views(me, environment, self.installed)
+        self.chain = Chain(me, copies, environment, empty, load, applied)
+        self.contacts = Contacts(me, environment)
         self.keeper = Keeper(me, self.views, self.contacts, chance, copies)
-        self.formation = Formation(me, seeds, first_start, effects, self.views, known_elsewhere)
+        self.formation = Formation(me, seeds, first_start, environment, self.views, known_elsewhere)
         self.ballots = Ballots(me[0], leases, now, chance)
         self.sick = False
 
@@ -114,7 +114,7 @@
         if message[0] == "view-check":
             _, nonce, number = message
             if self.views.is_present(number) and self.views.may_accept():
-                self.effects.send(sender, ["view-checked", nonce, number])
+                self.environment.send(sender, ["view-checked", nonce, number])
             return True
         if self.views.on_message(sender, message):
             self.suspend_grants()
@@ -137,14 +137,14 @@
     def flush_ballots(self) -> None:
         for action in self.ballots.take_actions():
             if isinstance(action, Send):
-                self.effects.send(action.to, ["ballot", *action.message])
+                self.environment.send(action.to, ["ballot", *action.message])
             else:
-                self.effects.persist(action.record, lambda action=action: self.ballot_synced(action))
+                self.environment.persist(action.record, lambda action=action: self.ballot_synced(action))
 
     def ballot_synced(self, action: Persist) -> None:
         self.ballots.on_synced(action.record)
         for to, message in action.send_after:
-            self.effects.send(to, ["ballot", *message])
+            self.environment.send(to, ["ballot", *message])
 
     def wish(self, now: float, lease: str, wanted: bool) -> None:
         """Whether this registrar stands for the lease; unset, it is given back."""
--- a/plumline/coordination/formation.py
+++ b/plumline/coordination/formation.py
@@ -9,7 +9,7 @@
 import secrets
 from collections.abc import Callable
 
-from plumline.coordination.effects import Effects, Member, Message
+from plumline.coordination.environment import Environment, Member, Message
 from plumline.coordination.view import View, Views
 
 ASK_EVERY = 0.1  # s between questions at the first start
@@ -24,13 +24,13 @@
         me: Member,
         seeds: list[str],
         first_start: bool,
-        effects: Effects,
+        environment: Environment,
         views: Views,
         known_elsewhere: Callable[[], bool],
     ) -> None:
         """`known_elsewhere`: whether a router told of a configuration that this core should know."""
         self.me, self.seeds, self.first_start = me, sorted(seeds), first_start
-        self.effects, self.views, self.known_elsewhere = effects, views, known_elsewhere
+        self.environment, self.views, self.known_elsewhere = environment, views, known_elsewhere
         self.question = ""
         self.asked_at = -ASK_EVERY
         self.told: dict[str, str] = {}  # address of a seed -> its incarnation
@@ -49,13 +49,13 @@
         elif self.empty_since is None:
             self.empty_since = now
         if self.may_found(now):
-            members = tuple((each, self.told[each]) for each in self.seeds)
+            members = tuple(Member(each, self.told[each]) for each in self.seeds)
             view = View(1, members, members)
             for each in self.seeds:
-                self.effects.send(each, ["found-view", self.question, view.to_wire()])
+                self.environment.send(each, ["found-view", self.question, view.to_wire()])
         self.question, self.told, self.asked_at = secrets.token_hex(8), {}, now
         for each in self.seeds:
-            self.effects.send(each, ["found-ask", self.question])
+            self.environment.send(each, ["found-ask", self.question])
 
     def may_found(self, now: float) -> bool:
         if self.empty_since is None or self.known_elsewhere():
@@ -66,12 +66,12 @@
         match message:
             case ["found-ask", str(question)]:
                 if self.views.view is not None:
-                    self.effects.send(sender, ["view-decided", self.views.view.to_wire()])
+                    self.environment.send(sender, ["view-decided", self.views.view.to_wire()])
                 elif not self.views.knows_any() and question not in self.left:
                     if self.answered and self.answered != (sender, question):
                         self.left.add(self.answered[1])
                     self.answered = sender, question
-                    self.effects.send(sender, ["found-tell", question, self.me[1]])
+                    self.environment.send(sender, ["found-tell", question, self.me[1]])
             case ["found-tell", str(question), str(incarnation)]:
                 if question == self.question:
                     self.told[sender] = incarnation
--- a/plumline/coordination/keeper.py
+++ b/plumline/coordination/keeper.py
@@ -9,7 +9,7 @@
 from enum import StrEnum
 
 from plumline.coordination.contacts import SUSPECT_AFTER, Contacts
-from plumline.coordination.effects import Member
+from plumline.coordination.environment import Member
 from plumline.coordination.view import View, Views
 
 STAGGER = 0.12  # s between the registrars that could propose the same
@@ -121,7 +121,7 @@
 
     def learner(self, now: float, view: View, chain: tuple[Member, ...], synced: int) -> Member | None:
         for address, peer in sorted(self.contacts.peers.items()):
-            member = address, peer.incarnation
+            member = Member(address, peer.incarnation)
             fit = not (peer.sick or peer.leaving) and self.contacts.steady(now, address)
             if not fit or any(address == each for each, _ in chain) or not peer.incarnation:
                 continue
--- a/plumline/coordination/view.py
+++ b/plumline/coordination/view.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumline.coordination.effects import Effects, Member, Message, Record
+from plumline.coordination.environment import Environment, Member, Message, Record
 
 PROPOSAL_PATIENCE = 0.5  # s without a result after which a proposal counts as lost and may be made anew
 Ballot = tuple[int, str]  # round, address of the proposer
@@ -32,9 +32,7 @@
     @staticmethod
     def from_wire(wire: list[Any]) -> "View":
         number, acceptors, chain = wire
-        return View(
-            number, tuple((str(a), str(i)) for a, i in acceptors), tuple((str(a), str(i)) for a, i in chain)
-        )
+        return View(number, _members_from_wire(acceptors), _members_from_wire(chain))
 
     def majority(self) -> int:
         return len(self.acceptors) // 2 + 1
@@ -43,6 +41,10 @@
         return self.chain.index(member) if member in self.chain else None
 
 
+def _members_from_wire(wire: list[Any]) -> tuple[Member, ...]:
+    return tuple(Member(str(address), str(incarnation)) for address, incarnation in wire)
+
+
 @dataclass(slots=True)
 class Proposal:
     view: View
@@ -62,8 +64,8 @@
     """Acceptor, proposer and learner of views. `installed` is called with each newly decided view, once it is
     on the disk."""
 
-    def __init__(self, me: Member, effects: Effects, installed: Callable[[View], None]) -> None:
-        self.me, self.effects, self.installed = me, effects, installed
+    def __init__(self, me: Member, environment: Environment, installed: Callable[[View], None]) -> None:
+        self.me, self.environment, self.installed = me, environment, installed
         self.name = f"{me[0]}/{secrets.token_hex(4)}"  # of ballots: no two lives share one
         self.view: View | None = None
         self.promised: Ballot = NO_BALLOT  # for the instance after `view`
@@ -124,7 +126,7 @@
         self.proposal = Proposal(view, (self.highest_round, self.name), now)
         self.retry_at = now + PROPOSAL_PATIENCE * chance.uniform(0.6, 1.4)
         for address, _ in self.view.acceptors:
-            self.effects.send(address, ["view-prepare", view.number, list(self.proposal.ballot)])
+            self.environment.send(address, ["view-prepare", view.number, list(self.proposal.ballot)])
 
     def on_promise(self, sender: str, instance: int, ballot: Ballot, accepted: Any) -> None:  # noqa: ANN401
         proposal = self.proposal
@@ -137,8 +139,9 @@
             return
         found = [each for each in proposal.promises.values() if each is not None]
         proposal.accepting = max(found, key=lambda each: each[0])[1] if found else proposal.view
+        request = ["view-accept", instance, list(ballot), proposal.accepting.to_wire()]
         for address, _ in self.view.acceptors:
-            self.effects.send(address, ["view-accept", instance, list(ballot), proposal.accepting.to_wire()])
+            self.environment.send(address, request)
 
     def on_accepted(self, sender: str, instance: int, ballot: Ballot) -> None:
         proposal = self.proposal
@@ -152,7 +155,7 @@
             decided = ["view-decided", proposal.accepting.to_wire()]
             self.proposal = None
             for address in sorted(everyone):
-                self.effects.send(address, decided)
+                self.environment.send(address, decided)
 
     # Accepting.
 
@@ -164,11 +167,13 @@
         if not self.may_accept():
             return
         if ballot <= self.promised:
-            self.effects.send(sender, ["view-refused", instance, list(self.promised)])
+            self.environment.send(sender, ["view-refused", instance, list(self.promised)])
             return
         self.promised = ballot
         reply = ["view-promise", instance, list(ballot), self.told_accepted()]
-        self.effects.persist(["promise", instance, list(ballot)], lambda: self.effects.send(sender, reply))
+        self.environment.persist(
+            ["promise", instance, list(ballot)], lambda: self.environment.send(sender, reply)
+        )
 
     def told_accepted(self) -> list[Any] | None:
         return [list(self.accepted[0]), self.accepted[1].to_wire()] if self.accepted else None
@@ -180,20 +185,20 @@
         if not self.may_accept():
             return
         if ballot < self.promised:
-            self.effects.send(sender, ["view-refused", instance, list(self.promised)])
+            self.environment.send(sender, ["view-refused", instance, list(self.promised)])
             return
         self.promised, self.accepted = ballot, (ballot, view)
-        self.effects.persist(
+        self.environment.persist(
             ["accept", instance, list(ballot), view.to_wire()],
-            lambda: self.effects.send(sender, ["view-accepted", instance, list(ballot)]),
+            lambda: self.environment.send(sender, ["view-accepted", instance, list(ballot)]),
         )
 
     def out_of_step(self, sender: str, instance: int) -> None:
         """One of the two lacks a view."""
         if self.view is not None and instance <= self.view.number:
-            self.effects.send(sender, ["view-decided", self.view.to_wire()])
+            self.environment.send(sender, ["view-decided", self.view.to_wire()])
         else:
-            self.effects.send(sender, ["view-ask"])
+            self.environment.send(sender, ["view-ask"])
 
     # Learning.
 
@@ -210,12 +215,12 @@
                 self.set_view(view)
                 self.installed(view)
 
-        self.effects.persist(["view", view.to_wire()], done)
+        self.environment.persist(["view", view.to_wire()], done)
 
     def heard_number(self, sender: str, number: int) -> None:
         """A peer told the number of its view: whoever has the older one asks."""
         if number > (self.view.number if self.view else 0):
-            self.effects.send(sender, ["view-ask"])
+            self.environment.send(sender, ["view-ask"])
 
     def is_present(self, number: int) -> bool:
         """Whether this acceptor knows of nothing that may follow view `number`."""
@@ -238,7 +243,7 @@
                 self.on_decided(View.from_wire(wire))
             case ["view-ask"]:
                 if self.view is not None:
-                    self.effects.send(sender, ["view-decided", self.view.to_wire()])
+                    self.environment.send(sender, ["view-decided", self.view.to_wire()])
             case _:
                 return False
         return True
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -12,7 +12,7 @@
 from plumline.configuration.state import State
 from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Member, Message, Record
+from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.topics import Topics
 from plumline.coordination.view import View
 from plumline.counters import Counters
@@ -45,7 +45,7 @@
 
 
 class Registrar:
-    """Effects of the core are this object's `send` and `persist`."""
+    """The environment of the core is this object, by its `send` and `persist`."""
 
     def __init__(self, settings: Settings, settings_file: SettingsFile | None = None) -> None:
         self.settings, self.settings_file = settings, settings_file or SettingsFile(None)
@@ -57,7 +57,7 @@
         self.known = asyncio.Event()  # the incarnation is on the disk, and so may be told
         records, incarnation = self.open_store()
         self.mesh = self._make_mesh()
-        self.core = self._make_core((self.address, incarnation))
+        self.core = self._make_core(Member(self.address, incarnation))
         self.feed = Feed(
             self.core.chain,
             self.topics,
@@ -101,7 +101,7 @@
             seeds=settings.seeds,
             copies=settings.machine_losses + 1,
             first_start=settings.first_start,
-            effects=self,
+            environment=self,
             empty=State(),
             load=State.from_wire,
             leases={
@@ -155,7 +155,7 @@
         """All records that a rewritten file holds."""
         return [["incarnation", self.incarnation], *self.core.records()]
 
-    # Effects.
+    # The environment of the core.
 
     def send(self, to: str, message: Message) -> None:
         """Sends to a registrar by address; the core's effect."""
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -15,7 +15,7 @@
 from plumline.configuration.document import check
 from plumline.configuration.state import State, models
 from plumline.coordination import chain as chain_module
-from plumline.coordination.effects import Message
+from plumline.coordination.environment import Message
 from plumline.errors import ConfigurationInvalidError, PlumlineError, VersionConflictError
 from plumline.registrar.relay import Relay
 from tests import core_world
@@ -175,7 +175,7 @@
     def start_core(self, node: Node) -> None:
         super().start_core(node)
         assert node.core is not None
-        self.relays[node.name] = self.relay_class(node.core, node.core.effects.send)
+        self.relays[node.name] = self.relay_class(node.core, node.core.environment.send)
         self.tick_relay(node, node.life)
 
     def freeze(self, node: Node, seconds: float) -> None:
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -6,7 +6,7 @@
 from plumline.coordination.ballot import Ballots
 from plumline.coordination.chain import Chain
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Member, Message, Record
+from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.view import View, Views
 
--- a/tests/core_register.py
+++ b/tests/core_register.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from plumline.coordination.effects import Message, Record
+from plumline.coordination.environment import Message, Record
 from plumline.errors import VersionConflictError
 
 
@@ -41,7 +41,7 @@
         return Register(tuple(wire))
 
 
-class NoEffects:
+class NullEnvironment:
     def send(self, to: str, message: Message) -> None:
         raise AssertionError(f"sends {message} to {to}")
 
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from plumline.coordination.ballot import Terms
-from plumline.coordination.effects import Message
+from plumline.coordination.environment import Message
 from plumline.errors import PlumlineError
 from tests.core_leases import Holder, LeaseObserver
 from tests.core_register import Register, ViolationError
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -15,10 +15,10 @@
 from plumline.coordination import chain as chain_module
 from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Member, Message, Record
+from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.view import View
 from plumline.errors import PlumlineError, VersionConflictError
-from tests.core_register import NoEffects, Register, ViolationError
+from tests.core_register import NullEnvironment, Register, ViolationError
 
 TICK_S = 0.05
 KEPT = 4  # entries that explored chains keep, so that whole states are sent too
@@ -47,10 +47,10 @@
 
     @property
     def me(self) -> Member:
-        return self.name, f"{self.name}-{self.incarnations}"
+        return Member(self.name, f"{self.name}-{self.incarnations}")
 
 
-class NodeEffects:
+class NodeEnvironment:
     """What one life of a core sends and writes."""
 
     def __init__(self, world: "World", node: Node) -> None:
@@ -162,7 +162,7 @@
         node.incarnations += 1
         if not self.identity_first:
             self.start_core(node)
-            node.core.effects.persist(["incarnation", node.me[1]], nothing)
+            node.core.environment.persist(["incarnation", node.me[1]], nothing)
             return
         node.starting = True
         life = node.life
@@ -184,7 +184,7 @@
             self.seeds,
             self.copies,
             self.first_start,
-            NodeEffects(self, node),
+            NodeEnvironment(self, node),
             Register(),
             Register.load,
             self.leases,
@@ -444,7 +444,7 @@
 def on_disk(node: Node) -> tuple[str, ...]:
     """What a core that starts from this disk would hold, committed or not."""
     found = chain_module.Chain(
-        node.me, 1, NoEffects(), Register(), Register.load, lambda number, change: None
+        node.me, 1, NullEnvironment(), Register(), Register.load, lambda number, change: None
     )
     for record in node.disk:
         if record[0] in ("base", "entry", "drop", "caught-up"):
--- a/tests/test_chain.py
+++ b/tests/test_chain.py
@@ -10,7 +10,7 @@
 from plumline.coordination.transfer import Piece, Snapshot
 from plumline.coordination.view import View
 from plumline.errors import UnavailableError, VersionConflictError
-from tests.core_world import NoEffects, Register, World, on_disk, short_logs
+from tests.core_world import NullEnvironment, Register, World, on_disk, short_logs
 
 
 def formed(seed: int = 1, size: int = 3) -> World:
@@ -258,7 +258,7 @@
     for number in range(6):
         world.put(number)
     chain = world.nodes["b"].core.chain
-    again = Chain(chain.me, 2, NoEffects(), Register(), Register.load, lambda number, change: None)
+    again = Chain(chain.me, 2, NullEnvironment(), Register(), Register.load, lambda number, change: None)
     for record in chain.records():
         again.restore(record)
     assert (again.state, again.newest, again.last, again.synced) == (
--- a/tests/test_core_explorer.py
+++ b/tests/test_core_explorer.py
@@ -12,7 +12,7 @@
 
 from plumline.coordination.chain import Chain
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Member
+from plumline.coordination.environment import Member
 from plumline.coordination.formation import ASK_EVERY, Formation
 from plumline.coordination.view import Ballot, View, Views
 from tests.core_register import ViolationError
@@ -103,12 +103,14 @@
         if self.views.knows_any() or now < self.asked_at + ASK_EVERY or self.me[0] not in self.seeds[:2]:
             return
         if 2 * len(self.told) > len(self.seeds):
-            members: tuple[Member, ...] = tuple(sorted(self.told.items()))
+            members: tuple[Member, ...] = tuple(Member(*each) for each in sorted(self.told.items()))
             for each in self.seeds:
-                self.effects.send(each, ["found-view", self.question, View(1, members, members).to_wire()])
+                self.environment.send(
+                    each, ["found-view", self.question, View(1, members, members).to_wire()]
+                )
         self.question, self.told, self.asked_at = secrets.token_hex(8), {}, now
         for each in self.seeds:
-            self.effects.send(each, ["found-ask", self.question])
+            self.environment.send(each, ["found-ask", self.question])
 
 
 def exchange(part: str, kind: type) -> Callable[[Core], None]:
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -138,7 +138,7 @@
     views = world.nodes["a"].core.views
     world.deliver("b", "a", ["view-accept", 2, [3, "b"], without(world.newest, "c").to_wire()])
     world.go(0.01)
-    again = Views(views.me, views.effects, lambda view: None)
+    again = Views(views.me, views.environment, lambda view: None)
     for record in views.records():
         again.restore(record)
     assert (again.view, again.promised, again.accepted) == (views.view, views.promised, views.accepted)
--- a/tests/test_view_explorer.py
+++ b/tests/test_view_explorer.py
@@ -7,17 +7,17 @@
 
 import pytest
 
-from plumline.coordination.effects import Member, Message, Record
+from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.view import PROPOSAL_PATIENCE, View, Views
 from tests.core_mutations import ForgetsAccepted, ForgetsPromises
 from tests.core_register import ViolationError
 
-MEMBERS: tuple[Member, ...] = (("a", "a-1"), ("b", "b-1"), ("c", "c-1"))
+MEMBERS: tuple[Member, ...] = (Member("a", "a-1"), Member("b", "b-1"), Member("c", "c-1"))
 SYNC_S = 0.02
 
 
 class Machine:
-    """An acceptor and proposer with its disk. Effects of its views are its `send` and `persist`."""
+    """An acceptor and proposer with its disk. It is the environment of its views."""
 
     def __init__(self, world: "ViewSchedule", me: Member) -> None:
         self.world, self.me, self.life = world, me, 0
