--- a/plumline/coordination/__init__.py
+++ b/plumline/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Agreement between processes as pure state machines: views, chain, ballots, ring, retry budget."""
+"""Agreement between processes as pure state machines: views, chain, leader leases, ring, retry budget."""
--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumline.coordination.ballot import Ballots, Persist, Send, Terms
 from plumline.coordination.chain import Chain
 from plumline.coordination.contacts import SUSPECT_AFTER, Contacts
 from plumline.coordination.effects import Effects, Member, Message, Record
 from plumline.coordination.formation import Formation
 from plumline.coordination.keeper import Duty, Keeper
+from plumline.coordination.lease import LeaseDurations, LeaseElection, Persist, Send
 from plumline.coordination.view import View, Views
 
 
@@ -28,7 +28,7 @@
         effects: Effects,
         empty: Any,  # noqa: ANN401
         load: Callable[[Any], Any],
-        leases: dict[str, Terms],
+        leases: dict[str, LeaseDurations],
         now: float,
         chance: random.Random,
         applied: Callable[[int, list[Any] | None], None],
@@ -42,7 +42,7 @@
         self.contacts = Contacts(me, effects)
         self.keeper = Keeper(me, self.views, self.contacts, chance, copies)
         self.formation = Formation(me, seeds, first_start, effects, self.views, known_elsewhere)
-        self.ballots = Ballots(me[0], leases, now, chance)
+        self.lease_election = LeaseElection(me[0], leases, now, chance)
         self.sick = False
 
     def set_seeds(self, seeds: list[str]) -> None:
@@ -54,21 +54,21 @@
 
     def restore(self, records: list[Record]) -> None:
         """From a file's records, before the first step."""
-        ballots = []
+        lease_records = []
         for record in records:
             if record[0] in ("view", "promise", "accept"):
                 self.views.restore(record)
             elif record[0] == "ballot":
-                ballots.append(record)
+                lease_records.append(record)
             else:
                 self.chain.restore(record)
-        self.ballots.restore(ballots)
+        self.lease_election.restore(lease_records)
         if self.views.view is not None:
             self.installed(self.views.view)
-            self.suspend_grants()
+            self.stop_granting_leases()
 
     def records(self) -> list[Record]:
-        return [*self.views.records(), *self.chain.records(), *self.ballots.records()]
+        return [*self.views.records(), *self.chain.records(), *self.lease_election.records()]
 
     # Steps.
 
@@ -78,7 +78,7 @@
             self.contacts.know(self.now, address)
         voters = [address for address, _ in view.acceptors] if self.me in view.acceptors else []
         formed_now = view.number == 1 and self.formation.formed
-        self.ballots.set_view(self.now, view.number, voters, formed_now=formed_now)
+        self.lease_election.set_view(self.now, view.number, voters, formed_now=formed_now)
         self.changed(view)
 
     def tick(self, now: float) -> None:
@@ -98,8 +98,8 @@
         )
         self.keeper.tick(now, self.chain.synced, self.chain.committed, self.chain.caught_up)
         self.chain.tick(now)
-        self.ballots.tick(now)
-        self.flush_ballots()
+        self.lease_election.tick(now)
+        self.perform_lease_actions()
         if view is not None:
             named = {address for address, _ in (*view.acceptors, *view.chain)} | set(self.seeds)
             self.contacts.forget(now, named)
@@ -117,49 +117,50 @@
                 self.effects.send(sender, ["view-checked", nonce, number])
             return True
         if self.views.on_message(sender, message):
-            self.suspend_grants()
+            self.stop_granting_leases()
             return True
         if self.chain.on_message(sender, message):
             return True
         if self.formation.on_message(sender, message):
             return True
         if message[0] == "ballot":
-            self.ballots.on_message(now, sender, message[1:])
-            self.flush_ballots()
+            self.lease_election.on_message(now, sender, message[1:])
+            self.perform_lease_actions()
             return True
         return False
 
-    def suspend_grants(self) -> None:
+    def stop_granting_leases(self) -> None:
         """Whoever has accepted the next view votes for no lease in the present one."""
         if self.views.view is not None and self.views.accepted is not None:
-            self.ballots.suspend_grants(self.views.view.number)
+            self.lease_election.stop_granting(self.views.view.number)
 
-    def flush_ballots(self) -> None:
-        for action in self.ballots.take_actions():
+    def perform_lease_actions(self) -> None:
+        for action in self.lease_election.take_actions():
             if isinstance(action, Send):
                 self.effects.send(action.to, ["ballot", *action.message])
             else:
-                self.effects.persist(action.record, lambda action=action: self.ballot_synced(action))
+                self.effects.persist(action.record, lambda action=action: self.lease_record_synced(action))
 
-    def ballot_synced(self, action: Persist) -> None:
-        self.ballots.on_synced(action.record)
+    def lease_record_synced(self, action: Persist) -> None:
+        self.lease_election.on_synced(action.record)
         for to, message in action.send_after:
             self.effects.send(to, ["ballot", *message])
 
-    def wish(self, now: float, lease: str, wanted: bool) -> None:
-        """Whether this registrar stands for the lease; unset, it is given back."""
-        self.ballots.wish(now, lease, wanted)
-        self.flush_ballots()
+    def campaign(self, now: float, lease: str) -> None:
+        """Makes this registrar a candidate for the lease, until it leaves."""
+        self.lease_election.campaign(now, lease)
+        self.perform_lease_actions()
 
     def leave(self, now: float) -> None:
         """Gives all leases back and tells the others to take this registrar out."""
         self.keeper.leaving = True
         for lease in self.leases:
-            self.wish(now, lease, False)
+            self.lease_election.release(now, lease)
+        self.perform_lease_actions()
 
     def remaining_duty(self, now: float) -> Duty | None:
         """What must still be handed over before this registrar may end; None: nothing."""
-        if any(self.ballots.holds(lease, now) is not None for lease in self.leases):
+        if any(self.lease_election.fencing_token(now, lease) is not None for lease in self.leases):
             return Duty.LEASE
         return self.keeper.remaining_duty(now)
 
--- a/plumline/coordination/ballot.py
+++ b/plumline/coordination/lease/election.py
@@ -1,12 +1,12 @@
 """Leases won by ballots: a pure state machine, stepped by hand, without clock, sockets or disk.
 
 A candidate asks all voters (the acceptors of the present view); a majority of grants makes it the holder
-until `lease_s` after it ASKED. A voter keeps a grant until `lease_s + rest_s` after it granted, so that the
-next holder can't begin before the rest is over. What keeps two holders apart when views change:
+until `lease_s` after it ASKED. A voter keeps a grant until `lease_s + lock_delay_s` after it granted, so
+that the next holder can't begin before the delay is over. What keeps two holders apart when views change:
 
 - A voter grants only in its own present view, and only to asks of that view.
 - View n+1 is decided by a majority of n's voters that have each taken in view n (`set_view`) before, and a
-  voter that accepts it grants nothing more in n, renewals included (`suspend_grants`). So no majority of n
+  voter that accepts it grants nothing more in n, renewals included (`stop_granting`). So no majority of n
   can be had once n+1 exists, and what n's voters granted is over by lease and rest after that.
 - A voter that has just started, become a voter or missed a view doesn't know what was promised: it abstains
   for lease and rest. A renewal by the present holder passes, as it proves that nobody else holds.
@@ -36,17 +36,17 @@
 Message = list[Any]
 
 
-class BallotMessageError(PlumlineError):
+class LeaseMessageError(PlumlineError):
     """A message that is none of this protocol; nothing of it was applied."""
 
     code, status = "ballot-message-invalid", 400
 
 
-class Terms(NamedTuple):
+class LeaseDurations(NamedTuple):
     """What a lease is lent for, in seconds: how long, and how long nobody holds it between two holders."""
 
     lease_s: float
-    rest_s: float
+    lock_delay_s: float
 
 
 class Send(NamedTuple):
@@ -90,7 +90,7 @@
 
 @dataclass(slots=True)
 class _Candidacy:
-    wish: bool = False
+    campaigning: bool = False
     term: int = 0  # asked for or held; 0: neither
     held_until: float = 0.0
     holding: bool = False
@@ -112,12 +112,12 @@
     return len(earlier & voters) < needed or needed + majority(len(earlier)) > len(earlier)
 
 
-class Ballots:
-    """One node's part, as voter and as candidate, in the ballots of every lease in `terms`."""
+class LeaseElection:
+    """One node's part, as voter and as candidate, in the ballots of every lease in `durations`."""
 
-    def __init__(self, me: str, terms: dict[str, Terms], now: float, random: Random) -> None:
-        self.me = me
-        self._terms = terms
+    def __init__(self, node: str, durations: dict[str, LeaseDurations], now: float, random: Random) -> None:
+        self.node = node
+        self._durations = durations
         self._random = random
         self._life = random.getrandbits(48)
         self._round = 0
@@ -126,8 +126,8 @@
         self._suspended_view = -1  # in which this voter grants no more
         # number, voters, when its successor was learned
         self._earlier: list[tuple[int, frozenset[str], float]] = []
-        self._votes = {name: _Vote() for name in terms}
-        self._candidacies = {name: _Candidacy() for name in terms}
+        self._votes = {name: _Vote() for name in durations}
+        self._candidacies = {name: _Candidacy() for name in durations}
         self._actions: list[Action] = []
 
     # What the owner calls
@@ -158,16 +158,18 @@
         self._earlier.append((self._view, frozenset(self._voters), now))
         # No majority of an earlier view could be had since this node learned the last one, and what they had
         # granted until then it has taken into account, or abstained for.
-        knows = self.me in self._voters and self._view == number - 1
-        for name, (lease_s, rest_s) in self._terms.items():
+        knows = self.node in self._voters and self._view == number - 1
+        for name, (lease_s, lock_delay_s) in self._durations.items():
             vote = self._votes[name]
             if fresh:
                 vote.abstain_until = now
             elif not knows:
-                vote.abstain_until = now + lease_s + rest_s
+                vote.abstain_until = now + lease_s + lock_delay_s
             else:
-                vote.abstain_until = max(vote.abstain_until, self._outlasting(number, new, lease_s + rest_s))
-        longest = max((sum(terms) for terms in self._terms.values()), default=0.0)
+                vote.abstain_until = max(
+                    vote.abstain_until, self._outlasting(number, new, lease_s + lock_delay_s)
+                )
+        longest = max((sum(durations) for durations in self._durations.values()), default=0.0)
         while len(self._earlier) > 2 and self._earlier[1][2] + longest <= now:
             del self._earlier[0]
         for name, candidacy in self._candidacies.items():
@@ -179,41 +181,39 @@
             if not candidacy.holding:
                 self._wait(now, candidacy)
 
-    def suspend_grants(self, view: int) -> None:
+    def stop_granting(self, view: int) -> None:
         """This voter has accepted the successor of `view`, which may be decided without its learning so: it
         grants nothing more in `view`. To be called before the acceptance is told, and after a restart."""
         self._suspended_view = max(self._suspended_view, view)
 
-    def wish(self, now: float, name: str, wanted: bool) -> None:
-        """Whether this node stands for the lease. Unsetting gives it back."""
+    def campaign(self, now: float, name: str) -> None:
+        """Stand for the lease from now on, until it is released."""
         candidacy = self._candidacies[name]
-        if wanted and not candidacy.wish:
-            candidacy.wish = True
+        if not candidacy.campaigning:
+            candidacy.campaigning = True
             self._wait(now, candidacy)
-        elif not wanted:
-            self.release(now, name)
 
-    def holds(self, name: str, now: float) -> int | None:
-        """The term (the fence) if this node may act for the lease at `now`. Ask right before each act."""
+    def fencing_token(self, now: float, name: str) -> int | None:
+        """The fencing token if this node may act for the lease at `now`. Ask right before each act."""
         candidacy = self._candidacies[name]
         return candidacy.term if candidacy.holding and now < candidacy.held_until else None
 
     def release(self, now: float, name: str) -> None:
         """Stop acting and standing; the voters need only the rest before they choose another."""
         candidacy = self._candidacies[name]
-        candidacy.wish = False
-        self._give_back(now, name, held=self.holds(name, now) is not None)
+        candidacy.campaigning = False
+        self._give_back(now, name, held=self.fencing_token(now, name) is not None)
 
     def tick(self, now: float) -> None:
         """Renew, ask, give up. To be called about ten times a second."""
         for name, candidacy in self._candidacies.items():
-            lease_s = self._terms[name].lease_s
+            lease_s = self._durations[name].lease_s
             if candidacy.holding and now >= candidacy.held_until:
                 candidacy.holding = False
                 candidacy.term = 0
                 candidacy.rounds.clear()
                 self._back_off(now, candidacy, 0.0)
-            if not candidacy.wish or not self._voters:
+            if not candidacy.campaigning or not self._voters:
                 continue
             if candidacy.holding:
                 if now >= candidacy.asked_at + lease_s / 6 and now >= candidacy.held_until - lease_s * 2 / 3:
@@ -227,10 +227,10 @@
                 self._ask(now, name, renewal=False)
 
     def on_message(self, now: float, sender: str, message: Message) -> None:
-        """A message came. BallotMessageError: it is none; unknown leases are passed over."""
+        """A message came. LeaseMessageError: it is none; unknown leases are passed over."""
         try:
             kind, name, *fields = message
-            if name not in self._terms:
+            if name not in self._durations:
                 return
             match kind, fields:
                 case "ask", [int(view), int(term), int(life), int(number), bool(renewal)]:
@@ -244,9 +244,9 @@
                 case "withdraw", [int(term), int(life)]:
                     self._on_withdraw(sender, name, term, life)
                 case _:
-                    raise BallotMessageError(f"no such message: {kind!r}")
+                    raise LeaseMessageError(f"no such message: {kind!r}")
         except (TypeError, ValueError) as error:
-            raise BallotMessageError(str(error)) from error
+            raise LeaseMessageError(str(error)) from error
 
     def on_synced(self, record: list[Any]) -> None:
         """The record of a Persist is on disk: renewals of its term need no other. If this isn't called, each
@@ -262,8 +262,8 @@
     # Voter
 
     def _promise_s(self, name: str) -> float:
-        lease_s, rest_s = self._terms[name]
-        return lease_s + rest_s
+        lease_s, lock_delay_s = self._durations[name]
+        return lease_s + lock_delay_s
 
     def _outlasting(self, number: int, voters: frozenset[str], promise_s: float) -> float:
         """Until when grants of an earlier view may bind whose majorities need not meet one of `voters`."""
@@ -279,7 +279,7 @@
 
     def _grants(self, view: int) -> bool:
         """Whether this node may grant anything in `view`."""
-        return view == self._view and view > self._suspended_view and self.me in self._voters
+        return view == self._view and view > self._suspended_view and self.node in self._voters
 
     def _free(self, now: float, vote: _Vote, sender: str) -> bool:
         return vote.holder in ("", sender) or now >= vote.until
@@ -317,9 +317,9 @@
         vote = self._votes[name]
         candidacy = self._candidacies[name]
         if vote.term == term and vote.candidate == f"{sender}/{life:x}":
-            vote.until = max(vote.before, min(vote.until, now + self._terms[name].rest_s))
-        if sender != self.me and candidacy.wish and not candidacy.term:
-            self._wait(now + self._terms[name].rest_s, candidacy)
+            vote.until = max(vote.before, min(vote.until, now + self._durations[name].lock_delay_s))
+        if sender != self.node and candidacy.campaigning and not candidacy.term:
+            self._wait(now + self._durations[name].lock_delay_s, candidacy)
 
     def _on_withdraw(self, sender: str, name: str, term: int, life: int) -> None:
         """Never held under this term: only what was promised earlier binds."""
@@ -330,22 +330,22 @@
     # Candidate
 
     def _reply(self, now: float, to: str, message: Message) -> None:
-        if to == self.me:
+        if to == self.node:
             self.on_message(now, to, message)
         else:
             self._actions.append(Send(to, message))
 
     def _to_voters(self, now: float, message: Message) -> None:
         for voter in self._voters:
-            if voter != self.me:
+            if voter != self.node:
                 self._actions.append(Send(voter, list(message)))
         # Oneself last: one's own refusal may withdraw what was asked, and that must follow the asks.
-        if self.me in self._voters:
-            self.on_message(now, self.me, list(message))
+        if self.node in self._voters:
+            self.on_message(now, self.node, list(message))
 
     def _wait(self, now: float, candidacy: _Candidacy) -> None:
         """Candidates come one by one, in the order of their names."""
-        rank = sum(voter < self.me for voter in self._voters)
+        rank = sum(voter < self.node for voter in self._voters)
         candidacy.next_try = now + RANK_S * (rank + self._random.random())
 
     def _back_off(self, now: float, candidacy: _Candidacy, wait_s: float) -> None:
@@ -382,7 +382,7 @@
             return
         if candidacy.holding and now >= candidacy.held_until:
             return  # lapsed: only a new term may follow
-        until = self._lease_start(current.asked_at, now) + self._terms[name].lease_s
+        until = self._lease_start(current.asked_at, now) + self._durations[name].lease_s
         if now < until:
             candidacy.holding = True
             candidacy.held_until = max(candidacy.held_until, until)
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -10,9 +10,9 @@
 from plumline import logs
 from plumline.configuration.routes import RouteTable
 from plumline.configuration.state import State
-from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member, Message, Record
+from plumline.coordination.lease import LeaseDurations
 from plumline.coordination.topics import Topics
 from plumline.coordination.view import View
 from plumline.counters import Counters
@@ -105,8 +105,8 @@
             empty=State(),
             load=State.from_wire,
             leases={
-                "discovery": Terms(DISCOVERY_LEASE, 0.0),
-                "weights": Terms(WEIGHTS_LEASE, rest),
+                "discovery": LeaseDurations(DISCOVERY_LEASE, 0.0),
+                "weights": LeaseDurations(WEIGHTS_LEASE, rest),
             },
             now=self.loop.time(),
             chance=random.Random(secrets.randbits(64)),
@@ -288,7 +288,7 @@
 
     def held(self, lease: str) -> int | None:
         """The term of the lease if this registrar may act for it right now."""
-        return self.core.ballots.holds(lease, self.loop.time())
+        return self.core.lease_election.fencing_token(self.loop.time(), lease)
 
     def applied(self, number: int, change: list[Any] | None) -> None:
         """An entry, or with None a whole state, is committed here."""
@@ -330,7 +330,7 @@
     def note_leases(self, now: float) -> None:
         """Wakes the jobs of a lease that was won or lost."""
         for name in ("discovery", "weights"):
-            held = self.core.ballots.holds(name, now)
+            held = self.core.lease_election.fencing_token(now, name)
             if held != self.holding.get(name):
                 self.holding[name] = held
                 log.info(logs.words("lease", name=name, term=held))
@@ -370,7 +370,7 @@
         self.loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.hurry)
         for lease in ("discovery", "weights"):
-            self.core.wish(self.loop.time(), lease, True)
+            self.core.campaign(self.loop.time(), lease)
         log.info(logs.words("started", node=settings.node_name, incarnation=self.core.me[1]))
         work = [
             self.loop.create_task(each)
--- a/tests/core_leases.py
+++ b/tests/core_leases.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from plumline.coordination.ballot import Terms
+from plumline.coordination.lease import LeaseDurations
 from tests.core_register import ViolationError
 
 TOLERANCE_S = 1e-6  # of sums of floats
@@ -27,7 +27,7 @@
 class LeaseObserver:
     """Checks one lease: one holder at a moment, rising fences, and the rest between two holders."""
 
-    def __init__(self, name: str, terms: Terms) -> None:
+    def __init__(self, name: str, terms: LeaseDurations) -> None:
         self.name, self.terms = name, terms
         self.tenure: Tenure | None = None
         self.owners: dict[int, Holder] = {}
@@ -50,6 +50,6 @@
         if before and holder.name != before.holder.name:
             self.turns += 1
             rested = now - before.last_act
-            if rested < self.terms.rest_s - TOLERANCE_S:
+            if rested < self.terms.lock_delay_s - TOLERANCE_S:
                 raise ViolationError(f"{self.name}: {holder} {rested:.3f} s after {before.holder}")
         self.tenure = Tenure(holder, fence, now)
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -3,11 +3,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumline.coordination.ballot import Ballots
 from plumline.coordination.chain import Chain
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member, Message, Record
 from plumline.coordination.keeper import Duty, Keeper
+from plumline.coordination.lease import LeaseElection
 from plumline.coordination.view import View, Views
 
 
@@ -63,8 +63,8 @@
         return True
 
 
-class GrantsAfterAccepting(Ballots):
-    def suspend_grants(self, view: int) -> None:
+class GrantsAfterAccepting(LeaseElection):
+    def stop_granting(self, view: int) -> None:
         pass
 
 
@@ -97,6 +97,6 @@
 def mutation(name: str) -> dict[str, Any]:
     """Keywords of a schedule whose cores are without that guard."""
     kind = globals()[name]
-    parts = {Keeper: "keeper", Ballots: "ballots", Views: "views", Chain: "chain"}
+    parts = {Keeper: "keeper", LeaseElection: "lease_election", Views: "views", Chain: "chain"}
     part = next(part for base, part in parts.items() if issubclass(kind, base))
     return {"mutate": exchange(part, kind)}
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -12,8 +12,8 @@
 from enum import StrEnum
 from typing import Any
 
-from plumline.coordination.ballot import Terms
 from plumline.coordination.effects import Message
+from plumline.coordination.lease import LeaseDurations
 from plumline.errors import PlumlineError
 from tests.core_leases import Holder, LeaseObserver
 from tests.core_register import Register, ViolationError
@@ -24,7 +24,7 @@
 LEASE_S = 14.0  # for a lease to be held again: lease, rest, abstention of newcomers, and some rounds
 LEAVE_S = 6.0  # that a leaving process waits at the most
 SICK_AFTER_S = 0.6  # a write not synced for so long makes the machine say that its disk is sick
-LEASES = {"discovery": Terms(1.2, 0.0), "weights": Terms(1.0, 3.4)}
+LEASES = {"discovery": LeaseDurations(1.2, 0.0), "weights": LeaseDurations(1.0, 3.4)}
 FOREVER = float("inf")
 
 
@@ -212,7 +212,7 @@
     def start_core(self, node: Node) -> None:
         super().start_core(node)
         for lease in self.leases:
-            node.core.wish(self.now + node.offset, lease, True)
+            node.core.campaign(self.now + node.offset, lease)
 
     def after(self, node: Node) -> None:
         super().after(node)
@@ -223,7 +223,7 @@
         found = []
         for node in self.nodes.values():
             if node.core and self.now >= node.thaws_at:
-                fence = node.core.ballots.holds(lease, self.now + node.offset)
+                fence = node.core.lease_election.fencing_token(self.now + node.offset, lease)
                 if fence is not None:
                     found.append((Holder(node.name, node.life), fence))
         return found
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -13,9 +13,9 @@
 from unittest.mock import patch
 
 from plumline.coordination import chain as chain_module
-from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member, Message, Record
+from plumline.coordination.lease import LeaseDurations
 from plumline.coordination.view import View
 from plumline.errors import PlumlineError, VersionConflictError
 from tests.core_register import NoEffects, Register, ViolationError
@@ -117,7 +117,7 @@
         self.refused: set[str] = set()
         self.tried: list[list[Any]] = []
         self.names = 0
-        self.leases: dict[str, Terms] = {}
+        self.leases: dict[str, LeaseDurations] = {}
         if quiet:
             self.loss, self.twice, self.slow, self.syncs, self.jitter = 0.0, 0.0, 0.0, (0.002,), 0.0
             self.troubles_per_s = 0.0
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from plumline.coordination.ballot import Terms
 from plumline.coordination.contacts import GONE_AFTER, SUSPECT_AFTER
 from plumline.coordination.keeper import Duty
+from plumline.coordination.lease import LeaseDurations
 from tests.core_world import World
 
 
@@ -273,18 +273,18 @@
 
 def test_who_leaves_gives_its_leases_back() -> None:
     world = World(1, 3, quiet=True, start=False)
-    world.leases = {"weights": Terms(1.0, 3.0)}
+    world.leases = {"weights": LeaseDurations(1.0, 3.0)}
     for node in world.nodes.values():
         world.start(node)
     world.settle()
     for name, node in world.nodes.items():
-        node.core.wish(local(world, name), "weights", True)
+        node.core.campaign(local(world, name), "weights")
 
     def holders() -> str:
         held = (
             name
             for name, node in world.nodes.items()
-            if node.core and node.core.ballots.holds("weights", local(world, name)) is not None
+            if node.core and node.core.lease_election.fencing_token(local(world, name), "weights") is not None
         )
         return "".join(held)
 
--- a/tests/test_ballot.py
+++ b/tests/test_lease_election.py
@@ -1,4 +1,4 @@
-"""Leases by ballots: by hand, and by a seeded explorer that must find every guard that is taken out."""
+"""Leases by election: by hand, and by a seeded explorer that must find every guard that is taken out."""
 
 import heapq
 from collections import Counter
@@ -9,17 +9,17 @@
 
 import pytest
 
-from plumline.coordination.ballot import (
-    BallotMessageError,
-    Ballots,
+from plumline.coordination.lease import (
+    LeaseDurations,
+    LeaseElection,
+    LeaseMessageError,
     Persist,
     Send,
-    Terms,
     majority,
 )
 
 LEASE = "weights"
-TERMS = {LEASE: Terms(1.0, 0.5)}
+DURATIONS = {LEASE: LeaseDurations(1.0, 0.5)}
 TICK_S = 0.15
 
 
@@ -35,7 +35,7 @@
     """A machine: its process (None while it is down), its disk, and what it has learned of the views."""
 
     name: str
-    ballots: Ballots | None = None
+    election: LeaseElection | None = None
     life: int = 0
     disk: list[list[Any]] = field(default_factory=list)
     view: int = 0  # synced at once
@@ -52,7 +52,7 @@
         self,
         seed: int,
         size: int,
-        kind: type[Ballots] = Ballots,
+        kind: type[LeaseElection] = LeaseElection,
         *,
         sync_first: bool = True,
         wild: bool = True,
@@ -89,15 +89,15 @@
     def start(self, node: Node, *, formed: bool = False) -> None:
         node.life += 1
         node.held_back.clear()
-        ballots = node.ballots = self.kind(node.name, TERMS, self.now, Random(self.random.random()))
-        ballots.restore(node.disk)
+        election = node.election = self.kind(node.name, DURATIONS, self.now, Random(self.random.random()))
+        election.restore(node.disk)
         if formed:
             node.view = 1
-            ballots.set_view(self.now, 1, self.voters(node, 1), formed_now=True)
+            election.set_view(self.now, 1, self.voters(node, 1), formed_now=True)
         elif node.view:
-            ballots.set_view(self.now, node.view, self.voters(node, node.view))
-        ballots.suspend_grants(node.accepted)
-        ballots.wish(self.now, LEASE, True)
+            election.set_view(self.now, node.view, self.voters(node, node.view))
+        election.stop_granting(node.accepted)
+        election.campaign(self.now, LEASE)
         self.at(self.random.random() * TICK_S, lambda: self.tick(node, node.life))
 
     def voters(self, node: Node, number: int) -> list[str]:
@@ -106,7 +106,7 @@
 
     def alive(self, node: Node, life: int, call: Callable[[], None]) -> bool:
         """Whether the call may be made now; a frozen node gets it when it thaws."""
-        if node.ballots is None or node.life != life:
+        if node.election is None or node.life != life:
             return False
         if self.now < node.thaws_at:
             node.held_back.append(call)
@@ -123,12 +123,12 @@
 
     def tick(self, node: Node, life: int) -> None:
         if self.alive(node, life, lambda: self.tick(node, life)):
-            node.ballots.tick(self.now)
+            node.election.tick(self.now)
             self.step(node)
             self.at(TICK_S, lambda: self.tick(node, life))
 
     def step(self, node: Node) -> None:
-        for action in node.ballots.take_actions():
+        for action in node.election.take_actions():
             if isinstance(action, Send):
                 self.send(node, action.to, action.message)
             else:
@@ -142,7 +142,7 @@
                 self.send(node, to, message)
 
         def synced() -> None:
-            if node.ballots is None or node.life != life:
+            if node.election is None or node.life != life:
                 if node.in_views and self.random.random() < 0.2:
                     node.disk.append(action.record)  # unsynced, yet there after the crash
                 return
@@ -151,8 +151,8 @@
                 told()
 
         def told() -> None:
-            if node.life == life and node.ballots:
-                node.ballots.on_synced(action.record)
+            if node.life == life and node.election:
+                node.election.on_synced(action.record)
                 if self.sync_first:
                     for to, message in action.send_after:
                         self.send(node, to, message)
@@ -173,7 +173,7 @@
     def deliver(self, sender: str, to: str, message: list[Any]) -> None:
         node = self.nodes[to]
         if self.alive(node, node.life, lambda: self.deliver(sender, to, message)):
-            node.ballots.on_message(self.now, sender, message)
+            node.election.on_message(self.now, sender, message)
             self.step(node)
 
     # Troubles and views
@@ -199,18 +199,18 @@
                 node.disk, node.view, node.accepted, node.in_views = [], 0, 0, False
             case "view" if self.wild:
                 self.change_view()
-            case "release" if node.ballots and self.now >= node.thaws_at:
-                node.ballots.release(self.now, LEASE)
+            case "release" if node.election and self.now >= node.thaws_at:
+                node.election.release(self.now, LEASE)
                 self.step(node)
-                node.ballots.wish(self.now, LEASE, True)
+                node.election.campaign(self.now, LEASE)
 
     def crash(self, node: Node) -> None:
-        if node.ballots is None:
+        if node.election is None:
             return
-        node.ballots = None
+        node.election = None
 
         def back() -> None:
-            if node.ballots is None:
+            if node.election is None:
                 self.start(node)
 
         self.at(self.random.choice([0.01, 0.3, 1.0]), back)
@@ -222,7 +222,7 @@
         able = [
             node
             for node in map(self.nodes.get, voters)
-            if node and node.ballots and node.in_views and self.now >= node.thaws_at
+            if node and node.election and node.in_views and self.now >= node.thaws_at
         ]
         self.random.shuffle(able)
         able = able[: majority(len(voters))]
@@ -231,20 +231,20 @@
         for node in able:
             self.learn(node, number)
             node.accepted = number
-            node.ballots.suspend_grants(number)
+            node.election.stop_granting(number)
         out = [name for name in self.nodes if name not in voters]
         wiped = [name for name in voters if not self.nodes[name].in_views]
         if wiped:
             following = [name for name in voters if name not in wiped]
         elif out and self.exchanges and self.random.random() < 0.7:
             joins, leaves = self.random.choice(out), self.random.choice(voters)
-            if self.nodes[joins].ballots is None:
+            if self.nodes[joins].election is None:
                 return
             following = [*(name for name in voters if name != leaves), joins]
             self.nodes[joins].in_views = True
         elif out and (len(voters) < 3 or self.random.random() < 0.5):
             joins = self.random.choice(out)
-            if self.nodes[joins].ballots is None:
+            if self.nodes[joins].election is None:
                 return
             following = [*voters, joins]
             self.nodes[joins].in_views = True
@@ -261,12 +261,12 @@
                 )
 
     def learn(self, node: Node, number: int) -> None:
-        if node.ballots is None or self.now < node.thaws_at:
+        if node.election is None or self.now < node.thaws_at:
             return
         step = self.random.random() < 0.7
         while node.view < number:
             node.view = node.view + 1 if step else number
-            node.ballots.set_view(self.now, node.view, self.voters(node, node.view))
+            node.election.set_view(self.now, node.view, self.voters(node, node.view))
         self.step(node)
 
     # Invariants
@@ -275,7 +275,7 @@
         held = [
             ((node.name, node.life), term)
             for node in self.nodes.values()
-            if node.ballots and (term := node.ballots.holds(LEASE, self.now)) is not None
+            if node.election and (term := node.election.fencing_token(self.now, LEASE)) is not None
         ]
         if len(held) > 1:
             raise ViolationError(f"two holders: {held}")
@@ -290,7 +290,7 @@
                 raise ViolationError(f"term {term} after {last_term}")
             if life[0] != before[0]:
                 self.turns += 1
-                if self.now - last_act < TERMS[LEASE].rest_s - 1e-9:
+                if self.now - last_act < DURATIONS[LEASE].lock_delay_s - 1e-9:
                     raise ViolationError(f"{life} came {self.now - last_act:.3f} s after {before}")
         self.last = life, term, self.now
 
@@ -302,7 +302,7 @@
 
 
 def explore(
-    seeds: range, size: int, kind: type[Ballots] = Ballots, *, until: float = 7.0, **kwargs: bool
+    seeds: range, size: int, kind: type[LeaseElection] = LeaseElection, *, until: float = 7.0, **kwargs: bool
 ) -> Counter[str]:
     """Run a schedule for each seed: how many were run, and how many changes of holder there were."""
     counts: Counter[str] = Counter()
@@ -325,37 +325,37 @@
     assert (counts["views"] > 3 * seeds / 2) == wild
 
 
-class NoAbstention(Ballots):
+class NoAbstention(LeaseElection):
     def _abstains(self, now: float, vote: Any) -> bool:  # noqa: ANN401
         return False
 
 
-class NoRest(Ballots):
+class NoRest(LeaseElection):
     def _promise_s(self, name: str) -> float:
-        return self._terms[name].lease_s
+        return self._durations[name].lease_s
 
 
-class NoPromise(Ballots):
+class NoPromise(LeaseElection):
     def _free(self, now: float, vote: Any, sender: str) -> bool:  # noqa: ANN401
         return True
 
 
-class CountsFromAnswer(Ballots):
+class CountsFromAnswer(LeaseElection):
     def _lease_start(self, asked_at: float, now: float) -> float:
         return now
 
 
-class ForgetsEarlierViews(Ballots):
+class ForgetsEarlierViews(LeaseElection):
     def _outlasting(self, number: int, voters: frozenset[str], promise_s: float) -> float:
         return 0.0
 
 
-class RestoresNothing(Ballots):
+class RestoresNothing(LeaseElection):
     def restore(self, records: list[list[Any]]) -> None:
         pass
 
 
-class GivesTermsTwice(Ballots):
+class GivesTermsTwice(LeaseElection):
     def _next_term(self, name: str) -> int:
         seen = self._candidacies[name].seen
         term = super()._next_term(name)
@@ -363,12 +363,12 @@
         return term
 
 
-class GrantsAfterAccepting(Ballots):
-    def suspend_grants(self, view: int) -> None:
+class GrantsAfterAccepting(LeaseElection):
+    def stop_granting(self, view: int) -> None:
         pass
 
 
-class WithdrawFreesAll(Ballots):
+class WithdrawFreesAll(LeaseElection):
     def _on_withdraw(self, sender: str, name: str, term: int, life: int) -> None:
         vote = self._votes[name]
         if vote.holder == sender:
@@ -388,11 +388,11 @@
         (GivesTermsTwice, True, 4, 6400),
         (WithdrawFreesAll, True, 5, 0),
         (ForgetsEarlierViews, True, 5, 500),
-        (Ballots, False, 4, 800),
+        (LeaseElection, False, 4, 800),
     ],
 )
 def test_explorer_finds_what_a_guard_is_for(
-    kind: type[Ballots], sync_first: bool, size: int, first: int
+    kind: type[LeaseElection], sync_first: bool, size: int, first: int
 ) -> None:
     """`first`: the seed to begin with, where it would take long from 0."""
     with pytest.raises(ViolationError) as caught:
@@ -419,7 +419,7 @@
 
 
 def holder(world: World) -> str | None:
-    held = [n.name for n in world.nodes.values() if n.ballots and n.ballots.holds(LEASE, world.now)]
+    held = [n.name for n in world.nodes.values() if n.election and n.election.fencing_token(world.now, LEASE)]
     return held[0] if held else None
 
 
@@ -442,9 +442,9 @@
     world = calm(size)
     go(world, 5.0)
     gone = world.nodes[holder(world)]
-    gone.ballots = None
+    gone.election = None
     last_act = world.last[2]
-    go(world, 5.0 + sum(TERMS[LEASE]) + 3.0)
+    go(world, 5.0 + sum(DURATIONS[LEASE]) + 3.0)
     assert holder(world) not in (None, gone.name)
     assert world.last[1] > 1 << 20
     assert world.turns == 1
@@ -455,26 +455,28 @@
     world = calm()
     go(world, 5.0)
     node = world.nodes[holder(world)]
-    node.ballots.release(world.now, LEASE)
+    node.election.release(world.now, LEASE)
     world.step(node)
-    assert node.ballots.holds(LEASE, world.now) is None
-    go(world, 5.0 + TERMS[LEASE].rest_s)
+    assert node.election.fencing_token(world.now, LEASE) is None
+    go(world, 5.0 + DURATIONS[LEASE].lock_delay_s)
     assert holder(world) is None
-    go(world, 5.0 + TERMS[LEASE].rest_s + 1.0)
+    go(world, 5.0 + DURATIONS[LEASE].lock_delay_s + 1.0)
     assert holder(world) not in (None, node.name)
 
 
 @pytest.mark.parametrize(("kind", "size", "first"), [(GrantsAfterAccepting, 4, 0), (NoAbstention, 4, 0)])
-def test_explorer_finds_what_a_guard_of_exchanges_is_for(kind: type[Ballots], size: int, first: int) -> None:
+def test_explorer_finds_what_a_guard_of_exchanges_is_for(
+    kind: type[LeaseElection], size: int, first: int
+) -> None:
     with pytest.raises(ViolationError) as caught:
         explore(range(first, first + 5000), size, kind, until=10.0, exchanges=True)
     print(caught.value)
 
 
-def voter(*, formed_now: bool = True) -> Ballots:
-    ballots = Ballots("v", TERMS, 0.0, Random(1))
-    ballots.set_view(0.0, 1, ["c", "d", "v"], formed_now=formed_now)
-    return ballots
+def voter(*, formed_now: bool = True) -> LeaseElection:
+    election = LeaseElection("v", DURATIONS, 0.0, Random(1))
+    election.set_view(0.0, 1, ["c", "d", "v"], formed_now=formed_now)
+    return election
 
 
 def ask(term: int, *, view: int = 1, life: int = 1, renewal: bool = False) -> list[Any]:
@@ -482,104 +484,104 @@
 
 
 def test_a_grant_waits_for_the_sync_and_a_renewal_needs_none() -> None:
-    ballots = voter()
-    ballots.on_message(0.0, "c", ask(5))
-    [action] = ballots.take_actions()
+    election = voter()
+    election.on_message(0.0, "c", ask(5))
+    [action] = election.take_actions()
     assert action == Persist(["ballot", LEASE, 5, "c/1"], [("c", ["grant", LEASE, 1, 5, 9])])
-    ballots.on_message(0.1, "c", ask(5, renewal=True))
-    assert isinstance(ballots.take_actions()[0], Persist)  # not known to be synced yet
-    ballots.on_synced(action.record)
-    ballots.on_message(0.2, "c", ask(5, renewal=True))
-    assert ballots.take_actions() == [Send("c", ["grant", LEASE, 1, 5, 9])]
-    assert ballots.records() == [["ballot", LEASE, 5, "c/1"]]
+    election.on_message(0.1, "c", ask(5, renewal=True))
+    assert isinstance(election.take_actions()[0], Persist)  # not known to be synced yet
+    election.on_synced(action.record)
+    election.on_message(0.2, "c", ask(5, renewal=True))
+    assert election.take_actions() == [Send("c", ["grant", LEASE, 1, 5, 9])]
+    assert election.records() == [["ballot", LEASE, 5, "c/1"]]
 
 
 def test_a_voter_refuses() -> None:
-    ballots = voter()
-    ballots.on_message(0.0, "c", ask(5))
-    ballots.take_actions()
+    election = voter()
+    election.on_message(0.0, "c", ask(5))
+    election.take_actions()
     for message, sender, wait_s in [
         (ask(6), "d", 1.5),  # promised to another
         (ask(6, view=2), "c", 0.0),
         (ask(4), "c", 0.0),
         (ask(5, life=2), "c", 0.0),  # another life, the same term
     ]:
-        ballots.on_message(0.0, sender, message)
-        assert ballots.take_actions() == [Send(sender, ["refuse", LEASE, 1, 5, 9, wait_s])]
-    ballots.on_message(1.5, "d", ask(5))
-    assert ballots.take_actions() == [Send("d", ["refuse", LEASE, 1, 5, 9, 0.0])]
-    ballots.on_message(1.5, "d", ask(6))
-    assert isinstance(ballots.take_actions()[0], Persist)
+        election.on_message(0.0, sender, message)
+        assert election.take_actions() == [Send(sender, ["refuse", LEASE, 1, 5, 9, wait_s])]
+    election.on_message(1.5, "d", ask(5))
+    assert election.take_actions() == [Send("d", ["refuse", LEASE, 1, 5, 9, 0.0])]
+    election.on_message(1.5, "d", ask(6))
+    assert isinstance(election.take_actions()[0], Persist)
 
 
-def test_a_restarted_voter_abstains_and_knows_its_terms() -> None:
-    ballots = Ballots("v", TERMS, 0.0, Random(1))
-    ballots.restore([["ballot", LEASE, 7, "c/1"], ["entry", 3], ["ballot", LEASE, 6, "d/1"]])
-    ballots.set_view(0.0, 1, ["c", "d", "v"], formed_now=True)  # it has voted before: not fresh
-    ballots.on_message(1.0, "d", ask(8))
-    assert ballots.take_actions() == [Send("d", ["refuse", LEASE, 1, 7, 9, 0.5])]
-    ballots.on_message(1.0, "c", ask(7, renewal=True))
-    assert ballots.take_actions() == [Send("c", ["grant", LEASE, 1, 7, 9])]
-    assert ballots.records() == [["ballot", LEASE, 7, "c/1"]]
+def test_a_restarted_voter_abstains_and_knows_its_durations() -> None:
+    election = LeaseElection("v", DURATIONS, 0.0, Random(1))
+    election.restore([["ballot", LEASE, 7, "c/1"], ["entry", 3], ["ballot", LEASE, 6, "d/1"]])
+    election.set_view(0.0, 1, ["c", "d", "v"], formed_now=True)  # it has voted before: not fresh
+    election.on_message(1.0, "d", ask(8))
+    assert election.take_actions() == [Send("d", ["refuse", LEASE, 1, 7, 9, 0.5])]
+    election.on_message(1.0, "c", ask(7, renewal=True))
+    assert election.take_actions() == [Send("c", ["grant", LEASE, 1, 7, 9])]
+    assert election.records() == [["ballot", LEASE, 7, "c/1"]]
 
 
 def test_a_voter_that_has_abstained_once_does_not_so_again_with_the_next_view() -> None:
-    ballots = Ballots("v", TERMS, 0.0, Random(1))
-    ballots.restore([["ballot", LEASE, 7, "c/1"]])
-    ballots.set_view(0.0, 4, ["c", "d", "v"])
-    ballots.set_view(2.0, 5, ["c", "d", "v"])
-    ballots.on_message(2.0, "d", ask(8, view=5))
-    assert isinstance(ballots.take_actions()[0], Persist)
+    election = LeaseElection("v", DURATIONS, 0.0, Random(1))
+    election.restore([["ballot", LEASE, 7, "c/1"]])
+    election.set_view(0.0, 4, ["c", "d", "v"])
+    election.set_view(2.0, 5, ["c", "d", "v"])
+    election.on_message(2.0, "d", ask(8, view=5))
+    assert isinstance(election.take_actions()[0], Persist)
 
 
 def test_a_voter_that_has_missed_a_view_abstains() -> None:
-    ballots = voter()
-    ballots.set_view(2.0, 3, ["c", "d", "v"])
-    ballots.on_message(3.0, "d", ask(8, view=3))
-    assert ballots.take_actions() == [Send("d", ["refuse", LEASE, 3, 0, 9, 0.5])]
+    election = voter()
+    election.set_view(2.0, 3, ["c", "d", "v"])
+    election.on_message(3.0, "d", ask(8, view=3))
+    assert election.take_actions() == [Send("d", ["refuse", LEASE, 3, 0, 9, 0.5])]
 
 
 def test_who_has_accepted_the_next_view_grants_nothing_in_the_present_one() -> None:
-    ballots = voter()
-    ballots.on_message(0.0, "c", ask(5))
-    ballots.take_actions()
-    ballots.suspend_grants(1)
+    election = voter()
+    election.on_message(0.0, "c", ask(5))
+    election.take_actions()
+    election.stop_granting(1)
     for message in (ask(5, renewal=True), ask(6)):
-        ballots.on_message(0.1, "c", message)
-        assert ballots.take_actions() == [Send("c", ["refuse", LEASE, 1, 5, 9, 0.0])]
-    ballots.set_view(0.2, 2, ["c", "v", "w"])
-    ballots.on_message(0.2, "c", ask(5, view=2, renewal=True))
-    assert isinstance(ballots.take_actions()[0], Persist)
+        election.on_message(0.1, "c", message)
+        assert election.take_actions() == [Send("c", ["refuse", LEASE, 1, 5, 9, 0.0])]
+    election.set_view(0.2, 2, ["c", "v", "w"])
+    election.on_message(0.2, "c", ask(5, view=2, renewal=True))
+    assert isinstance(election.take_actions()[0], Persist)
 
 
 def test_only_the_newcomer_abstains_after_an_exchange() -> None:
-    ballots = voter()
-    ballots.set_view(5.0, 2, ["d", "v", "w"])
-    ballots.on_message(5.0, "d", ask(9 << 20, view=2))
-    assert isinstance(ballots.take_actions()[0], Persist)
-    newcomer = Ballots("w", TERMS, 0.0, Random(1))
+    election = voter()
+    election.set_view(5.0, 2, ["d", "v", "w"])
+    election.on_message(5.0, "d", ask(9 << 20, view=2))
+    assert isinstance(election.take_actions()[0], Persist)
+    newcomer = LeaseElection("w", DURATIONS, 0.0, Random(1))
     newcomer.set_view(5.0, 2, ["d", "v", "w"])
     newcomer.on_message(6.0, "d", ask(9 << 20, view=2))
     assert newcomer.take_actions() == [Send("d", ["refuse", LEASE, 2, 0, 9, 0.5])]
 
 
 def test_no_voter_grants_nothing() -> None:
-    ballots = Ballots("v", TERMS, 0.0, Random(1))
-    ballots.set_view(0.0, 1, ["c", "d"])
-    ballots.on_message(9.0, "c", ask(5))
-    assert ballots.take_actions() == [Send("c", ["refuse", LEASE, 1, 0, 9, 0.0])]
+    election = LeaseElection("v", DURATIONS, 0.0, Random(1))
+    election.set_view(0.0, 1, ["c", "d"])
+    election.on_message(9.0, "c", ask(5))
+    assert election.take_actions() == [Send("c", ["refuse", LEASE, 1, 0, 9, 0.0])]
 
 
 def test_two_removals_in_a_row_make_voters_abstain() -> None:
-    ballots = Ballots("v", TERMS, 0.0, Random(1))
-    ballots.set_view(0.0, 1, list("vwxyz"), formed_now=True)
-    ballots.set_view(5.0, 2, list("vwxy"))
-    ballots.on_message(5.0, "w", ask(9 << 20, view=2))
-    assert isinstance(ballots.take_actions()[0], Persist)
-    ballots.on_message(5.0, "w", ["withdraw", LEASE, 9 << 20, 1])
-    ballots.set_view(6.0, 3, list("vwx"))  # v, w are a majority, and so were x, y, z
-    ballots.on_message(7.0, "w", ask(10 << 20, view=3))
-    assert ballots.take_actions() == [Send("w", ["refuse", LEASE, 3, 9 << 20, 9, 0.5])]
+    election = LeaseElection("v", DURATIONS, 0.0, Random(1))
+    election.set_view(0.0, 1, list("vwxyz"), formed_now=True)
+    election.set_view(5.0, 2, list("vwxy"))
+    election.on_message(5.0, "w", ask(9 << 20, view=2))
+    assert isinstance(election.take_actions()[0], Persist)
+    election.on_message(5.0, "w", ["withdraw", LEASE, 9 << 20, 1])
+    election.set_view(6.0, 3, list("vwx"))  # v, w are a majority, and so were x, y, z
+    election.on_message(7.0, "w", ask(10 << 20, view=3))
+    assert election.take_actions() == [Send("w", ["refuse", LEASE, 3, 9 << 20, 9, 0.5])]
 
 
 @pytest.mark.parametrize(
@@ -587,13 +589,13 @@
     [[], ["ask"], ["ask", LEASE], ["ask", LEASE, 1, "5", 1, 9, False], ["grant", LEASE, 1], ["no", LEASE], 5],
 )
 def test_a_bad_message_is_a_typed_error(message: Any) -> None:  # noqa: ANN401
-    ballots = voter()
-    with pytest.raises(BallotMessageError):
-        ballots.on_message(0.0, "c", message)
-    assert ballots.take_actions() == []
+    election = voter()
+    with pytest.raises(LeaseMessageError):
+        election.on_message(0.0, "c", message)
+    assert election.take_actions() == []
 
 
 def test_messages_of_unknown_leases_are_passed_over() -> None:
-    ballots = voter()
-    ballots.on_message(0.0, "c", ["ask", "other", 1, 5, 1, 9, False])
-    assert ballots.take_actions() == []
+    election = voter()
+    election.on_message(0.0, "c", ["ask", "other", 1, 5, 1, 9, False])
+    assert election.take_actions() == []
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from plumline.coordination.ballot import Terms
+from plumline.coordination.lease import LeaseDurations
 from plumline.coordination.view import View, Views
 from tests.core_world import World
 
@@ -147,7 +147,7 @@
 
 def test_who_has_accepted_the_next_view_votes_for_no_lease_also_after_a_restart() -> None:
     world = World(1, 3, quiet=True, start=False)
-    world.leases = {"weights": Terms(1.0, 0.5)}
+    world.leases = {"weights": LeaseDurations(1.0, 0.5)}
     for node in world.nodes.values():
         world.start(node)
     world.settle()
