--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -258,7 +258,9 @@
     for number in range(6):
         world.put(number)
     chain = world.nodes["b"].core.chain
-    again = ChainReplica(chain.me, 2, NullEnvironment(), Register(), Register.load, lambda number, change: None)
+    again = ChainReplica(
+        chain.me, 2, NullEnvironment(), Register(), Register.load, lambda number, change: None
+    )
     for record in chain.records():
         again.restore(record)
     assert (again.state, again.newest, again.last, again.synced) == (
