--- a/plumline/coordination/contacts.py
+++ b/plumline/coordination/contacts.py
@@ -22,7 +22,7 @@
     synced: int = 0  # entries
     sick: bool = False  # its disk takes no writes
     leaving: bool = False
-    present: int = 0  # as ChainReplica.standing tells
+    present: int = 0  # as ChainReplica.status tells
     echoed: float = -1e9  # sending time of the newest ping of ours that it echoed
     steady_since: float = 0.0
     first_known: float = 0.0
--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -88,15 +88,17 @@
         self.formation.tick(now)
         view = self.views.view
         present = self.chain.position is not None
-        synced = self.chain.synced if present else min(self.chain.synced, self.chain.committed)
+        synced = (
+            self.chain.synced_index if present else min(self.chain.synced_index, self.chain.committed_index)
+        )
         self.contacts.tick(
             now,
             [
                 *(self.me[1], view.number if view else 0, synced),
-                *(self.sick, self.keeper.leaving, self.chain.standing()),
+                *(self.sick, self.keeper.leaving, self.chain.status()),
             ],
         )
-        self.keeper.tick(now, self.chain.synced, self.chain.committed, self.chain.caught_up)
+        self.keeper.tick(now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
         self.chain.tick(now)
         self.ballots.tick(now)
         self.flush_ballots()
--- a/plumline/coordination/replication.py
+++ b/plumline/coordination/replication.py
@@ -60,8 +60,8 @@
         self.position: int | None = None  # in the chain; None: learner
         self.log = ReplicationLog()  # the newest is `last`
         self.state = empty  # committed
-        self.newest = empty  # with all entries of the log
-        self.committed = self.last = self.synced = 0
+        self.latest_state = empty  # with all entries of the log
+        self.committed_index = self.last_index = self.synced_index = 0
         self.caught_up = False  # holds all that this view's predecessor held as it began
         self.stale = False  # was taken out with uncommitted entries, to be dropped
         self.floor: int | None = None  # number from which on it is
@@ -73,12 +73,12 @@
         self.unreported = 0  # bytes taken since the newest report
         self.now = self.tick_at = 0.0
         self.snapshots = SnapshotSender(
-            lambda: (self.committed, self.state.to_wire()),
-            lambda number: number == self.committed or self.log.leads_on(number),
+            lambda: (self.committed_index, self.state.to_wire()),
+            lambda number: number == self.committed_index or self.log.leads_on(number),
         )
         self.transfer = SnapshotFetch()
         self.near = False  # the newest lesson left nothing over
-        self.confirmations = ReadBarrier(effects)
+        self.read_barrier = ReadBarrier(effects)
         self.lessons = -1
 
     # Durable state.
@@ -86,14 +86,14 @@
     def restore(self, record: Record) -> None:
         match record:
             case ["base", int(number), wire]:
-                self.state = self.newest = self.load(wire)
+                self.state = self.latest_state = self.load(wire)
                 self.log.clear()
-                self.committed = self.last = self.synced = number
-            case ["entry", int(number), change, int(committed)] if number == self.last + 1:
+                self.committed_index = self.last_index = self.synced_index = number
+            case ["entry", int(number), change, int(committed)] if number == self.last_index + 1:
                 self.log.append(number, change)
-                self.newest = self.newest.apply(change)
-                self.last = self.synced = number
-                self.advance(min(committed, self.synced), quiet=True)
+                self.latest_state = self.latest_state.apply(change)
+                self.last_index = self.synced_index = number
+                self.advance(min(committed, self.synced_index), quiet=True)
             case ["caught-up", bool(caught_up)]:
                 self.caught_up = caught_up
             case ["stale"]:
@@ -103,10 +103,10 @@
                 self.drop_after(number)
 
     def records(self) -> list[Record]:
-        found: list[Record] = [["base", self.committed, self.state.to_wire()]]
+        found: list[Record] = [["base", self.committed_index, self.state.to_wire()]]
         found += [
-            ["entry", each.number, each.change, self.committed]
-            for each in self.log.between(self.committed, self.last)
+            ["entry", each.number, each.change, self.committed_index]
+            for each in self.log.between(self.committed_index, self.last_index)
         ]
         found.append(["caught-up", self.caught_up])
         if self.stale:
@@ -117,11 +117,11 @@
         """Forgets entries that may never have been committed."""
         self.life += 1
         self.log.drop_after(number)
-        self.last = min(self.last, max(number, self.committed))
-        self.synced = min(self.synced, self.last)
-        self.newest = self.state
-        for each in self.log.between(self.committed, self.last):
-            self.newest = self.newest.apply(each.change)
+        self.last_index = min(self.last_index, max(number, self.committed_index))
+        self.synced_index = min(self.synced_index, self.last_index)
+        self.latest_state = self.state
+        for each in self.log.between(self.committed_index, self.last_index):
+            self.latest_state = self.latest_state.apply(each.change)
 
     # The view.
 
@@ -134,11 +134,11 @@
         if (view.number == 1 and self.position is not None) or self.position is None:
             self.set_caught_up(self.position is not None)
         self.tick_at = 0.0
-        self.confirmations.deny_all()
+        self.read_barrier.deny_all()
         if was_head and self.position != 0:
             self.fail_waiting()
         if self.position is None:
-            if self.last > self.committed and not self.stale:
+            if self.last_index > self.committed_index and not self.stale:
                 self.stale = True
                 self.effects.persist(["stale"], lambda: None)
             return
@@ -152,8 +152,8 @@
         out: the old tail may commit for a moment yet what then only it would have on its disk."""
         if self.stale:
             self.stale = False
-            self.effects.persist(["drop", self.committed], lambda: None)
-            self.drop_after(self.committed)
+            self.effects.persist(["drop", self.committed_index], lambda: None)
+            self.drop_after(self.committed_index)
 
     def set_caught_up(self, caught_up: bool) -> None:
         """Kept while it stays in the chain, also on the disk: a chain may lose its head as it restarts."""
@@ -179,7 +179,7 @@
         at = self.position + step
         return self.view.chain[at][0] if 0 <= at < len(self.view.chain) else None
 
-    def number(self) -> int:
+    def view_number(self) -> int:
         return self.view.number if self.view else 0
 
     def can_commit(self) -> bool:
@@ -195,35 +195,35 @@
             return
         error: PlumlineError | None = None
         try:
-            taken = self.newest.check(change)
+            taken = self.latest_state.check(change)
         except PlumlineError as found:
             taken, error = True, found
         if not taken:
-            self.append(self.last + 1, change)
-        if self.committed >= self.last:
+            self.append(self.last_index + 1, change)
+        if self.committed_index >= self.last_index:
             if error is None:
                 answer(None)
             else:  # a head that was taken out may know too little to refuse anything
                 told = UnavailableError("this chain may not be the present one")
                 self.confirm(lambda present: answer(error if present else told))
         else:
-            self.waiting.setdefault(self.last, []).append((answer, error))
+            self.waiting.setdefault(self.last_index, []).append((answer, error))
 
     def append(self, number: int, change: list[Any]) -> None:
-        self.newest = self.newest.apply(change)
+        self.latest_state = self.latest_state.apply(change)
         entry = self.log.append(number, change)
-        self.last = number
+        self.last_index = number
         life = self.life
 
         def done() -> None:
             if life == self.life:
-                self.synced = number
+                self.synced_index = number
                 self.push()
                 self.note_taken(entry.size)
                 self.check_floor()
                 self.commit_if_tail()
 
-        self.effects.persist(["entry", number, change, self.committed], done)
+        self.effects.persist(["entry", number, change, self.committed_index], done)
 
     def note_taken(self, size: int) -> None:
         """Reports before the predecessor's window is used up."""
@@ -233,28 +233,28 @@
 
     def commit_if_tail(self) -> None:
         if self.is_tail() and self.caught_up and self.can_commit():
-            self.advance(self.synced)
+            self.advance(self.synced_index)
             if predecessor := self.neighbour(-1):
-                self.effects.send(predecessor, ["chain-commit", self.number(), self.committed])
+                self.effects.send(predecessor, ["chain-commit", self.view_number(), self.committed_index])
 
     def advance(self, number: int, quiet: bool = False) -> None:
         """Commits up to `number`, which is synced here."""
-        number = min(number, self.synced)
-        if number <= self.committed:
+        number = min(number, self.synced_index)
+        if number <= self.committed_index:
             return
-        for each in list(self.log.between(self.committed, number)):
-            newest = each.number == self.last
-            self.state = self.newest if newest else self.state.apply(each.change)
-            self.committed = each.number
+        for each in list(self.log.between(self.committed_index, number)):
+            newest = each.number == self.last_index
+            self.state = self.latest_state if newest else self.state.apply(each.change)
+            self.committed_index = each.number
             if not quiet:
                 self.applied(each.number, each.change)
         self.trim()
-        for n in [each for each in self.waiting if each <= self.committed]:
+        for n in [each for each in self.waiting if each <= self.committed_index]:
             for answer, error in self.waiting.pop(n):
                 answer(error)
 
     def trim(self) -> None:
-        self.log.trim(self.committed, RETAINED_ENTRIES, RETAINED_BYTES)
+        self.log.trim(self.committed_index, RETAINED_ENTRIES, RETAINED_BYTES)
 
     # Reports to the predecessor; what it sends for them.
 
@@ -273,7 +273,7 @@
     def report(self) -> None:
         self.unreported = 0
         if predecessor := self.neighbour(-1):
-            told = ["chain-report", self.number(), self.last, self.committed, self.caught_up]
+            told = ["chain-report", self.view_number(), self.last_index, self.committed_index, self.caught_up]
             self.effects.send(predecessor, told)
 
     def on_report(self, sender: str, last: int, committed: int, caught_up: bool) -> None:
@@ -282,15 +282,15 @@
         self.reported = min(self.reported, last)  # it may have lost in a restart what it had not synced
         self.note_reported(last)
         if self.caught_up and not caught_up:
-            self.effects.send(sender, ["chain-floor", self.number(), self.synced])
+            self.effects.send(sender, ["chain-floor", self.view_number(), self.synced_index])
         if last < self.sent and self.resend.over(self.now):
             self.resend.ask(self.now)
             self.sent = last  # some of it was lost
         self.push()
-        if committed > self.committed:
+        if committed > self.committed_index:
             self.advance(committed)
             if predecessor := self.neighbour(-1):
-                self.effects.send(predecessor, ["chain-commit", self.number(), self.committed])
+                self.effects.send(predecessor, ["chain-commit", self.view_number(), self.committed_index])
 
     def note_reported(self, last: int) -> None:
         """The successor has all entries up to this one."""
@@ -304,37 +304,37 @@
     def push(self) -> None:
         """Sends the successor what it lacks and is synced here, as far as its window reaches."""
         successor = self.neighbour(1)
-        if successor is None or self.reported < 0 or self.sent >= self.synced:
+        if successor is None or self.reported < 0 or self.sent >= self.synced_index:
             return
         if not self.log.leads_on(self.sent):
-            self.effects.send(successor, ["chain-behind", self.number()])
+            self.effects.send(successor, ["chain-behind", self.view_number()])
             return
         room = WINDOW_BYTES - self.log.bytes_between(self.reported, self.sent)
-        entries = list(self.log.between(self.sent, self.synced))
+        entries = list(self.log.between(self.sent, self.synced_index))
         if self.sent > self.reported and entries[0].size > room:
             return
         for each in first_bytes(entries, room):
-            self.effects.send(successor, ["chain-entry", self.number(), each.number, each.change])
+            self.effects.send(successor, ["chain-entry", self.view_number(), each.number, each.change])
             self.sent = each.number
         if not self.resend.waiting:
             self.resend.ask(self.now)
 
     def take_state(self, number: int, wire: Any) -> None:  # noqa: ANN401
         """A whole committed state in place of entries that are no longer at hand."""
-        if number <= self.last:
+        if number <= self.last_index:
             self.advance(number)  # what follows it may be on its way to the tail already
             return
         state = self.load(wire)
         self.life += 1
         self.log.clear()
-        self.state = self.newest = state
-        self.committed = self.last = number
+        self.state = self.latest_state = state
+        self.committed_index = self.last_index = number
         self.applied(number, None)
         life = self.life
 
         def done() -> None:
             if life == self.life:
-                self.synced = number
+                self.synced_index = number
                 self.report()
                 self.push()
                 self.check_floor()
@@ -343,7 +343,7 @@
         self.effects.persist(["base", number, wire], done)
 
     def check_floor(self) -> None:
-        if self.floor is not None and self.synced >= self.floor and not self.caught_up:
+        if self.floor is not None and self.synced_index >= self.floor and not self.caught_up:
             self.set_caught_up(True)
             self.commit_if_tail()
 
@@ -354,7 +354,9 @@
         self.ask_piece(source, self.transfer.ask(self.now, source))
 
     def ask_piece(self, source: str, wanted: ChunkRequest) -> None:
-        self.effects.send(source, ["chain-pull", self.number(), wanted.number, wanted.digest, wanted.offset])
+        self.effects.send(
+            source, ["chain-pull", self.view_number(), wanted.number, wanted.digest, wanted.offset]
+        )
 
     def pull_again(self) -> None:
         """In the chain: a state that the predecessor was asked for and did not send on."""
@@ -368,12 +370,12 @@
 
     def on_pull(self, sender: str, wanted: ChunkRequest) -> None:
         piece = self.snapshots.answer(self.now, wanted)
-        self.effects.send(sender, ["chain-piece", self.number(), *piece.to_wire()])
+        self.effects.send(sender, ["chain-piece", self.view_number(), *piece.to_wire()])
 
     def on_piece(self, sender: str, wire: list[Any]) -> None:
         """Only a state from beyond what is held here is of use."""
         try:
-            match self.transfer.take(self.now, sender, SnapshotChunk.from_wire(wire), self.committed):
+            match self.transfer.take(self.now, sender, SnapshotChunk.from_wire(wire), self.committed_index):
                 case Snapshot() as whole:
                     if self.position is None:
                         self.drop_uncommitted()
@@ -406,16 +408,16 @@
     def ask_lesson(self, teacher: str) -> None:
         self.transfer.source = teacher
         self.transfer.patience.ask(self.now, CATCH_UP_RETRY_S)
-        self.effects.send(teacher, ["chain-learn", self.number(), self.committed])
+        self.effects.send(teacher, ["chain-learn", self.view_number(), self.committed_index])
 
     def on_learn(self, sender: str, place: int) -> None:
-        if place < self.committed and not self.log.leads_on(place):
+        if place < self.committed_index and not self.log.leads_on(place):
             self.on_pull(sender, ChunkRequest())
             return
-        entries = list(first_bytes(list(self.log.between(place, self.committed)), CATCH_UP_BATCH_BYTES))
-        more = bool(entries) and entries[-1].number < self.committed
+        entries = list(first_bytes(list(self.log.between(place, self.committed_index)), CATCH_UP_BATCH_BYTES))
+        more = bool(entries) and entries[-1].number < self.committed_index
         told = [[each.number, each.change] for each in entries]
-        self.effects.send(sender, ["chain-lesson", self.number(), more, told])
+        self.effects.send(sender, ["chain-lesson", self.view_number(), more, told])
 
     def on_lesson(self, sender: str, more: bool, entries: list[Any]) -> None:
         if self.transfer.awaits(sender):
@@ -425,12 +427,12 @@
             self.drop_uncommitted()
         life = self.life
         for n, change in entries:
-            if n != self.last + 1:
+            if n != self.last_index + 1:
                 continue
-            self.newest = self.newest.apply(change)
+            self.latest_state = self.latest_state.apply(change)
             self.log.append(n, change)
-            self.last = self.committed = n
-            self.state = self.newest
+            self.last_index = self.committed_index = n
+            self.state = self.latest_state
             self.applied(n, change)
             self.effects.persist(["entry", n, change, n], lambda n=n: self.lesson_synced(n, life, sender))
         self.trim()
@@ -438,14 +440,14 @@
     def lesson_synced(self, number: int, life: int, teacher: str) -> None:
         if life != self.life:
             return
-        self.synced = max(self.synced, number)
+        self.synced_index = max(self.synced_index, number)
         self.check_floor()
         self.commit_if_tail()
-        level = self.near or self.synced < self.last
+        level = self.near or self.synced_index < self.last_index
         if self.position is None and not level and not self.transfer.patience.waiting:
             self.ask_lesson(teacher)
 
-    def standing(self) -> int:
+    def status(self) -> int:
         """What its pings tell: 2 in the chain and caught up, 1 in the chain, 0 a learner that holds all but a
         lesson, -1 one that lacks more."""
         if self.position is not None:
@@ -457,7 +459,7 @@
     def read(self, answer: Callable[[Any], None]) -> None:
         """At the tail: `answer(state)` once a majority of acceptors knows no newer view; `answer(None)`
         where this is not a tail that may say."""
-        certain = self.can_commit() or self.committed == self.synced
+        certain = self.can_commit() or self.committed_index == self.synced_index
         if not self.is_tail() or not self.caught_up or not certain or self.view is None:
             answer(None)
             return
@@ -468,47 +470,49 @@
         if self.view is None:
             answer(False)
         else:
-            self.confirmations.ask(self.view, answer)
+            self.read_barrier.ask(self.view, answer)
 
     # Messages.
 
     def on_message(self, sender: str, message: Message) -> bool:
         match message:
             case ["chain-entry", number, int(n), change]:
-                if number == self.number() and sender == self.neighbour(-1) and n == self.last + 1:
+                if number == self.view_number() and sender == self.neighbour(-1) and n == self.last_index + 1:
                     self.append(n, change)
             case ["chain-behind", number]:
-                if number == self.number() and sender == self.neighbour(-1):
+                if number == self.view_number() and sender == self.neighbour(-1):
                     self.on_behind(sender)
             case ["chain-pull", number, int(n), str(digest), int(offset)]:
-                if number == self.number() and self.position is not None:
+                if number == self.view_number() and self.position is not None:
                     self.on_pull(sender, ChunkRequest(n, digest, offset))
             case ["chain-piece", number, *wire]:
-                if number == self.number() and (self.position is None or sender == self.neighbour(-1)):
+                if number == self.view_number() and (self.position is None or sender == self.neighbour(-1)):
                     self.on_piece(sender, wire)
             case ["chain-floor", number, int(n)]:
-                if number == self.number() and sender == self.neighbour(-1):
+                if number == self.view_number() and sender == self.neighbour(-1):
                     self.floor = n if self.floor is None else self.floor
                     self.check_floor()
             case ["chain-report", number, int(last), int(committed), bool(caught_up)]:
-                if number == self.number() and sender == self.neighbour(1):
+                if number == self.view_number() and sender == self.neighbour(1):
                     self.on_report(sender, last, committed, caught_up)
             case ["chain-commit", number, int(n)]:
-                if number == self.number() and sender == self.neighbour(1) and n > self.committed:
+                if number == self.view_number() and sender == self.neighbour(1) and n > self.committed_index:
                     if self.reported >= 0:
                         self.note_reported(n)
                         self.push()
                     self.advance(n)
                     if predecessor := self.neighbour(-1):
-                        self.effects.send(predecessor, ["chain-commit", self.number(), self.committed])
+                        self.effects.send(
+                            predecessor, ["chain-commit", self.view_number(), self.committed_index]
+                        )
             case ["chain-learn", number, int(place)]:
-                if number == self.number() and self.position is not None:
+                if number == self.view_number() and self.position is not None:
                     self.on_learn(sender, place)
             case ["chain-lesson", number, bool(more), list(entries)]:
-                if number == self.number() and self.position is None:
+                if number == self.view_number() and self.position is None:
                     self.on_lesson(sender, more, entries)
             case ["view-checked", int(nonce), int(number)]:
-                self.confirmations.on_checked(sender, nonce, number)
+                self.read_barrier.on_checked(sender, nonce, number)
             case _:
                 return False
         return True
--- a/plumline/coordination/soft_state.py
+++ b/plumline/coordination/soft_state.py
@@ -1,50 +1,56 @@
-"""Soft state that travels whole: the newest by number wins, and nothing of it is on a disk.
+"""Versioned soft state: values that are replicated whole, last writer wins, and are never on a disk.
 
-A number is (term of the lease under which it was told, count within it).
+A lease holder publishes a topic's value; every registrar and router keeps the value with the highest version.
+A version is (term of the lease under which the value was published, count within that term), so a holder
+whose term is over can't overwrite what its successor published.
 """
 
 from dataclasses import dataclass
 from typing import Any
 
+#: (lease term, count within the term); compared as a tuple.
 Version = tuple[int, int]
 
 
 @dataclass(frozen=True, slots=True)
 class VersionedValue:
-    """What a topic holds, and its number."""
+    """A topic's value, as it travels in messages, with its version."""
 
-    number: Version
-    payload: Any
+    version: Version
+    value: Any
 
 
 class SoftState:
-    """The newest that this process knows of each topic."""
+    """The newest known value of each topic."""
 
     def __init__(self) -> None:
-        self.told: dict[str, VersionedValue] = {}
+        self.values: dict[str, VersionedValue] = {}  # by topic
 
-    def offer(self, name: str, number: Version, payload: Any) -> bool:  # noqa: ANN401
-        """Takes it if it is newer than what is known; whether it was."""
-        known = self.told.get(name)
-        if known is not None and known.number >= number:
+    def update(self, topic: str, version: Version, value: Any) -> bool:  # noqa: ANN401
+        """Store the value if its version is above the known one; return whether it was."""
+        known = self.values.get(topic)
+        if known is not None and known.version >= version:
             return False
-        self.told[name] = VersionedValue(number, payload)
+        self.values[topic] = VersionedValue(version, value)
         return True
 
-    def payload(self, name: str) -> Any:  # noqa: ANN401
-        """None if nothing was told."""
-        return self.told[name].payload if name in self.told else None
+    def get(self, topic: str) -> Any:  # noqa: ANN401
+        """Return the topic's value, or None if none is known."""
+        return self.values[topic].value if topic in self.values else None
 
-    def next_number(self, name: str, term: int) -> Version | None:
-        """The number under which the holder of the lease of this term tells the topic next. None if somebody
-        has told it under a later term: this one is over, whatever its holder's clock says."""
-        known = self.told.get(name)
-        if known is None or known.number[0] < term:
+    def next_version(self, topic: str, term: int) -> Version | None:
+        """Return the version under which the lease holder of this term publishes the topic next.
+
+        None if the topic was published under a later term: this term is over, whatever the holder's clock
+        says, and it must not publish.
+        """
+        known = self.values.get(topic)
+        if known is None or known.version[0] < term:
             return term, 1
-        if known.number[0] > term:
+        if known.version[0] > term:
             return None
-        return term, known.number[1] + 1
+        return term, known.version[1] + 1
 
     def messages(self) -> list[list[Any]]:
-        """A message for each topic that is known."""
-        return [["topic", name, list(each.number), each.payload] for name, each in self.told.items()]
+        """Return one `topic` message for each known topic, for a peer that has none of them yet."""
+        return [["topic", topic, list(known.version), known.value] for topic, known in self.values.items()]
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -131,7 +131,7 @@
             self.caller,
             settings.node_name,
             lambda: self.held("weights"),
-            lambda: self.topics.payload("roster") or [],
+            lambda: self.topics.get("roster") or [],
             lambda: self.core.chain.state.versions,
             self.publish_marks,
             self.loop.time,
@@ -222,7 +222,7 @@
 
     def take_topic(self, name: str, number: tuple[int, int], payload: Any) -> None:  # noqa: ANN401
         """Takes a soft topic that another registrar tells, if it is newer, and tells the routers."""
-        if not self.topics.offer(name, number, payload):
+        if not self.topics.update(name, number, payload):
             return
         self.feed.tell_topic(name)
         if name == "marks":
@@ -231,26 +231,26 @@
 
     def tell_topic(self, name: str, term: int, payload: Any) -> None:  # noqa: ANN401
         """Publishes a soft topic as the holder of the lease of this term."""
-        number = self.topics.next_number(name, term)
+        number = self.topics.next_version(name, term)
         if number is None:
             self.counters.add("topics.term-over")
             return
-        self.topics.offer(name, number, payload)
+        self.topics.update(name, number, payload)
         self.feed.tell_topic(name)
         self.mesh.send_all(["topic", name, list(number), payload])
 
     def may_discover(self) -> bool:
         """The lease's holder; and any registrar that knows no list at all, as after a loss of power: nobody
         can hold the lease for a while then, and routers can do nothing without a list."""
-        return self.held("discovery") is not None or self.topics.payload("roster") is None
+        return self.held("discovery") is not None or self.topics.get("roster") is None
 
     def found_endpoints(self, roster: list[dict[str, Any]]) -> None:
         """Publishes a whole list of endpoints that this registrar has read."""
         if (term := self.held("discovery")) is not None:
             self.tell_topic("roster", term, roster)
-        elif self.topics.payload("roster") is None and roster:
+        elif self.topics.get("roster") is None and roster:
             # Below any lease's number, and for this registrar's followers only.
-            self.topics.offer("roster", (0, 0), roster)
+            self.topics.update("roster", (0, 0), roster)
             self.feed.tell_topic("roster")
         self.weights.poke()
 
--- a/plumline/registrar/feeding.py
+++ b/plumline/registrar/feeding.py
@@ -63,7 +63,7 @@
         self.patience = SILENT_HEARTBEATS * heartbeat_s
         self.followers: dict[FrameLink, Follower] = {}
         self.told_place = 0  # the highest that a follower has had from anyone
-        self.backlog = Backlog(lambda: (chain.committed, chain.state))
+        self.backlog = Backlog(lambda: (chain.committed_index, chain.state))
         self.configuration: tuple[int, Document | None] = (-1, None)  # after the entry of that number
 
     def came(self, link: FrameLink, now: float) -> None:
@@ -118,8 +118,8 @@
         """A follower that is ahead gets nothing: its place is never taken back."""
         if not follower.primary or follower.place < 0 or follower.link.busy or not self.may_feed():
             return
-        if self.backlog.newest != self.chain.committed:
-            self.backlog.restart(self.chain.committed)
+        if self.backlog.newest != self.chain.committed_index:
+            self.backlog.restart(self.chain.committed_index)
         for each in self.backlog.messages(follower.place):
             follower.link.send_packed(each.kind, each.data, ordered=True)
             follower.place = each.number
@@ -142,8 +142,8 @@
     # What all followers are told.
 
     def tell_topic(self, name: str) -> None:
-        told = self.topics.told[name]
-        self.send_all(["topic", name, list(told.number), told.payload])
+        told = self.topics.values[name]
+        self.send_all(["topic", name, list(told.version), told.value])
 
     def send_all(self, message: list[Any]) -> None:
         if self.followers:
@@ -173,7 +173,7 @@
             if (demand := summed(told)) is not None:
                 work[service].append(demand)
         count = max(len(routers), 1)
-        self.send_all(["beat", fresh, self.chain.committed, registrars, count, work])
+        self.send_all(["beat", fresh, self.chain.committed_index, registrars, count, work])
         self.catch_all_up()
 
     def alive(self, now: float) -> dict[str, Work]:
--- a/plumline/router/following.py
+++ b/plumline/router/following.py
@@ -302,7 +302,7 @@
         return RouteTable(document, table)
 
     def take_topic(self, name: str, number: tuple[int, int], payload: Any) -> None:  # noqa: ANN401
-        if not self.topics.offer(name, number, payload):
+        if not self.topics.update(name, number, payload):
             return
         if name == "roster":
             self.fleet.take_roster(payload)
--- a/tests/core_schedule.py
+++ b/tests/core_schedule.py
@@ -133,7 +133,7 @@
             self.at(0.25, try_one)
             for node in self.nodes.values():
                 if node.core and node.core.chain.is_head() and node.core.views.view == self.newest:
-                    change = self.change(len(node.core.chain.newest.ids))
+                    change = self.change(len(node.core.chain.latest_state.ids))
                     self.submit(node, change, partial(answered, change))
 
         try_one()
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -476,7 +476,7 @@
                 if node.core is None or self.now < node.thaws_at or node.core.views.view != self.newest:
                     continue
                 if not done and node.core.chain.is_head():
-                    self.submit(node, self.change(len(node.core.chain.newest.ids)), answered)
+                    self.submit(node, self.change(len(node.core.chain.latest_state.ids)), answered)
                 if done and node.core.chain.is_tail():
                     self.read(node, lambda state: answers.append(state) if state is not None else None)
 
@@ -573,7 +573,7 @@
         if to == asked.core.tail() and self.random.random() < 0.5:
             self.read(self.nodes[to])
         elif to == asked.core.head():
-            self.submit(self.nodes[to], self.change(len(asked.core.chain.newest.ids)))
+            self.submit(self.nodes[to], self.change(len(asked.core.chain.latest_state.ids)))
 
 
 def explore_tolerance(
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -449,7 +449,7 @@
     for record in node.disk:
         if record[0] in ("base", "entry", "drop", "caught-up"):
             found.restore(record)
-    return found.newest.ids
+    return found.latest_state.ids
 
 
 @contextmanager
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -78,7 +78,7 @@
     def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         if self.is_head() and self.can_commit():
             try:
-                self.newest.check(change)
+                self.latest_state.check(change)
             except PlumlineError as error:
                 answer(error)
                 return
@@ -93,14 +93,14 @@
 class AcknowledgesBeforeCommit(ChainReplica):
     def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         super().submit(change, lambda error: None)
-        if self.is_head() and self.can_commit() and self.newest is not self.state:
+        if self.is_head() and self.can_commit() and self.latest_state is not self.state:
             answer(None)
 
 
 class AcknowledgesAnUncommittedRepeat(ChainReplica):
     def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         try:
-            known = self.is_head() and self.can_commit() and self.newest.check(change)
+            known = self.is_head() and self.can_commit() and self.latest_state.check(change)
         except PlumlineError:
             known = False
         if known:
--- a/tests/test_core_explorer.py
+++ b/tests/test_core_explorer.py
@@ -41,7 +41,7 @@
 class CommitsAnywhere(ChainReplica):
     def commit_if_tail(self) -> None:
         if self.can_commit():
-            self.advance(self.synced)
+            self.advance(self.synced_index)
 
 
 class CaughtUpAtOnce(ChainReplica):
--- a/tests/test_feeding.py
+++ b/tests/test_feeding.py
@@ -18,12 +18,12 @@
     """What a feed reads of a chain; a test commits to it."""
 
     def __init__(self) -> None:
-        self.state, self.committed = State(), 0
+        self.state, self.committed_index = State(), 0
 
     def commit(self, feed: Feed, change: list[Any]) -> None:
         self.state = self.state.apply(change)
-        self.committed += 1
-        feed.applied(self.committed, change)
+        self.committed_index += 1
+        feed.applied(self.committed_index, change)
 
 
 class FakeLink:
@@ -158,7 +158,7 @@
     scene.commit(amend(400, 1), amend(401, 1))
     router.link.drain()
     assert router.take() == ["entry", "entry"]
-    assert router.place == scene.chain.committed
+    assert router.place == scene.chain.committed_index
 
 
 def test_asking_again_while_a_transfer_is_under_way_changes_nothing() -> None:
@@ -193,7 +193,7 @@
         if each in behind:
             each.place, each.state = 1, State().apply(["replace", 0, document(1, 4000)])
         each.take()
-        assert each.place == scene.chain.committed
+        assert each.place == scene.chain.committed_index
         assert each.state.configuration == scene.chain.state.configuration
         assert each.bytes < size / 5
     assert packed == ["state"]  # one packed snapshot for all of them
@@ -219,7 +219,7 @@
     scene.commit(["replace", 0, document(1, 3)])
     scene.routers[0].take()
     scene.chain.state = State().apply(["replace", 0, document(9, 3)])
-    scene.chain.committed = 12
+    scene.chain.committed_index = 12
     scene.feed.applied(12, None)
     assert scene.routers[0].take() == ["state"]
     scene.commit(amend(10, 2))
@@ -237,13 +237,13 @@
     router = scene.join("late", place=1)
     router.place = 1
     assert router.take()[0] == "state"
-    assert router.place == scene.chain.committed
+    assert router.place == scene.chain.committed_index
 
 
 def test_who_joins_a_registrar_that_may_be_cut_off_gets_no_old_topics() -> None:
     """They come with the first beat after it is fresh again, and once."""
     scene = Scene(routers=0)
-    scene.feed.topics.offer("roster", (3, 1), ["an endpoint"])
+    scene.feed.topics.update("roster", (3, 1), ["an endpoint"])
     scene.fresh = False
     link = scene.join("n").link
     scene.feed.beat(False, [], {})
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -104,7 +104,7 @@
     link.send(["state", 4, State().to_wire()])
     link.send(["entry", 6, ["weights", {"Model": "m", "Version": 9}]])
     link.send(["topic", "roster", [1, 1], []])
-    await soon(until(lambda: "roster" in follower.topics.told))
+    await soon(until(lambda: "roster" in follower.topics.values))
     assert (fleet.place, fleet.state.version, fleet.named_version("m")) == (6, 3, 2)
     # One that came too early is asked for again.
     link.send(["entry", 9, ["weights", {"Model": "m", "Version": 4}]])
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -51,7 +51,7 @@
     for name in "bc":
         world.start(world.nodes[name])
     world.settle()
-    world.put(len(world.nodes[world.chain()[0]].core.chain.newest.ids))
+    world.put(len(world.nodes[world.chain()[0]].core.chain.latest_state.ids))
 
 
 def test_the_head_is_lost_with_an_entry_that_it_did_not_pass_on() -> None:
@@ -242,13 +242,13 @@
     submit(world, "a", world.change(3))
     submit(world, "a", world.change(4))
     world.go(0.05)
-    assert b.core.chain.synced == 5
-    assert b.core.chain.committed == 3
+    assert b.core.chain.synced_index == 5
+    assert b.core.chain.committed_index == 3
     snapshot = Snapshot.of(4, [*early.ids, "c4"])
     world.deliver("a", "b", ["chain-piece", 1, *SnapshotChunk(snapshot.name, 0, snapshot.data).to_wire()])
-    assert b.core.chain.committed == 4
-    assert b.core.chain.last == 5
-    assert b.core.chain.synced == 5
+    assert b.core.chain.committed_index == 4
+    assert b.core.chain.last_index == 5
+    assert b.core.chain.synced_index == 5
     world.go(0.05)
     assert len(on_disk(b)) == 5
 
@@ -261,11 +261,11 @@
     again = ChainReplica(chain.me, 2, NoEffects(), Register(), Register.load, lambda number, change: None)
     for record in chain.records():
         again.restore(record)
-    assert (again.state, again.newest, again.last, again.synced) == (
+    assert (again.state, again.latest_state, again.last_index, again.synced_index) == (
         chain.state,
-        chain.newest,
-        chain.last,
-        chain.synced,
+        chain.latest_state,
+        chain.last_index,
+        chain.synced_index,
     )
 
 
@@ -277,21 +277,21 @@
     world.deliver("c", "b", ["chain-entry", 1, 1, change])
     world.deliver("a", "c", ["chain-entry", 1, 1, change])
     world.go(0.1)
-    assert [node.core.chain.last for node in world.nodes.values()] == [0, 0, 0]
+    assert [node.core.chain.last_index for node in world.nodes.values()] == [0, 0, 0]
     world.deliver("a", "b", ["chain-entry", 1, 1, change])
-    assert world.nodes["b"].core.chain.last == 1
+    assert world.nodes["b"].core.chain.last_index == 1
 
 
 def test_the_newest_of_a_topic_wins() -> None:
     topics = SoftState()
-    assert topics.offer("roster", (1, 2), ["x"])
-    assert not topics.offer("roster", (1, 2), ["y"])
-    assert not topics.offer("roster", (1, 1), ["y"])
-    assert topics.next_number("roster", 1) == (1, 3)
-    assert topics.next_number("roster", 2) == (2, 1)
-    assert topics.offer("roster", (2, 1), ["y"])
-    assert topics.payload("roster") == ["y"]
-    assert topics.payload("marks") is None
+    assert topics.update("roster", (1, 2), ["x"])
+    assert not topics.update("roster", (1, 2), ["y"])
+    assert not topics.update("roster", (1, 1), ["y"])
+    assert topics.next_version("roster", 1) == (1, 3)
+    assert topics.next_version("roster", 2) == (2, 1)
+    assert topics.update("roster", (2, 1), ["y"])
+    assert topics.get("roster") == ["y"]
+    assert topics.get("marks") is None
     assert topics.messages() == [["topic", "roster", [2, 1], ["y"]]]
 
 
@@ -321,13 +321,13 @@
     chain.install(View(1, (a, b, c), (a, b)))
     chain.submit(["set", 0, "c1"], lambda error: None)
     chain.install(View(2, (a, b, c), (b, c)))
-    assert (chain.last, chain.committed) == (1, 0)  # b may commit it yet
+    assert (chain.last_index, chain.committed_index) == (1, 0)  # b may commit it yet
     for records in (list(recorder.records), chain.records()):
         again = chain_of(Recorder())
         for record in records:
             again.restore(record)
-        assert (again.last, again.committed) == (1, 0)
+        assert (again.last_index, again.committed_index) == (1, 0)
         again.install(View(3, (a, b, c), (b, a)))
-        assert (again.last, again.committed) == (0, 0)
+        assert (again.last_index, again.committed_index) == (0, 0)
     chain.on_lesson(0, None, [[1, ["set", 0, "c2"]]])
     assert chain.state.ids == ("c2",)
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -335,7 +335,7 @@
     while "c" not in world.chain():
         world.go(0.01)
     chain = world.nodes["a"].core.chain
-    most = chain.log.bytes_between(world.nodes["c"].core.chain.synced, chain.last)
+    most = chain.log.bytes_between(world.nodes["c"].core.chain.synced_index, chain.last_index)
     assert most <= replication_module.CATCH_UP_BATCH_BYTES
 
 
