--- a/plumline/registrar/forwarding.py
+++ b/plumline/registrar/forwarding.py
@@ -20,53 +20,59 @@
 )
 
 #: s for the head or the tail to answer; with the ways to and from the caller well under its second.
-PATIENCE_S = 0.75
+FORWARD_TIMEOUT_S = 0.75
 #: Callers wait longer for large bodies, and these take longer to read, to sync and to pass on.
 LARGE_BODY_BYTES_PER_S = 1_000_000
-BY_CODE = {each.code: each for each in (ConfigurationInvalidError, VersionConflictError, UnavailableError)}
+ERROR_TYPES_BY_CODE = {
+    each.code: each for each in (ConfigurationInvalidError, VersionConflictError, UnavailableError)
+}
 
 Change = list[Any]
 #: An error, or None and the result.
-Outcome = Callable[[PlumlineError | None, Any], None]
+ResultCallback = Callable[[PlumlineError | None, Any], None]
 
 
 @dataclass(slots=True)
-class Pending:
+class PendingRequest:
     """A question that is out. Times are steady s."""
 
     to: str  # address of the registrar that was asked
     deadline: float
-    outcome: Outcome
+    outcome: ResultCallback
 
 
-class Relay:
+class RequestForwarder:
     """Asks the head or the tail for the requests that arrived here, and answers those that others ask."""
 
     def __init__(self, core: Core, send: Callable[[str, list[Any]], None]) -> None:
         """`send(address, message)`: to a registrar, also to this one."""
         self.core, self.send = core, send
-        self.pending: dict[str, Pending] = {}
+        self.pending: dict[str, PendingRequest] = {}
 
     # Requests that arrived here.
 
-    def submit(self, now: float, change: Change, size: int, outcome: Outcome) -> None:
+    def submit(self, now: float, change: Change, size: int, outcome: ResultCallback) -> None:
         """A change, for the head. `size`: bytes of its body."""
         self._ask(
-            now, self.core.head(), ["submit", change], PATIENCE_S + size / LARGE_BODY_BYTES_PER_S, outcome
+            now,
+            self.core.head(),
+            ["submit", change],
+            FORWARD_TIMEOUT_S + size / LARGE_BODY_BYTES_PER_S,
+            outcome,
         )
 
-    def read(self, now: float, outcome: Outcome) -> None:
+    def read(self, now: float, outcome: ResultCallback) -> None:
         """The configuration, from the tail; the result is None where there is none yet."""
-        self._ask(now, self.core.tail(), ["read"], PATIENCE_S, outcome)
+        self._ask(now, self.core.tail(), ["read"], FORWARD_TIMEOUT_S, outcome)
 
     def _ask(
-        self, now: float, to: str | None, question: list[Any], patience_s: float, outcome: Outcome
+        self, now: float, to: str | None, question: list[Any], patience_s: float, outcome: ResultCallback
     ) -> None:
         if (error := self._out_of_reach(now, to)) is not None or to is None:
             outcome(error, None)
             return
         key = secrets.token_hex(8)
-        self.pending[key] = Pending(to, now + patience_s, outcome)
+        self.pending[key] = PendingRequest(to, now + patience_s, outcome)
         self.send(to, ["ask", key, question])
 
     def _out_of_reach(self, now: float, to: str | None) -> UnavailableError | None:
@@ -92,7 +98,7 @@
     # Between registrars.
 
     def on_message(self, now: float, sender: str, message: list[Any]) -> bool:
-        """False if the message is none of the relay's."""
+        """False if the message is none of the forwarder's."""
         match message:
             case ["ask", str(key), ["submit", list(change)]]:
                 self._on_submit(now, sender, key, change)
@@ -141,4 +147,4 @@
         if code is None:
             question.outcome(None, result)
         else:
-            question.outcome(BY_CODE.get(code, UnavailableError)(text), None)
+            question.outcome(ERROR_TYPES_BY_CODE.get(code, UnavailableError)(text), None)
--- a/plumline/registrar/operator_api.py
+++ b/plumline/registrar/operator_api.py
@@ -9,13 +9,13 @@
 from plumline.coordination.core import Core
 from plumline.counters import Counters
 from plumline.errors import ConfigurationInvalidError, PlumlineError, UnavailableError
-from plumline.registrar.forwarding import Change, Outcome, Relay
+from plumline.registrar.forwarding import Change, RequestForwarder, ResultCallback
 from plumline.wire.calls import BASED_ON_VERSION, CALLS
 from plumline.wire.exchange import Exchange
 
 RETRY_AFTER = b"0.3"  # s, told with 503
-LONGEST_VERSION = 18  # digits
-INCOMING = {
+MAX_VERSION_DIGITS = 18  # digits
+CALL_NAMES = {
     (CALLS[name].method, CALLS[name].path): name
     for name in ("configuration_replace", "configuration_amend", "configuration_read", "version_put")
 }
@@ -27,12 +27,12 @@
     code, status = "not-found", 404
 
 
-class Operators:
-    """Reads requests, hands them to the relay and writes its answers."""
+class OperatorApi:
+    """Reads requests, hands them to the request forwarder and writes its answers."""
 
     def __init__(self, core: Core, send: Callable[[str, list[Any]], None], counters: Counters) -> None:
         self.counters = counters
-        self.relay = Relay(core, send)
+        self.forwarder = RequestForwarder(core, send)
         self.loop = asyncio.get_running_loop()
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -44,7 +44,7 @@
 
     async def serve(self, exchange: Exchange) -> None:
         """Answers a request, by the type of the error if there is one."""
-        name = INCOMING.get((exchange.method, exchange.path))
+        name = CALL_NAMES.get((exchange.method, exchange.path))
         try:
             if name is None:
                 raise NotFoundError("no such call")
@@ -79,17 +79,17 @@
             kind = "replace" if name == "configuration_replace" else "amend"
             change = [kind, self.based_on(exchange), body]
         now, size = self.loop.time(), len(exchange.body)
-        return await self.result(lambda outcome: self.relay.submit(now, change, size, outcome))
+        return await self.result(lambda outcome: self.forwarder.submit(now, change, size, outcome))
 
     async def read(self) -> Document:
         """The configuration; UnavailableError where there is none yet."""
         now = self.loop.time()
-        document = await self.result(lambda outcome: self.relay.read(now, outcome))
+        document = await self.result(lambda outcome: self.forwarder.read(now, outcome))
         if document is None:
             raise UnavailableError("there is no configuration yet")
         return document
 
-    async def result(self, ask: Callable[[Outcome], None]) -> Any:  # noqa: ANN401
+    async def result(self, ask: Callable[[ResultCallback], None]) -> Any:  # noqa: ANN401
         """What `ask` brings, by its outcome: the result, or its error raised."""
         future: asyncio.Future[Any] = self.loop.create_future()
 
@@ -109,6 +109,6 @@
         """The version that a change builds on; ConfigurationInvalidError unless the header names one."""
         wanted = BASED_ON_VERSION.lower().encode()
         found = [value for key, value in exchange.headers if key == wanted]
-        if len(found) != 1 or not found[0].isdigit() or len(found[0]) > LONGEST_VERSION:
+        if len(found) != 1 or not found[0].isdigit() or len(found[0]) > MAX_VERSION_DIGITS:
             raise ConfigurationInvalidError(f"{BASED_ON_VERSION}: one whole number is needed")
         return int(found[0])
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -18,8 +18,8 @@
 from plumline.counters import Counters
 from plumline.prompts.index import TOLD_PART
 from plumline.registrar.discovery import Discovery
-from plumline.registrar.operator_api import Operators
-from plumline.registrar.publisher import Feed, Work
+from plumline.registrar.operator_api import OperatorApi
+from plumline.registrar.publisher import FeedPublisher, ServiceLoads
 from plumline.registrar.stores import Stores
 from plumline.registrar.weights import Weights
 from plumline.settings import Settings, SettingsFile
@@ -30,21 +30,21 @@
 from plumline.wire.mesh import Mesh
 from plumline.wire.server import Server
 
-STEP = 0.05  # s between steps of the core
-BEAT = 0.4  # s between beats to routers
-SICK_AFTER = 0.6  # s that a write may wait for the disk before the machine says so
-DEAD_LINK = 1.5  # s without an echo after which a link is opened anew
-DISCOVERY_LEASE = 1.2  # s; with no rest: the calls of two holders do no harm but their price
-WEIGHTS_LEASE = 1.0  # s
-MARGIN = 0.4  # s added to the rest that the deployment asks for
-SUMMARY = 10.0  # s between summaries of the counters
-MOST_TOLD = 500  # parts in one message
-CLOSE_S = 1.5  # s of the grace period kept for answers under way and the last writes
+STEP_INTERVAL_S = 0.05  # s between steps of the core
+HEARTBEAT_INTERVAL_S = 0.4  # s between beats to routers
+STALLED_WRITE_S = 0.6  # s that a write may wait for the disk before the machine says so
+LINK_TIMEOUT_S = 1.5  # s without an echo after which a link is opened anew
+DISCOVERY_LEASE_S = 1.2  # s; with no rest: the calls of two holders do no harm but their price
+WEIGHTS_LEASE_S = 1.0  # s
+LEASE_REST_MARGIN_S = 0.4  # s added to the rest that the deployment asks for
+COUNTERS_LOG_INTERVAL_S = 10.0  # s between summaries of the counters
+MAX_EVENTS_PER_MESSAGE = 500  # parts in one message
+SHUTDOWN_RESERVE_S = 1.5  # s of the grace period kept for answers under way and the last writes
 
 log = logs.logger("registrar")
 
 
-class Registrar:
+class RegistrarProcess:
     """Effects of the core are this object's `send` and `persist`."""
 
     def __init__(self, settings: Settings, settings_file: SettingsFile | None = None) -> None:
@@ -58,7 +58,7 @@
         records, incarnation = self.open_store()
         self.mesh = self._make_mesh()
         self.core = self._make_core((self.address, incarnation))
-        self.feed = Feed(
+        self.feed = FeedPublisher(
             self.core.chain,
             self.topics,
             self.counters,
@@ -68,9 +68,9 @@
         if settings.data_directory is not None:
             self.writer = DurableWriter(self.file, self.loop, self.image)
             self.persist(["incarnation", incarnation], self.known.set)
-        self.operators = Operators(self.core, self.send, self.counters)
+        self.operators = OperatorApi(self.core, self.send, self.counters)
         self.zones: dict[str, str] = {self.address: settings.zone}  # of registrars, by address
-        self.elsewhere: dict[str, tuple[float, dict[str, Work]]] = {}  # followers of other registrars
+        self.elsewhere: dict[str, tuple[float, dict[str, ServiceLoads]]] = {}  # followers of other registrars
         self.caller = Caller(self.loop.time)
         self._make_jobs()
         self.server: Server | None = None
@@ -95,7 +95,7 @@
 
     def _make_core(self, me: Member) -> Core:
         settings = self.settings
-        rest = settings.bounds.lease_duration_ms / 1000 + MARGIN
+        rest = settings.bounds.lease_duration_ms / 1000 + LEASE_REST_MARGIN_S
         return Core(
             me=me,
             seeds=settings.seeds,
@@ -105,8 +105,8 @@
             empty=State(),
             load=State.from_wire,
             leases={
-                "discovery": Terms(DISCOVERY_LEASE, 0.0),
-                "weights": Terms(WEIGHTS_LEASE, rest),
+                "discovery": Terms(DISCOVERY_LEASE_S, 0.0),
+                "weights": Terms(WEIGHTS_LEASE_S, rest),
             },
             now=self.loop.time(),
             chance=random.Random(secrets.randbits(64)),
@@ -173,7 +173,7 @@
         try:
             if self.core.on_message(now, sender, message):
                 return
-            if self.operators.relay.on_message(now, sender, message):
+            if self.operators.forwarder.on_message(now, sender, message):
                 return
             match message:
                 case ["topic", str(name), [int(term), int(count)], payload]:
@@ -273,8 +273,8 @@
         if lost:
             self.counters.add("stores.events-lost")
         told = [each for each in changes if each[3] >= TOLD_PART or each[0] == "-"]
-        for start in range(0, max(len(told), 1), MOST_TOLD):
-            stored = ["stored", epoch, told[start : start + MOST_TOLD]]
+        for start in range(0, max(len(told), 1), MAX_EVENTS_PER_MESSAGE):
+            stored = ["stored", epoch, told[start : start + MAX_EVENTS_PER_MESSAGE]]
             news = ["news", f"{address[0]}:{address[1]}", [stored]]
             self.feed.pass_news(news)
             self.mesh.send_all(news)
@@ -308,24 +308,26 @@
         beat_at = told_at = summary_at = 0.0
         while True:
             now = self.loop.time()
-            self.core.sick = self.writer.broken is not None or (self.writer.oldest_pending(now) > SICK_AFTER)
+            self.core.sick = self.writer.broken is not None or (
+                self.writer.oldest_pending(now) > STALLED_WRITE_S
+            )
             if (changed := self.settings_file.changed(now)) is not None:
                 self.core.set_seeds(changed.seeds)
             self.core.tick(now)
-            self.operators.relay.tick(now)
+            self.operators.forwarder.tick(now)
             self.note_leases(now)
             if now >= beat_at:
-                beat_at = now + BEAT
+                beat_at = now + HEARTBEAT_INTERVAL_S
                 self.beat(now)
             if now >= told_at:
                 told_at = now + 1.0
                 self.mesh.send_all(["followers", self.feed.alive(now)])
                 self.mesh.want(set(self.core.contacts.peers))
             if now >= summary_at:
-                summary_at = now + SUMMARY
+                summary_at = now + COUNTERS_LOG_INTERVAL_S
                 for line in self.counters.lines():
                     log.info(line)
-            await asyncio.sleep(STEP)
+            await asyncio.sleep(STEP_INTERVAL_S)
 
     def note_leases(self, now: float) -> None:
         """Wakes the jobs of a lease that was won or lost."""
@@ -341,7 +343,7 @@
     def beat(self, now: float) -> None:
         """Beats to the routers, and opens dead links anew."""
         for address in list(self.mesh.links):
-            if self.core.contacts.unheard_for(now, address) > DEAD_LINK:
+            if self.core.contacts.unheard_for(now, address) > LINK_TIMEOUT_S:
                 self.core.contacts.know(now, address)
                 self.mesh.renew(address)
         view = self.core.views.view
@@ -349,10 +351,10 @@
         followed = [[address, self.zones.get(address, "")] for address in known]
         self.feed.beat(self.core.fresh(now), followed, self.routers(now))
 
-    def routers(self, now: float) -> dict[str, Work]:
+    def routers(self, now: float) -> dict[str, ServiceLoads]:
         """Routers alive anywhere, as far as told, and their work."""
         patience = self.feed.patience + 1.0
-        found: dict[str, Work] = {}
+        found: dict[str, ServiceLoads] = {}
         for at, routers in self.elsewhere.values():
             if now - at < patience:
                 found.update(routers)
@@ -406,10 +408,10 @@
     async def hand_over(self) -> None:
         """Until the others need nothing more of this registrar, or the grace period is nearly over."""
         began = now = self.loop.time()
-        deadline = began + max(0.0, self.settings.bounds.grace_period_s - CLOSE_S)
+        deadline = began + max(0.0, self.settings.bounds.grace_period_s - SHUTDOWN_RESERVE_S)
         self.core.leave(now)
         while (duty := self.core.remaining_duty(now)) is not None and now < deadline:
-            await asyncio.sleep(STEP)
+            await asyncio.sleep(STEP_INTERVAL_S)
             now = self.loop.time()
         if duty is None:
             log.info(logs.words("handed-over", seconds=round(now - began, 2)))
@@ -427,4 +429,4 @@
 
 async def run(settings: Settings, settings_file: SettingsFile | None = None) -> None:
     """Runs a registrar until SIGTERM."""
-    await Registrar(settings, settings_file).run()
+    await RegistrarProcess(settings, settings_file).run()
--- a/plumline/registrar/publisher.py
+++ b/plumline/registrar/publisher.py
@@ -16,38 +16,38 @@
 from plumline.coordination.topics import Topics
 from plumline.counters import Counters
 from plumline.errors import FrameError
-from plumline.registrar.publish_buffer import Backlog
+from plumline.registrar.publish_buffer import PublishBuffer
 from plumline.routing.shares import summed
 from plumline.wire.frames import FrameLink, pack
 
-SILENT_HEARTBEATS = 3  # of its interval, after which a follower no longer counts as alive
+MAX_MISSED_HEARTBEATS = 3  # of its interval, after which a follower no longer counts as alive
 
 #: By service: ms of endpoints' time a second for short and for long requests; then, where shares are
 #: reserved, what the tenants ask for (routing.shares.Told).
-Work = dict[str, list[Any]]
+ServiceLoads = dict[str, list[Any]]
 
 
-def is_rates(rates: Any) -> bool:  # noqa: ANN401
-    """Whether it has the shape of what `Work` holds for a service; a sum checks the tenants' part."""
+def is_load_report(rates: Any) -> bool:  # noqa: ANN401
+    """Whether it has the shape of what `ServiceLoads` holds for a service; a sum checks the tenants' part."""
     if not isinstance(rates, list) or not 2 <= len(rates) <= 3:
         return False
     return all(type(each) in (int, float) and 0 <= each < math.inf for each in rates[:2])
 
 
 @dataclass(slots=True)
-class Follower:
+class Subscriber:
     """A router on its link."""
 
     link: FrameLink
     node: str
     place: int = -1  # number of the newest entry it has or was sent; -1: it has not said yet
     heard: float = 0.0
-    work: Work = field(default_factory=dict)
+    work: ServiceLoads = field(default_factory=dict)
     primary: bool = False  # takes entries, and news of prompts, from here
     has_topics: bool = False  # was sent all soft topics that were known
 
 
-class Feed:
+class FeedPublisher:
     """Routers that follow this registrar. They are also those that it watches: `alive` names them."""
 
     def __init__(
@@ -60,15 +60,15 @@
     ) -> None:
         """`may_feed`: whether this registrar surely knows the newest entries."""
         self.chain, self.topics, self.counters, self.may_feed = chain, topics, counters, may_feed
-        self.patience = SILENT_HEARTBEATS * heartbeat_s
-        self.followers: dict[FrameLink, Follower] = {}
+        self.patience = MAX_MISSED_HEARTBEATS * heartbeat_s
+        self.followers: dict[FrameLink, Subscriber] = {}
         self.told_place = 0  # the highest that a follower has had from anyone
-        self.backlog = Backlog(lambda: (chain.committed, chain.state))
+        self.backlog = PublishBuffer(lambda: (chain.committed, chain.state))
         self.configuration: tuple[int, Document | None] = (-1, None)  # after the entry of that number
 
     def came(self, link: FrameLink, now: float) -> None:
         assert link.peer is not None
-        self.followers[link] = Follower(link, link.peer["node"], heard=now)
+        self.followers[link] = Subscriber(link, link.peer["node"], heard=now)
         link.on_drained = self.drained
 
     def went(self, link: FrameLink) -> None:
@@ -90,7 +90,7 @@
                 follower.primary = primary
                 self.catch_up(follower)
             case ["heartbeat", int(), dict(work)]:
-                if not all(map(is_rates, work.values())):
+                if not all(map(is_load_report, work.values())):
                     raise FrameError("a heartbeat with a malformed rate")
                 follower.work = work
             case _:
@@ -98,7 +98,7 @@
 
     # Entries.
 
-    def follow(self, follower: Follower, place: int) -> None:
+    def follow(self, follower: Subscriber, place: int) -> None:
         self.told_place = max(self.told_place, place)
         if follower.place >= 0 and follower.link.busy and follower.primary:
             return  # what it asks for is on its way
@@ -106,7 +106,7 @@
         self.tell_topics(follower)
         self.catch_up(follower)
 
-    def tell_topics(self, follower: Follower) -> None:
+    def tell_topics(self, follower: Subscriber) -> None:
         """All soft topics, once, and not while this registrar may know old ones only."""
         if follower.place < 0 or follower.has_topics or not self.may_feed():
             return
@@ -114,7 +114,7 @@
         for each in self.topics.messages():
             follower.link.send(each)
 
-    def catch_up(self, follower: Follower) -> None:
+    def catch_up(self, follower: Subscriber) -> None:
         """A follower that is ahead gets nothing: its place is never taken back."""
         if not follower.primary or follower.place < 0 or follower.link.busy or not self.may_feed():
             return
@@ -159,9 +159,9 @@
             if follower.primary and follower.link is not origin:
                 follower.link.send_packed("news", data)
 
-    def beat(self, fresh: bool, registrars: list[list[str]], routers: dict[str, Work]) -> None:
+    def beat(self, fresh: bool, registrars: list[list[str]], routers: dict[str, ServiceLoads]) -> None:
         """`registrars`: [address, zone] of those that can be followed; `routers`: all that are alive."""
-        work: Work = {}
+        work: ServiceLoads = {}
         demands: dict[str, list[Any]] = {}
         for each in routers.values():
             for service, (short, long, *demand) in each.items():
@@ -176,6 +176,6 @@
         self.send_all(["beat", fresh, self.chain.committed, registrars, count, work])
         self.catch_all_up()
 
-    def alive(self, now: float) -> dict[str, Work]:
+    def alive(self, now: float) -> dict[str, ServiceLoads]:
         """The work of each follower that was heard of late, by name."""
         return {each.node: each.work for each in self.followers.values() if now - each.heard < self.patience}
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -1,4 +1,4 @@
-"""Operators over relays over whole cores, in the hand-stepped world: what they see must hold together.
+"""Operators over forwarders over whole cores, in the hand-stepped world: what they see must hold together.
 
 Operators send real changes of the configuration to any registrar, several at a time and on the same version,
 and send them again, unchanged, whenever no clear answer came; also long after they were acknowledged.
@@ -17,13 +17,13 @@
 from plumline.coordination import chain as chain_module
 from plumline.coordination.effects import Message
 from plumline.errors import ConfigurationInvalidError, PlumlineError, VersionConflictError
-from plumline.registrar.forwarding import Relay
+from plumline.registrar.forwarding import RequestForwarder
 from tests import core_world
 from tests.core_register import ViolationError
 from tests.core_schedule import Schedule
 from tests.core_world import KEPT, TICK_S, Node
 
-Ask = Callable[[Relay, float, Callable[..., None]], None]
+Ask = Callable[[RequestForwarder, float, Callable[..., None]], None]
 Told = Callable[[PlumlineError | None, Any], None]
 
 SILENCE_S = 1.0  # a caller leaves after so long
@@ -158,11 +158,18 @@
 
 
 class ControlWorld(Schedule):
-    """`relay`: the class of relay that every registrar has."""
-
-    def __init__(self, seed: int, size: int = 3, *, relay: type[Relay] = Relay, **kwargs: Any) -> None:  # noqa: ANN401
-        self.relay_class = relay
-        self.relays: dict[str, Relay] = {}
+    """`forwarder`: the class of the request forwarder that every registrar has."""
+
+    def __init__(
+        self,
+        seed: int,
+        size: int = 3,
+        *,
+        forwarder: type[RequestForwarder] = RequestForwarder,
+        **kwargs: Any,  # noqa: ANN401
+    ) -> None:
+        self.forwarder_class = forwarder
+        self.forwarders: dict[str, RequestForwarder] = {}
         self.settled_orders: list[Order] = []
         self.by_version: dict[int, str] = {}  # version -> id acknowledged under it
         self.acknowledged_version = 0
@@ -175,16 +182,16 @@
     def start_core(self, node: Node) -> None:
         super().start_core(node)
         assert node.core is not None
-        self.relays[node.name] = self.relay_class(node.core, node.core.effects.send)
-        self.tick_relay(node, node.life)
+        self.forwarders[node.name] = self.forwarder_class(node.core, node.core.effects.send)
+        self.tick_forwarder(node, node.life)
 
     def freeze(self, node: Node, seconds: float) -> None:
         node.thaws_at = max(node.thaws_at, self.now + seconds)  # what is held back waits for the longer one
 
-    def tick_relay(self, node: Node, life: int) -> None:
+    def tick_forwarder(self, node: Node, life: int) -> None:
         def step() -> None:
-            self.relays[node.name].tick(self.now + node.offset)
-            self.at(TICK_S, lambda: self.tick_relay(node, life))
+            self.forwarders[node.name].tick(self.now + node.offset)
+            self.at(TICK_S, lambda: self.tick_forwarder(node, life))
 
         self.guard(node, life, step)
 
@@ -195,7 +202,7 @@
         node = self.nodes[to]
 
         def step() -> None:
-            if not self.relays[to].on_message(self.now + node.offset, sender, message):
+            if not self.forwarders[to].on_message(self.now + node.offset, sender, message):
                 raise ViolationError(f"nobody knows {message}")
             self.after(node)
 
@@ -235,7 +242,7 @@
                 raise ViolationError(f"{node.name} is silent for {SILENCE_S} s to a call of {began:.3f} s")
 
         self.at(SILENCE_S, overdue)
-        ask(self.relays[node.name], self.now + node.offset, outcome)
+        ask(self.forwarders[node.name], self.now + node.offset, outcome)
 
     def saw(self, error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
         """Counts answers by kind."""
@@ -244,7 +251,7 @@
     def submit_at(self, node: Node, change: list[Any], told: Told) -> None:
         """Whatever a registrar answers is held against all else that is known, also if the answer is lost."""
 
-        def ask(relay: Relay, now: float, outcome: Callable[..., None]) -> None:
+        def ask(forwarder: RequestForwarder, now: float, outcome: Callable[..., None]) -> None:
             def judged(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
                 if error is None:
                     self.on_taken(change)
@@ -252,7 +259,7 @@
                     self.on_refusal(change, error)
                 outcome(error, result)
 
-            relay.submit(now, change, 100, judged)
+            forwarder.submit(now, change, 100, judged)
 
         self.request(node, ask, told)
 
@@ -264,7 +271,7 @@
     def read(self, name: str, learn: Callable[[int], None], node: Node | None = None) -> None:  # type: ignore[override]
         floor = self.acknowledged_version
 
-        def ask(relay: Relay, now: float, outcome: Callable[..., None]) -> None:
+        def ask(forwarder: RequestForwarder, now: float, outcome: Callable[..., None]) -> None:
             def judged(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
                 version = result["Version"] if result else 0
                 if error is None and version < floor:
@@ -273,7 +280,7 @@
                     self.judge_read(result)
                 outcome(error, result)
 
-            relay.read(now, judged)
+            forwarder.read(now, judged)
 
         def told(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
             if error is None:
@@ -330,7 +337,9 @@
 
     def read_now(self, node: Node) -> tuple[PlumlineError | None, float]:
         """A read's error and the time that it took."""
-        return self.wait(lambda told: self.request(node, lambda relay, now, out: relay.read(now, out), told))
+        return self.wait(
+            lambda told: self.request(node, lambda forwarder, now, out: forwarder.read(now, out), told)
+        )
 
     def change_now(self, node: Node) -> tuple[PlumlineError | None, float]:
         """The same of a change on the version in place."""
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -167,7 +167,7 @@
     yield pytest.param({"cuts": True, "seconds": 22.0}, unknown, id="RefusesUnknownModels")
     yield pytest.param({}, patch.object(History, "match", knows_no_repeat), id="KnowsNoRepeat")
     yield pytest.param(few, patch.object(History, "match", knows_no_content), id="TakesAnyBodyForTheRepeat")
-    yield pytest.param({}, patch.object(forwarding, "PATIENCE_S", 3.0), id="WaitsLongerThanItsCallers")
+    yield pytest.param({}, patch.object(forwarding, "FORWARD_TIMEOUT_S", 3.0), id="WaitsLongerThanItsCallers")
 
 
 @pytest.mark.parametrize(("how", "without"), list(guards()))
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,11 +1,11 @@
-"""What a registrar's relay asks, whose answers it takes, and for how long it waits."""
+"""What a registrar's request forwarder asks, whose answers it takes, and for how long it waits."""
 
 from typing import Any
 
 import pytest
 
 from plumline.errors import PlumlineError, UnavailableError, VersionConflictError
-from plumline.registrar.forwarding import LARGE_BODY_BYTES_PER_S, PATIENCE_S, Relay
+from plumline.registrar.forwarding import FORWARD_TIMEOUT_S, LARGE_BODY_BYTES_PER_S, RequestForwarder
 
 CHANGE = ["amend", 1, {"Version": 2}]
 
@@ -31,7 +31,7 @@
 
 
 class Core:
-    """As much of a core as the relay looks at."""
+    """As much of a core as the request forwarder looks at."""
 
     def __init__(self) -> None:
         self.me = ("me", "1")
@@ -53,12 +53,12 @@
     def __init__(self) -> None:
         self.core = Core()
         self.sent: list[tuple[str, list[Any]]] = []
-        self.relay = Relay(self.core, lambda to, message: self.sent.append((to, message)))  # type: ignore[arg-type]
+        self.forwarder = RequestForwarder(self.core, lambda to, message: self.sent.append((to, message)))  # type: ignore[arg-type]
         self.answers: list[tuple[PlumlineError | None, Any]] = []
 
     def submit(self, size: int = 0) -> str:
         """The key of the question that went out."""
-        self.relay.submit(0.0, CHANGE, size, self.take)
+        self.forwarder.submit(0.0, CHANGE, size, self.take)
         return self.sent[-1][1][1]
 
     def take(self, error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
@@ -73,37 +73,39 @@
     key = scene.submit()
     assert scene.sent == [("head", ["ask", key, ["submit", CHANGE]])]
     for _ in range(2):
-        assert scene.relay.on_message(0.1, "head", ["answer", key, None, "", {"taken": True}])
-    scene.relay.tick(60.0)
+        assert scene.forwarder.on_message(0.1, "head", ["answer", key, None, "", {"taken": True}])
+    scene.forwarder.tick(60.0)
     assert scene.answers == [(None, {"taken": True})]
 
 
 def test_an_error_keeps_its_type() -> None:
     scene = Scene()
     key = scene.submit()
-    scene.relay.on_message(0.1, "head", ["answer", key, "version-conflict", "no", None])
+    scene.forwarder.on_message(0.1, "head", ["answer", key, "version-conflict", "no", None])
     assert isinstance(scene.answers[0][0], VersionConflictError) and scene.answers[0][0].text == "no"
 
 
 def test_an_answer_counts_only_from_whom_was_asked_and_in_time() -> None:
     scene = Scene()
     key = scene.submit()
-    scene.relay.on_message(0.1, "another", ["answer", key, "version-conflict", "no", None])
+    scene.forwarder.on_message(0.1, "another", ["answer", key, "version-conflict", "no", None])
     assert scene.answers == []
-    scene.relay.tick(PATIENCE_S - 0.01)
+    scene.forwarder.tick(FORWARD_TIMEOUT_S - 0.01)
     assert scene.answers == []
-    scene.relay.tick(PATIENCE_S)
+    scene.forwarder.tick(FORWARD_TIMEOUT_S)
     assert scene.unavailable()
-    scene.relay.on_message(PATIENCE_S + 0.1, "head", ["answer", key, "version-conflict", "no", None])
+    scene.forwarder.on_message(
+        FORWARD_TIMEOUT_S + 0.1, "head", ["answer", key, "version-conflict", "no", None]
+    )
     assert scene.unavailable()
 
 
 def test_a_large_body_is_waited_for_longer() -> None:
     scene = Scene()
     scene.submit(size=2 * LARGE_BODY_BYTES_PER_S)
-    scene.relay.tick(PATIENCE_S + 1.99)
+    scene.forwarder.tick(FORWARD_TIMEOUT_S + 1.99)
     assert scene.answers == []
-    scene.relay.tick(PATIENCE_S + 2.0)
+    scene.forwarder.tick(FORWARD_TIMEOUT_S + 2.0)
     assert scene.unavailable()
 
 
@@ -116,7 +118,7 @@
         scene.core.majority = False
     else:
         scene.core.contacts.silent.add("head")
-    scene.relay.submit(0.0, CHANGE, 4_000_000, scene.take)
+    scene.forwarder.submit(0.0, CHANGE, 4_000_000, scene.take)
     assert scene.unavailable() and not scene.sent
 
 
@@ -128,7 +130,7 @@
         scene.core.majority = False
     else:
         scene.core.contacts.silent.add("head")
-    scene.relay.tick(0.05)
+    scene.forwarder.tick(0.05)
     assert scene.unavailable()
 
 
@@ -136,7 +138,7 @@
     scene = Scene()
     scene.core.majority = False
     for question in (["submit", CHANGE], ["read"]):
-        assert scene.relay.on_message(0.0, "asker", ["ask", "k", question])
+        assert scene.forwarder.on_message(0.0, "asker", ["ask", "k", question])
         to, message = scene.sent.pop()
         assert (to, message[:3]) == ("asker", ["answer", "k", "unavailable"])
     assert not scene.core.chain.submitted and not scene.core.chain.reads
@@ -144,17 +146,17 @@
 
 def test_the_head_and_the_tail_answer_whoever_asked() -> None:
     scene = Scene()
-    scene.relay.on_message(0.0, "asker", ["ask", "k", ["submit", CHANGE]])
+    scene.forwarder.on_message(0.0, "asker", ["ask", "k", ["submit", CHANGE]])
     change, answer = scene.core.chain.submitted[0]
     assert change == CHANGE and not scene.sent
     answer(None)
     assert scene.sent.pop() == ("asker", ["answer", "k", None, "", {"taken": True}])
-    scene.relay.on_message(0.0, "asker", ["ask", "k", ["read"]])
+    scene.forwarder.on_message(0.0, "asker", ["ask", "k", ["read"]])
     scene.core.chain.reads[0](None)
     assert scene.sent.pop()[1][2] == "unavailable"
 
 
-def test_other_messages_are_not_the_relays() -> None:
+def test_other_messages_are_not_the_forwarders() -> None:
     scene = Scene()
     for message in (["ping", 1], ["ask", 7, ["read"]], ["ask", "k", ["drop"]], ["answer", "k", 5, "", None]):
-        assert not scene.relay.on_message(0.0, "x", message)
+        assert not scene.forwarder.on_message(0.0, "x", message)
--- a/tests/test_forwarding_properties.py
+++ b/tests/test_forwarding_properties.py
@@ -16,12 +16,12 @@
 from virtual_net import VirtualLoop
 
 from plumline.errors import PlumlineError, UnavailableError, VersionConflictError
-from plumline.registrar.forwarding import Relay
+from plumline.registrar.forwarding import RequestForwarder
 
 NAMES = ("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
 ASKS = 30
 TICK_S = 0.05
-NO_ANSWER_S = 20.0  # a relay answers long before, whatever comes
+NO_ANSWER_S = 20.0  # a forwarder answers long before, whatever comes
 
 
 class Chain:
@@ -47,10 +47,10 @@
         self.chance = chance
         self.answers = 0  # that were clear
         self.chains = {name: Chain(chance) for name in NAMES}
-        self.relays = {name: self.relay(name) for name in NAMES}
+        self.forwarders = {name: self.forwarder(name) for name in NAMES}
 
-    def relay(self, name: str) -> Relay:
-        """A registrar's relay, whose core knows head and tail and is never cut off."""
+    def forwarder(self, name: str) -> RequestForwarder:
+        """A registrar's request forwarder, whose core knows head and tail and is never cut off."""
         core: Any = SimpleNamespace(
             me=(name, "1"),
             head=lambda: NAMES[0],
@@ -59,11 +59,11 @@
             has_majority=lambda now: True,
             contacts=SimpleNamespace(alive=lambda now, address: True),
         )
-        return Relay(core, lambda to, message: self.send(name, to, message))
+        return RequestForwarder(core, lambda to, message: self.send(name, to, message))
 
     async def tick(self) -> None:
         while True:
-            for each in self.relays.values():
+            for each in self.forwarders.values():
                 each.tick(asyncio.get_running_loop().time())
             await asyncio.sleep(TICK_S)
 
@@ -77,13 +77,13 @@
             loop.call_later(delay, self.deliver, sender, to, each)
 
     def deliver(self, sender: str, to: str, message: list[Any]) -> None:
-        assert self.relays[to].on_message(asyncio.get_running_loop().time(), sender, message)
+        assert self.forwarders[to].on_message(asyncio.get_running_loop().time(), sender, message)
 
 
 async def ask(network: Network, number: int) -> None:
     loop, chance = asyncio.get_running_loop(), network.chance
     await asyncio.sleep(chance.uniform(0, 2))
-    asker = network.relays[chance.choice(NAMES)]
+    asker = network.forwarders[chance.choice(NAMES)]
     answered: asyncio.Future[tuple[PlumlineError | None, Any]] = loop.create_future()
 
     def outcome(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
@@ -124,7 +124,7 @@
     network: Network = virtual_net.run(lambda loop: play(loop, seed))
     submitted = network.chains[NAMES[0]].submitted
     assert len(submitted) == len(set(submitted))  # an ask goes out once
-    assert not any(each.pending for each in network.relays.values())
+    assert not any(each.pending for each in network.forwarders.values())
     assert network.answers > 0
 
 
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -10,7 +10,7 @@
 from plumline.coordination.topics import Topics
 from plumline.counters import Counters
 from plumline.registrar import publish_buffer
-from plumline.registrar.publisher import Feed
+from plumline.registrar.publisher import FeedPublisher
 from plumline.wire.frames import Unpacker
 
 
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.state, self.committed = State(), 0
 
-    def commit(self, feed: Feed, change: list[Any]) -> None:
+    def commit(self, feed: FeedPublisher, change: list[Any]) -> None:
         self.state = self.state.apply(change)
         self.committed += 1
         feed.applied(self.committed, change)
@@ -95,7 +95,7 @@
 
     def __init__(self, routers: int = 1) -> None:
         self.chain, self.fresh = FakeChain(), True
-        self.feed = Feed(self.chain, Topics(), Counters(), 1.2, lambda: self.fresh)  # type: ignore[arg-type]
+        self.feed = FeedPublisher(self.chain, Topics(), Counters(), 1.2, lambda: self.fresh)  # type: ignore[arg-type]
         self.routers = [self.join(f"n{at}") for at in range(routers)]
 
     def join(self, node: str, place: int = 0, primary: bool = True) -> Router:
@@ -197,7 +197,7 @@
         assert each.state.configuration == scene.chain.state.configuration
         assert each.bytes < size / 5
     assert packed == ["state"]  # one packed snapshot for all of them
-    assert scene.feed.backlog.bytes <= publish_buffer.KEPT_BYTES
+    assert scene.feed.backlog.bytes <= publish_buffer.MAX_BUFFERED_BYTES
 
 
 def test_a_replaced_configuration_is_told_as_what_it_changes() -> None:
@@ -228,7 +228,7 @@
 
 
 def test_entries_kept_for_followers_are_bounded_by_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(publish_buffer, "KEPT_BYTES", 2000)
+    monkeypatch.setattr(publish_buffer, "MAX_BUFFERED_BYTES", 2000)
     scene = Scene()
     scene.commit(["replace", 0, document(1, 20)])
     for version in range(2, 100):
--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -9,7 +9,7 @@
 
 from plumline.coordination.keeper import Duty
 from plumline.registrar import process
-from plumline.registrar.process import CLOSE_S, Registrar
+from plumline.registrar.process import SHUTDOWN_RESERVE_S, RegistrarProcess
 from plumline.settings import Bounds, Settings
 
 PORTS = (47_641, 47_655)
@@ -26,7 +26,7 @@
     )
 
 
-async def formed(registrar: Registrar) -> None:
+async def formed(registrar: RegistrarProcess) -> None:
     """Steps it by hand until it is the head of a chain of one."""
     await registrar.known.wait()
     now = registrar.loop.time()
@@ -38,7 +38,7 @@
 
 @play
 async def test_a_registrar_goes_on_from_its_disk_and_commits_what_is_on_it(tmp_path: Path) -> None:
-    first = Registrar(settings_for(tmp_path))
+    first = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(first))
     taken = first.loop.create_future()
     change = ["weights", {"Model": "m", "Version": 3}]
@@ -46,7 +46,7 @@
     assert await soon(taken) is None
     first.writer.close()
     # What was the newest entry as it ended is committed as the next life begins, before any message came.
-    second = Registrar(settings_for(tmp_path))
+    second = RegistrarProcess(settings_for(tmp_path))
     assert second.core.me == first.core.me
     assert second.core.chain.state.versions == {"m": 3}
     assert second.core.chain.is_head() and second.core.chain.caught_up
@@ -55,9 +55,9 @@
 
 @play
 async def test_a_registrar_without_its_disk_is_another_incarnation_and_no_member(tmp_path: Path) -> None:
-    first = Registrar(settings_for(tmp_path / "one"))
+    first = RegistrarProcess(settings_for(tmp_path / "one"))
     await soon(formed(first))
-    second = Registrar(settings_for(tmp_path / "two"))
+    second = RegistrarProcess(settings_for(tmp_path / "two"))
     assert second.core.me[0] == first.core.me[0]
     assert second.core.me[1] != first.core.me[1]
     assert second.core.views.view is None
@@ -80,7 +80,7 @@
 @play
 async def test_a_registrar_that_knows_nothing_refuses_nothing(tmp_path: Path) -> None:
     """It says at once that another should be asked: before it has a view, and before any configuration."""
-    registrar = Registrar(settings_for(tmp_path))
+    registrar = RegistrarProcess(settings_for(tmp_path))
     calls = [
         Exchange("GET", "/Configuration.Read"),
         Exchange("POST", "/Configuration.Replace", b'{"Version":1}'),
@@ -103,7 +103,7 @@
 
 @play
 async def test_orders_are_acknowledged_repeated_and_refused_over_http(tmp_path: Path) -> None:
-    registrar = Registrar(settings_for(tmp_path))
+    registrar = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(registrar))
 
     async def status(body: bytes, based_on: bytes, path: str = "/Configuration.Replace") -> int:
@@ -124,11 +124,11 @@
 
 @play
 async def test_a_registrar_that_is_alone_ends_without_waiting(tmp_path: Path) -> None:
-    registrar = Registrar(settings_for(tmp_path))
+    registrar = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(registrar))
     began = registrar.loop.time()
     await soon(registrar.hand_over())
-    assert registrar.loop.time() - began < CLOSE_S
+    assert registrar.loop.time() - began < SHUTDOWN_RESERVE_S
     assert registrar.core.keeper.leaving
     assert registrar.counters.get("leave.incomplete") == 0
     registrar.writer.close()
@@ -138,8 +138,8 @@
 async def test_a_registrar_ends_within_the_grace_period_and_says_what_it_could_not_hand_over(
     tmp_path: Path,
 ) -> None:
-    settings = replace(settings_for(tmp_path), bounds=Bounds(grace_period_s=CLOSE_S + 0.1))
-    registrar = Registrar(settings)
+    settings = replace(settings_for(tmp_path), bounds=Bounds(grace_period_s=SHUTDOWN_RESERVE_S + 0.1))
+    registrar = RegistrarProcess(settings)
     await soon(formed(registrar))
     registrar.core.remaining_duty = lambda now: Duty.REPLICA
     with patch.object(process, "log") as log:
@@ -151,7 +151,7 @@
 
 @play
 async def test_a_registrar_ends_as_soon_as_its_duties_are_handed_over(tmp_path: Path) -> None:
-    registrar = Registrar(settings_for(tmp_path))
+    registrar = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(registrar))
     duties = [Duty.LEASE, Duty.REPLICA, Duty.ACCEPTOR, None]
     registrar.core.remaining_duty = lambda now: duties.pop(0)
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -15,7 +15,7 @@
 from plumline.lab import Pace, flood
 from plumline.lab.clients import Tally
 from plumline.lab.engine import Engine, Shape
-from plumline.registrar.publisher import Feed, Follower
+from plumline.registrar.publisher import FeedPublisher, Subscriber
 from plumline.routing.shares import CALM, Standing
 from tests.dispatch_world import FULL, MODEL, Peer, Router, answer, document, made, within
 
@@ -73,7 +73,7 @@
         self.peer = {"node": node}
 
 
-class Told(Feed):
+class Told(FeedPublisher):
     """A feed whose beats a test reads."""
 
     def __init__(self) -> None:
@@ -85,7 +85,7 @@
 
     def say(self, node: str, *heartbeat: Any) -> None:  # noqa: ANN401
         link: Any = Link(node)
-        self.followers[link] = Follower(link, node)
+        self.followers[link] = Subscriber(link, node)
         self.heard(link, ["heartbeat", 3, *heartbeat], 10.0)
 
     def beaten(self) -> Any:  # noqa: ANN401
