--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -21,7 +21,7 @@
 from plumline.registrar.discovery import EndpointDiscovery
 from plumline.registrar.feeding import Feed, Work
 from plumline.registrar.operators import Operators
-from plumline.registrar.rollout.plan import RolloutController
+from plumline.registrar.rollout.loop import RolloutController
 from plumline.settings import Settings, SettingsFile
 from plumline.store.records import RecordFile
 from plumline.store.writer import DurableWriter, MemoryWriter, Writer
--- a/plumline/registrar/rollout/plan.py
+++ b/plumline/registrar/rollout/plan.py
@@ -5,18 +5,13 @@
 its report until that shows the new version and no order under way.
 """
 
-import asyncio
 import math
-import time
-from collections.abc import Callable, Coroutine, Iterable, Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from enum import StrEnum
 from typing import Any, NamedTuple
 
-from plumline.registrar.discovery import UNREADABLE, Pause, models_from, pause
-from plumline.routing.fleet import Address, address_of
-from plumline.wire import calls
-from plumline.wire.calls import Caller, CallFailedError, CallWithdrawnError
+from plumline.registrar.rollout.reports import EndpointReport
 
 ANNOUNCE_S = 0.25  # from the mark to the order: until every router has heard
 FIRST_REPORT_S = 0.3  # from a 202 to the first report that can show it done: reports are that old
@@ -30,9 +25,6 @@
 MOVING_SHARE = 3  # one in so many of a service's endpoints moves at a time
 PACE_SHARE, LATE_SHARE = 0.5, 0.75  # of VersionApplyMs: aim to be done; after this the old ones are of no use
 EARLY_S = 0.01  # timers and ticks may differ by this
-TICK_S, IDLE_S = 0.25, 1.0
-ORDER_S, REPORT_WAIT_S = 1.0, 0.8  # patience of a call
-METHOD = "waiting"  # runs finish on the weights that they began with; any other method breaks them
 
 Marks = dict[str, dict[str, Any]]
 Wanted = Mapping[str, int]
@@ -84,28 +76,6 @@
     expected: int | None = None  # `CallSequence` of the newest report since the last order
 
 
-@dataclass(frozen=True, slots=True)
-class EndpointReport:
-    """What `GET /report` says here: versions by model, whether an order is under way, and how many orders the
-    endpoint has taken since its start (None if it doesn't say)."""
-
-    models: dict[str, int]
-    busy: bool
-    call_sequence: int | None = None
-
-
-def parse_report(body: Any) -> EndpointReport | None:  # noqa: ANN401
-    """None if the body is no report."""
-    try:
-        taken = body.get(calls.CALL_SEQUENCE)
-        known = isinstance(taken, int) and not isinstance(taken, bool)
-        return EndpointReport(
-            models_from(body[calls.MODELS]), bool(body[calls.BUSY]), taken if known else None
-        )
-    except UNREADABLE:
-        return None
-
-
 def backoff(tries: int) -> float:
     """s to wait after so many tries in a row without effect."""
     return min(MOST_BACKOFF_S, FIRST_BACKOFF_S * 2 ** min(tries - 1, 8))
@@ -368,133 +338,3 @@
             )
         else:
             self._finish(id_)
-
-
-class RolloutController:
-    """Carries the plan out while `may_act()` gives the lease's fence number.
-
-    `may_act` is asked again at the very moment of each sending. `publish_rollout` gets all marks whenever
-    they change. `clock` is steady time in s, `apply_s` VersionApplyMs in s.
-    """
-
-    def __init__(
-        self,
-        caller: Caller,
-        holder_name: str,
-        may_act: Callable[[], int | None],
-        roster: Callable[[], list[dict[str, Any]]],
-        wanted: Callable[[], dict[str, int]],
-        publish_rollout: Callable[[Marks], None],
-        clock: Callable[[], float] = time.monotonic,
-        *,
-        apply_s: float = 8.0,
-        pause: Pause = pause,
-    ) -> None:
-        self.caller, self.holder_name, self.may_act = caller, holder_name, may_act
-        self.roster, self.wanted, self.publish_rollout = roster, wanted, publish_rollout
-        self.clock, self.pause = clock, pause
-        self.plan = RolloutPlan(apply_s)
-        self.fence: int | None = None  # of the lease that the plan was begun under
-        self.adopted = False  # under this fence; it takes a roster
-        self.inherited: Marks = {}  # the newest marks of whoever held the lease
-        self.told: Marks | None = None
-        self._event = asyncio.Event()
-        self._tasks: set[asyncio.Task[None]] = set()
-
-    def adopt(self, marks: Marks) -> None:
-        """Marks that another holder published; used when the lease is won next."""
-        self.inherited = marks
-
-    def wake(self) -> None:
-        """Configuration, roster or lease changed."""
-        self._event.set()
-
-    async def run(self) -> None:
-        """Until cancelled."""
-        try:
-            while True:
-                self._event.clear()
-                await self.pause(self._event, self.turn())
-        finally:
-            self._cancel()
-
-    def turn(self) -> float:
-        """One look at everything: begins the calls that are due. Returns the time (s) to the next look."""
-        now = self.clock()
-        fence = self.may_act()
-        self.plan.take_wanted(self.wanted(), now)
-        if fence != self.fence:
-            self._cancel()
-            self.fence, self.told, self.adopted = fence, None, False
-        if fence is None or not (roster := self.roster()):
-            return IDLE_S
-        self.plan.take_roster(roster)
-        if not self.adopted:
-            self.adopted = True
-            self.plan.adopt(self.inherited, now)
-            self.plan.take_roster(roster)  # marks of endpoints that are gone
-        steps = self.plan.steps(now)
-        marks = self.plan.marks()
-        if marks != self.told:
-            self.told = self.inherited = marks
-            self.publish_rollout(marks)
-        for step in steps:
-            if step.kind is StepKind.ORDER:
-                self._start(self._order(step, address_of(self.plan.roster[step.id]["address"]), fence))
-            elif step.kind is StepKind.REPORT:
-                self._start(self._report(step, address_of(self.plan.roster[step.id]["address"])))
-        return TICK_S if self.plan.active else IDLE_S
-
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.ensure_future(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
-
-    def _cancel(self) -> None:
-        for task in self._tasks:
-            task.cancel()
-
-    async def _order(self, step: Step, address: Address, fence: int) -> None:
-        def prepare() -> dict[str, Any]:
-            if self.may_act() != fence:
-                raise CallWithdrawnError("the lease is over")
-            # An earlier order that was silent may still come: after this one it finds another count.
-            counted = {} if step.expected is None else {calls.EXPECTED_COUNT: step.expected}
-            return counted | {
-                calls.OPERATION: calls.VERSION,
-                calls.MODEL: step.model,
-                calls.VERSION: step.version,
-                calls.METHOD: METHOD,
-                calls.HOLDER: self.holder_name,
-                calls.FENCE_NUMBER: fence,
-            }
-
-        status: int | None = None
-        sent = True
-        try:
-            answer = await self.caller.call(
-                "order",
-                address,
-                headers={calls.EXPECTED_INSTANCE: step.id},
-                prepare=prepare,
-                timeout_s=ORDER_S,
-            )
-            status = answer.status
-        except CallWithdrawnError:
-            self.plan.withdrawn(step.id)
-            return
-        except CallFailedError as error:
-            sent = error.sent
-        self.plan.ordered(step.id, status, sent, self.clock())
-
-    async def _report(self, step: Step, address: Address) -> None:
-        report: EndpointReport | None = None
-        try:
-            answer = await self.caller.call(
-                "report", address, headers={calls.EXPECTED_INSTANCE: step.id}, timeout_s=REPORT_WAIT_S
-            )
-            if answer.status == 200:
-                report = parse_report(answer.json)
-        except CallFailedError:
-            pass
-        self.plan.reported(step.id, report, self.clock())
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -4,14 +4,9 @@
 
 import pytest
 
-from plumline.registrar.rollout.plan import (
-    EndpointReport,
-    RolloutController,
-    RolloutPlan,
-    Step,
-    StepKind,
-    parse_report,
-)
+from plumline.registrar.rollout.loop import RolloutController
+from plumline.registrar.rollout.plan import RolloutPlan, Step, StepKind
+from plumline.registrar.rollout.reports import EndpointReport, parse_report
 from plumline.routing.fleet import endpoints_from
 from plumline.wire.calls import Caller
 
