--- a/plumline/registrar/feeding.py
+++ b/plumline/registrar/publisher.py
@@ -12,11 +12,11 @@
 
 from plumline.configuration.difference import as_amend
 from plumline.configuration.document import Document
-from plumline.coordination.chain import Chain
-from plumline.coordination.topics import Topics
+from plumline.coordination.replication import ChainReplica
+from plumline.coordination.soft_state import SoftState
 from plumline.counters import Counters
 from plumline.errors import FrameError
-from plumline.registrar.backlog import Backlog
+from plumline.registrar.publish_buffer import Backlog
 from plumline.routing.shares import summed
 from plumline.wire.frames import FrameLink, pack
 
@@ -52,8 +52,8 @@
 
     def __init__(
         self,
-        chain: Chain,
-        topics: Topics,
+        chain: ChainReplica,
+        topics: SoftState,
         counters: Counters,
         heartbeat_s: float,
         may_feed: Callable[[], bool] = lambda: True,
