--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -135,7 +135,7 @@
             lambda: self.core.chain.state.versions,
             self.publish_rollout,
             self.loop.time,
-            apply_s=settings.bounds.version_apply_ms / 1000,
+            apply_timeout_s=settings.bounds.version_apply_ms / 1000,
         )
 
     # The store.
@@ -226,7 +226,7 @@
             return
         self.feed.tell_topic(name)
         if name == "marks":
-            self.rollout.adopt(payload)
+            self.rollout.inherit(payload)
         self.rollout.wake()
 
     def tell_topic(self, name: str, term: int, payload: Any) -> None:  # noqa: ANN401
--- a/plumline/registrar/rollout/loop.py
+++ b/plumline/registrar/rollout/loop.py
@@ -6,51 +6,55 @@
 from typing import Any
 
 from plumline.registrar.discovery import Pause, pause
-from plumline.registrar.rollout.plan import Marks, RolloutPlan, Step, StepKind
+from plumline.registrar.rollout.plan import RolloutPlan, RolloutStates, Step, StepKind
 from plumline.registrar.rollout.reports import EndpointReport, parse_report
 from plumline.routing.fleet import Address, address_of
 from plumline.wire import calls
 from plumline.wire.calls import Caller, CallFailedError, CallWithdrawnError
 
-TICK_S, IDLE_S = 0.25, 1.0
-ORDER_S, REPORT_WAIT_S = 1.0, 0.8  # patience of a call
-METHOD = "waiting"  # runs finish on the weights that they began with; any other method breaks them
+ACTIVE_INTERVAL_S, IDLE_INTERVAL_S = 0.25, 1.0
+ORDER_TIMEOUT_S, REPORT_TIMEOUT_S = 1.0, 0.8  # patience of a call
+UPDATE_METHOD = "waiting"  # runs finish on the weights that they began with; any other method breaks them
 
 
 class RolloutController:
     """Carries the plan out while `may_act()` gives the lease's fence number.
 
     `may_act` is asked again at the very moment of each sending. `publish_rollout` gets all marks whenever
-    they change. `clock` is steady time in s, `apply_s` VersionApplyMs in s.
+    they change. `clock` is steady time in s, `apply_timeout_s` VersionApplyMs in s.
     """
 
     def __init__(
         self,
         caller: Caller,
-        holder_name: str,
+        lease_holder: str,
         may_act: Callable[[], int | None],
-        roster: Callable[[], list[dict[str, Any]]],
-        wanted: Callable[[], dict[str, int]],
-        publish_rollout: Callable[[Marks], None],
+        endpoints: Callable[[], list[dict[str, Any]]],
+        desired_versions: Callable[[], dict[str, int]],
+        publish_rollout: Callable[[RolloutStates], None],
         clock: Callable[[], float] = time.monotonic,
         *,
-        apply_s: float = 8.0,
+        apply_timeout_s: float = 8.0,
         pause: Pause = pause,
     ) -> None:
-        self.caller, self.holder_name, self.may_act = caller, holder_name, may_act
-        self.roster, self.wanted, self.publish_rollout = roster, wanted, publish_rollout
+        self.caller, self.lease_holder, self.may_act = caller, lease_holder, may_act
+        self.endpoints, self.desired_versions, self.publish_rollout = (
+            endpoints,
+            desired_versions,
+            publish_rollout,
+        )
         self.clock, self.pause = clock, pause
-        self.plan = RolloutPlan(apply_s)
-        self.fence: int | None = None  # of the lease that the plan was begun under
-        self.adopted = False  # under this fence; it takes a roster
-        self.inherited: Marks = {}  # the newest marks of whoever held the lease
-        self.told: Marks | None = None
+        self.plan = RolloutPlan(apply_timeout_s)
+        self.fencing_token: int | None = None  # of the lease that the plan was begun under
+        self.resumed = False  # under this fencing_token; it takes a list of endpoints
+        self.inherited_states: RolloutStates = {}  # the newest marks of whoever held the lease
+        self.published: RolloutStates | None = None
         self._event = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def adopt(self, marks: Marks) -> None:
-        """Marks that another holder published; used when the lease is won next."""
-        self.inherited = marks
+    def inherit(self, states: RolloutStates) -> None:
+        """States that another holder published; used when the lease is won next."""
+        self.inherited_states = states
 
     def wake(self) -> None:
         """Configuration, roster or lease changed."""
@@ -61,59 +65,65 @@
         try:
             while True:
                 self._event.clear()
-                await self.pause(self._event, self.turn())
+                await self.pause(self._event, self.reconcile())
         finally:
-            self._cancel()
+            self._cancel_calls()
 
-    def turn(self) -> float:
+    def reconcile(self) -> float:
         """One look at everything: begins the calls that are due. Returns the time (s) to the next look."""
         now = self.clock()
-        fence = self.may_act()
-        self.plan.take_wanted(self.wanted(), now)
-        if fence != self.fence:
-            self._cancel()
-            self.fence, self.told, self.adopted = fence, None, False
-        if fence is None or not (roster := self.roster()):
-            return IDLE_S
-        self.plan.take_roster(roster)
-        if not self.adopted:
-            self.adopted = True
-            self.plan.adopt(self.inherited, now)
-            self.plan.take_roster(roster)  # marks of endpoints that are gone
-        steps = self.plan.steps(now)
-        marks = self.plan.marks()
-        if marks != self.told:
-            self.told = self.inherited = marks
-            self.publish_rollout(marks)
+        fencing_token = self.may_act()
+        self.plan.update_desired_versions(self.desired_versions(), now)
+        if fencing_token != self.fencing_token:
+            self._cancel_calls()
+            self.fencing_token, self.published, self.resumed = fencing_token, None, False
+        if fencing_token is None or not (endpoints := self.endpoints()):
+            return IDLE_INTERVAL_S
+        self.plan.update_endpoints(endpoints)
+        if not self.resumed:
+            self.resumed = True
+            self.plan.resume(self.inherited_states, now)
+            self.plan.update_endpoints(endpoints)  # drops states of endpoints that are gone
+        steps = self.plan.due_steps(now)
+        states = self.plan.states()
+        if states != self.published:
+            self.published = self.inherited_states = states
+            self.publish_rollout(states)
         for step in steps:
             if step.kind is StepKind.ORDER:
-                self._start(self._order(step, address_of(self.plan.roster[step.id]["address"]), fence))
+                self._spawn(
+                    self._send_order(
+                        step, address_of(self.plan.endpoints[step.endpoint_id]["address"]), fencing_token
+                    )
+                )
             elif step.kind is StepKind.REPORT:
-                self._start(self._report(step, address_of(self.plan.roster[step.id]["address"])))
-        return TICK_S if self.plan.active else IDLE_S
+                self._spawn(
+                    self._fetch_report(step, address_of(self.plan.endpoints[step.endpoint_id]["address"]))
+                )
+        return ACTIVE_INTERVAL_S if self.plan.in_progress else IDLE_INTERVAL_S
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _cancel(self) -> None:
+    def _cancel_calls(self) -> None:
         for task in self._tasks:
             task.cancel()
 
-    async def _order(self, step: Step, address: Address, fence: int) -> None:
+    async def _send_order(self, step: Step, address: Address, fencing_token: int) -> None:
         def prepare() -> dict[str, Any]:
-            if self.may_act() != fence:
+            if self.may_act() != fencing_token:
                 raise CallWithdrawnError("the lease is over")
             # An earlier order that was silent may still come: after this one it finds another count.
-            counted = {} if step.expected is None else {calls.EXPECTED_COUNT: step.expected}
+            counted = {} if step.expected_count is None else {calls.EXPECTED_COUNT: step.expected_count}
             return counted | {
                 calls.OPERATION: calls.VERSION,
                 calls.MODEL: step.model,
                 calls.VERSION: step.version,
-                calls.METHOD: METHOD,
-                calls.HOLDER: self.holder_name,
-                calls.FENCE_NUMBER: fence,
+                calls.METHOD: UPDATE_METHOD,
+                calls.HOLDER: self.lease_holder,
+                calls.FENCE_NUMBER: fencing_token,
             }
 
         status: int | None = None
@@ -122,26 +132,29 @@
             answer = await self.caller.call(
                 "order",
                 address,
-                headers={calls.EXPECTED_INSTANCE: step.id},
+                headers={calls.EXPECTED_INSTANCE: step.endpoint_id},
                 prepare=prepare,
-                timeout_s=ORDER_S,
+                timeout_s=ORDER_TIMEOUT_S,
             )
             status = answer.status
         except CallWithdrawnError:
-            self.plan.withdrawn(step.id)
+            self.plan.order_withdrawn(step.endpoint_id)
             return
         except CallFailedError as error:
             sent = error.sent
-        self.plan.ordered(step.id, status, sent, self.clock())
+        self.plan.order_answered(step.endpoint_id, status, sent, self.clock())
 
-    async def _report(self, step: Step, address: Address) -> None:
+    async def _fetch_report(self, step: Step, address: Address) -> None:
         report: EndpointReport | None = None
         try:
             answer = await self.caller.call(
-                "report", address, headers={calls.EXPECTED_INSTANCE: step.id}, timeout_s=REPORT_WAIT_S
+                "report",
+                address,
+                headers={calls.EXPECTED_INSTANCE: step.endpoint_id},
+                timeout_s=REPORT_TIMEOUT_S,
             )
             if answer.status == 200:
                 report = parse_report(answer.json)
         except CallFailedError:
             pass
-        self.plan.reported(step.id, report, self.clock())
+        self.plan.report_received(step.endpoint_id, report, self.clock())
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -25,29 +25,29 @@
 class Scene:
     """A plan that has seen version 1 for a while; version 2 is named at 100.0."""
 
-    def __init__(self, *roster: dict[str, Any], apply_s: float = 8.0) -> None:
+    def __init__(self, *endpoints: dict[str, Any], apply_timeout_s: float = 8.0) -> None:
         self.now = 90.0
-        self.plan = RolloutPlan(apply_s)
-        self.roster = list(roster)
-        self.plan.take_wanted({"m": 1}, self.now)
-        self.plan.take_roster(self.roster)
-        self.plan.adopt({}, self.now)
-        assert self.plan.steps(self.now) == []
+        self.plan = RolloutPlan(apply_timeout_s)
+        self.endpoints = list(endpoints)
+        self.plan.update_desired_versions({"m": 1}, self.now)
+        self.plan.update_endpoints(self.endpoints)
+        self.plan.resume({}, self.now)
+        assert self.plan.due_steps(self.now) == []
         self.now = 100.0
-        self.plan.take_wanted({"m": 2}, self.now)
+        self.plan.update_desired_versions({"m": 2}, self.now)
 
     def steps(self, after: float = 0.0) -> list[tuple[str, str]]:
         self.now += after
-        return [(step.kind, step.id) for step in self.plan.steps(self.now)]
+        return [(step.kind, step.endpoint_id) for step in self.plan.due_steps(self.now)]
 
     def ordered(self, id_: str, status: int | None, sent: bool = True) -> None:
-        self.plan.ordered(id_, status, sent, self.now)
+        self.plan.order_answered(id_, status, sent, self.now)
 
     def reported(self, id_: str, report: EndpointReport | None) -> None:
-        self.plan.reported(id_, report, self.now)
+        self.plan.report_received(id_, report, self.now)
 
     def moving(self) -> set[str]:
-        return {id_ for id_, mark in self.plan.marks().items() if mark["moving"]}
+        return {id_ for id_, mark in self.plan.states().items() if mark["moving"]}
 
     def under_way(self, status: int | None = 202) -> None:
         """Brings the single endpoint `a` to the point where its order was answered."""
@@ -59,9 +59,9 @@
 def test_one_endpoint_is_announced_ordered_asked_and_done() -> None:
     scene = Scene(endpoint("a"))
     assert scene.steps() == [("announce", "a")]
-    assert scene.plan.marks() == {"a": {"moving": True, "models": {}}}
+    assert scene.plan.states() == {"a": {"moving": True, "models": {}}}
     assert scene.steps(0.2) == []
-    assert scene.plan.steps(100.25) == [Step(StepKind.ORDER, "a", "m", 2)]
+    assert scene.plan.due_steps(100.25) == [Step(StepKind.ORDER, "a", "m", 2)]
     assert scene.steps(0.1) == []  # its answer is awaited
     scene.ordered("a", 202)
     assert scene.steps(0.2) == []
@@ -73,17 +73,17 @@
     assert scene.steps(0.25) == [("report", "a")]
     scene.reported("a", shown(2))
     assert scene.steps() == [("done", "a")]
-    assert scene.plan.marks() == {"a": {"moving": False, "models": {"m": 2}}}
-    assert not scene.plan.active
-    scene.plan.take_roster([endpoint("a", 2)])
-    assert scene.plan.marks() == {}
+    assert scene.plan.states() == {"a": {"moving": False, "models": {"m": 2}}}
+    assert not scene.plan.in_progress
+    scene.plan.update_endpoints([endpoint("a", 2)])
+    assert scene.plan.states() == {}
 
 
 def test_what_holds_already_is_done_at_once() -> None:
     scene = Scene(endpoint("a"))
     scene.under_way(200)
     assert scene.steps() == [("done", "a")]
-    assert endpoints_from(scene.roster, scene.plan.marks())["a"].models == {"m": 2}
+    assert endpoints_from(scene.endpoints, scene.plan.states())["a"].models == {"m": 2}
 
 
 def test_few_move_at_once_and_all_are_done_in_half_of_the_time() -> None:
@@ -100,7 +100,7 @@
             elif kind == "done":
                 done.add(id_)
         most = max(most, len(scene.moving()))
-        zones = [endpoints_from(scene.roster, {})[id_].zone for id_ in scene.moving()]
+        zones = [endpoints_from(scene.endpoints, {})[id_].zone for id_ in scene.moving()]
         assert all(zones.count(zone) <= 2 for zone in zones)
         scene.now += 0.25
         assert scene.now < 105.5
@@ -108,7 +108,7 @@
 
 
 def test_a_long_time_lets_them_move_one_by_one() -> None:
-    scene = Scene(*(endpoint(f"e{i}") for i in range(6)), apply_s=60)
+    scene = Scene(*(endpoint(f"e{i}") for i in range(6)), apply_timeout_s=60)
     assert scene.steps() == [("announce", "e0")]
     assert scene.steps(0.25) == [("order", "e0")]
 
@@ -119,8 +119,8 @@
 
 
 def test_the_zones_take_turns() -> None:
-    scene = Scene(*(endpoint(f"e{i:02}", zone="z1" if i < 6 else "z2") for i in range(12)), apply_s=2)
-    zones = [endpoints_from(scene.roster, {})[id_].zone for _, id_ in scene.steps()]
+    scene = Scene(*(endpoint(f"e{i:02}", zone="z1" if i < 6 else "z2") for i in range(12)), apply_timeout_s=2)
+    zones = [endpoints_from(scene.endpoints, {})[id_].zone for _, id_ in scene.steps()]
     assert sorted(zones) == ["z1", "z1", "z2", "z2"]
 
 
@@ -132,50 +132,50 @@
 def test_draining_ones_are_skipped_and_gone_ones_forgotten() -> None:
     scene = Scene(endpoint("a"), endpoint("b", draining=True))
     scene.under_way()
-    scene.plan.take_roster([endpoint("a", draining=True)])
-    assert scene.plan.marks() == {}
+    scene.plan.update_endpoints([endpoint("a", draining=True)])
+    assert scene.plan.states() == {}
     assert scene.steps(1) == []
     scene.ordered("a", 202)  # late words about it do nothing
     scene.reported("a", shown(2))
-    assert scene.plan.marks() == {}
+    assert scene.plan.states() == {}
 
 
 def test_a_mark_goes_with_its_endpoint_but_not_for_an_empty_list() -> None:
     scene = Scene(endpoint("a"))
     scene.under_way(200)
-    scene.plan.take_roster([])
-    assert scene.plan.marks() == {"a": {"moving": False, "models": {"m": 2}}}
-    scene.plan.take_roster([endpoint("c", 2)])
-    assert scene.plan.marks() == {}
+    scene.plan.update_endpoints([])
+    assert scene.plan.states() == {"a": {"moving": False, "models": {"m": 2}}}
+    scene.plan.update_endpoints([endpoint("c", 2)])
+    assert scene.plan.states() == {}
 
 
 def test_a_new_endpoint_of_an_old_version_is_moved_too() -> None:
     scene = Scene(endpoint("a", 2))
     assert scene.steps() == []
-    scene.plan.take_roster([endpoint("a", 2), endpoint("b")])
+    scene.plan.update_endpoints([endpoint("a", 2), endpoint("b")])
     assert scene.steps(1) == [("announce", "b")]
 
 
 def test_a_newer_version_named_in_the_midst_follows_without_another_announcement() -> None:
     scene = Scene(endpoint("a"))
     scene.under_way()
-    scene.plan.take_wanted({"m": 3}, scene.now)
+    scene.plan.update_desired_versions({"m": 3}, scene.now)
     assert scene.steps(0.3) == [("report", "a")]
     scene.reported("a", shown(2))
-    assert scene.plan.marks() == {"a": {"moving": True, "models": {"m": 2}}}
-    assert scene.plan.steps(scene.now) == [Step(StepKind.ORDER, "a", "m", 3)]
+    assert scene.plan.states() == {"a": {"moving": True, "models": {"m": 2}}}
+    assert scene.plan.due_steps(scene.now) == [Step(StepKind.ORDER, "a", "m", 3)]
     scene.ordered("a", 200)
     assert scene.steps() == [("done", "a")]
 
 
 def test_two_models_of_one_endpoint_move_one_after_the_other() -> None:
     scene = Scene(endpoint("a", models={"m": 1, "n": 1}))
-    scene.plan.take_wanted({"m": 2, "n": 5}, scene.now)
+    scene.plan.update_desired_versions({"m": 2, "n": 5}, scene.now)
     scene.under_way(200)
-    assert scene.plan.steps(scene.now) == [Step(StepKind.ORDER, "a", "n", 5)]
+    assert scene.plan.due_steps(scene.now) == [Step(StepKind.ORDER, "a", "n", 5)]
     scene.ordered("a", 200)
     assert scene.steps() == [("done", "a")]
-    assert scene.plan.marks()["a"]["models"] == {"m": 2, "n": 5}
+    assert scene.plan.states()["a"]["models"] == {"m": 2, "n": 5}
 
 
 def test_an_order_without_an_answer_is_decided_by_the_report() -> None:
@@ -214,9 +214,9 @@
     expected = []
     for _ in range(80):
         scene.now += 0.25
-        for step in scene.plan.steps(scene.now):
+        for step in scene.plan.due_steps(scene.now):
             if step.kind is StepKind.ORDER:
-                expected.append(step.expected)
+                expected.append(step.expected_count)
                 scene.ordered("a", None)
             elif step.kind is StepKind.REPORT:
                 scene.reported("a", EndpointReport({"m": 1}, busy=False, call_sequence=5 + len(expected)))
@@ -226,16 +226,16 @@
 
 def test_a_count_is_of_no_use_after_an_order() -> None:
     scene = Scene(endpoint("a", models={"m": 1, "n": 4}))
-    scene.plan.take_wanted({"m": 2, "n": 5}, scene.now)
+    scene.plan.update_desired_versions({"m": 2, "n": 5}, scene.now)
     scene.under_way(409)
     scene.steps(0.25)
     scene.reported("a", EndpointReport({"m": 1, "n": 4}, busy=False, call_sequence=5))
     orders = []
     while scene.now < 110 and len(orders) < 2:
         scene.now += 0.25
-        for step in scene.plan.steps(scene.now):
+        for step in scene.plan.due_steps(scene.now):
             if step.kind is StepKind.ORDER:
-                orders.append((step.model, step.expected))
+                orders.append((step.model, step.expected_count))
                 scene.ordered("a", 200)
             elif step.kind is StepKind.REPORT:
                 scene.reported("a", EndpointReport({"m": 1, "n": 4}, busy=False, call_sequence=5))
@@ -244,7 +244,7 @@
 
 @pytest.mark.parametrize("status", [400, 412, 421, 500, 503])
 def test_an_order_not_taken_lets_the_endpoint_serve_on_until_a_later_try(status: int) -> None:
-    scene = Scene(endpoint("a"), apply_s=100)
+    scene = Scene(endpoint("a"), apply_timeout_s=100)
     waits = []
     scene.under_way(status)
     for _ in range(3):
@@ -281,12 +281,12 @@
             if kind == "report":
                 scene.reported(id_, None)
     assert 5.0 <= scene.now - 100.0 <= 5.5
-    assert scene.plan.marks().get("a", {}).get("models", {}) == {}
+    assert scene.plan.states().get("a", {}).get("models", {}) == {}
     while ("report", "a") not in scene.steps(0.25):
         assert scene.now < 115
     scene.reported("a", shown(2))
     assert scene.steps() == [("done", "a")]
-    assert scene.plan.marks()["a"] == {"moving": False, "models": {"m": 2}}
+    assert scene.plan.states()["a"] == {"moving": False, "models": {"m": 2}}
 
 
 def test_another_order_under_way_is_waited_for() -> None:
@@ -307,29 +307,31 @@
     scene = Scene(endpoint("a"))
     scene.steps()
     scene.steps(0.25)
-    scene.plan.withdrawn("a")
+    scene.plan.order_withdrawn("a")
     assert scene.steps() == [("order", "a")]
 
 
 def test_a_new_holder_asks_for_reports_first() -> None:
     plan = RolloutPlan(8.0)
-    plan.take_wanted({"m": 2}, 100.0)
-    plan.take_roster([endpoint(each) for each in "abc"] + [endpoint("d", 2), endpoint("e", 2), endpoint("f")])
-    marks = {"a": {"moving": True, "models": {}}, "e": {"moving": True, "models": {}},
-             "f": {"moving": False, "models": {"m": 2}}, "gone": {"moving": True, "models": {}}}  # fmt: skip
-    plan.adopt(marks, 100.0)
-    assert plan.steps(100.0) == [Step(StepKind.REPORT, each) for each in "abce"]
-    assert {id_ for id_, mark in plan.marks().items() if mark["moving"]} == {"a", "e"}
-    plan.reported("a", shown(1), 100.1)  # announced by the predecessor, not ordered
-    plan.reported("b", shown(1, busy=True), 100.1)  # ordered by the predecessor
-    plan.reported("c", shown(2), 100.1)  # done by the predecessor
-    plan.reported("e", shown(2), 100.1)
-    assert plan.steps(100.1) == [
+    plan.update_desired_versions({"m": 2}, 100.0)
+    plan.update_endpoints(
+        [endpoint(each) for each in "abc"] + [endpoint("d", 2), endpoint("e", 2), endpoint("f")]
+    )
+    states = {"a": {"moving": True, "models": {}}, "e": {"moving": True, "models": {}},
+              "f": {"moving": False, "models": {"m": 2}}, "gone": {"moving": True, "models": {}}}  # fmt: skip
+    plan.resume(states, 100.0)
+    assert plan.due_steps(100.0) == [Step(StepKind.REPORT, each) for each in "abce"]
+    assert {id_ for id_, mark in plan.states().items() if mark["moving"]} == {"a", "e"}
+    plan.report_received("a", shown(1), 100.1)  # announced by the predecessor, not ordered
+    plan.report_received("b", shown(1, busy=True), 100.1)  # ordered by the predecessor
+    plan.report_received("c", shown(2), 100.1)  # done by the predecessor
+    plan.report_received("e", shown(2), 100.1)
+    assert plan.due_steps(100.1) == [
         Step(StepKind.ORDER, "a", "m", 2),
         Step(StepKind.DONE, "c"),
         Step(StepKind.DONE, "e"),
     ]
-    assert plan.marks() == {
+    assert plan.states() == {
         "a": {"moving": True, "models": {}},
         "b": {"moving": True, "models": {}},
         "c": {"moving": False, "models": {"m": 2}},
@@ -342,7 +344,7 @@
     scene.under_way()
     scene.steps(3.0)
     scene.reported("a", shown(2))
-    assert scene.plan.move_s == pytest.approx(1.2 + 0.3 * (3.25 - 1.2))
+    assert scene.plan.expected_duration_s == pytest.approx(1.2 + 0.3 * (3.25 - 1.2))
 
 
 @pytest.mark.parametrize("garbage", [None, 3, [], {}, {"Models": 3, "Busy": False}, {"Models": []}])
@@ -399,16 +401,16 @@
 
     def __init__(self, caller: Caller, address: tuple[str, int]) -> None:
         self.now = 100.0
-        self.fence: int | None = 7
-        self.wanted = {"m": 1}
-        self.roster = [endpoint("a", address=f"{address[0]}:{address[1]}")]
+        self.fencing_token: int | None = 7
+        self.desired_versions = {"m": 1}
+        self.endpoints = [endpoint("a", address=f"{address[0]}:{address[1]}")]
         self.published: list[dict[str, Any]] = []
-        self.job = RolloutController(
+        self.controller = RolloutController(
             caller,
             "node-1",
-            lambda: self.fence,
-            lambda: self.roster,
-            lambda: self.wanted,
+            lambda: self.fencing_token,
+            lambda: self.endpoints,
+            lambda: self.desired_versions,
             self.published.append,
             lambda: self.now,
         )
@@ -416,8 +418,8 @@
     async def turn(self, after: float = 0.0) -> float:
         """One look, and the calls that it began."""
         self.now += after
-        wait = self.job.turn()
-        await asyncio.gather(*self.job._tasks)
+        wait = self.controller.reconcile()
+        await asyncio.gather(*self.controller._tasks)
         return wait
 
 
@@ -435,7 +437,7 @@
 def test_the_loop_moves_an_endpoint_on_a_socket() -> None:
     async def scene(rig: Rig, engine: Engine) -> None:
         assert await rig.turn() == 1.0
-        rig.wanted = {"m": 2}
+        rig.desired_versions = {"m": 2}
         assert await rig.turn() == 0.25
         assert rig.published[-1] == {"a": {"moving": True, "models": {}}}
         await rig.turn(0.25)
@@ -453,9 +455,9 @@
         assert engine.instances == {"a"}
         assert await rig.turn() == 1.0
         # An order that is repeated after silence names the count of the report between them.
-        rig.job.plan.known.clear()
+        rig.controller.plan.confirmed.clear()
         engine.version, engine.answers_orders = 1, False
-        rig.wanted = {"m": 3}
+        rig.desired_versions = {"m": 3}
         for _ in range(12):
             await rig.turn(0.5)
         assert [each.get("ExpectedCount") for each in engine.orders[1:3]] == [None, 2]
@@ -466,15 +468,15 @@
 def test_no_order_goes_once_the_lease_is_over_even_between_look_and_sending() -> None:
     async def scene(rig: Rig, engine: Engine) -> None:
         await rig.turn()
-        rig.wanted = {"m": 2}
+        rig.desired_versions = {"m": 2}
         await rig.turn()
         rig.now += 0.25
-        rig.job.turn()  # the order's call is begun, but not a byte has gone
-        rig.fence = None
-        await asyncio.gather(*rig.job._tasks)
+        rig.controller.reconcile()  # the order's call is begun, but not a byte has gone
+        rig.fencing_token = None
+        await asyncio.gather(*rig.controller._tasks)
         assert engine.orders == []
         assert await rig.turn() == 1.0
-        rig.fence = 9  # won again: the report comes first, the order bears the new number
+        rig.fencing_token = 9  # won again: the report comes first, the order bears the new number
         await rig.turn(1)
         assert engine.orders == []
         await rig.turn()
@@ -504,19 +506,19 @@
         writer.close()
 
 
-@pytest.mark.parametrize("fence", [None, 8])
-def test_an_order_under_way_is_reset_as_its_fence_is_over(fence: int | None) -> None:
-    """Also where the same holder wins the lease again at once, under the next fence."""
+@pytest.mark.parametrize("fencing_token", [None, 8])
+def test_an_order_in_flight_is_reset_once_its_fencing_token_is_over(fencing_token: int | None) -> None:
+    """Also where the same holder wins the lease again at once, under the next token."""
 
     async def scene(rig: Rig, engine: SilentEngine) -> None:
         await rig.turn()
-        rig.wanted = {"m": 2}
+        rig.desired_versions = {"m": 2}
         await rig.turn()
         rig.now += 0.25
-        rig.job.turn()
+        rig.controller.reconcile()
         await engine.arrived.wait()
-        rig.fence = fence
-        rig.job.turn()
+        rig.fencing_token = fencing_token
+        rig.controller.reconcile()
         await engine.ended.wait()
         assert engine.was_reset
 
@@ -525,12 +527,12 @@
 
 def test_a_holder_without_a_list_publishes_nothing_and_adopts_when_it_comes() -> None:
     async def scene(rig: Rig, engine: Engine) -> None:
-        roster, rig.roster = rig.roster, []
-        rig.wanted = {"m": 2}
-        rig.job.adopt({"a": {"moving": True, "models": {}}})
+        endpoints, rig.endpoints = rig.endpoints, []
+        rig.desired_versions = {"m": 2}
+        rig.controller.inherit({"a": {"moving": True, "models": {}}})
         await rig.turn()
         assert rig.published == []
-        rig.roster = roster
+        rig.endpoints = endpoints
         await rig.turn()
         assert rig.published == [{"a": {"moving": True, "models": {}}}]
         assert engine.reported.is_set()
@@ -541,20 +543,20 @@
 
 def test_wake_brings_the_next_look_at_once() -> None:
     async def scene(rig: Rig, engine: Engine) -> None:
-        rig.wanted = {"m": 2}
-        rig.job.adopt({"a": {"moving": True, "models": {}}})
-        fence, rig.fence = rig.fence, None
+        rig.desired_versions = {"m": 2}
+        rig.controller.inherit({"a": {"moving": True, "models": {}}})
+        fencing_token, rig.fencing_token = rig.fencing_token, None
         paused = asyncio.Event()
 
         async def pause(event: asyncio.Event, seconds: float) -> None:
             paused.set()
             await event.wait()
 
-        rig.job.pause = pause
-        running = asyncio.ensure_future(rig.job.run())
+        rig.controller.pause = pause
+        running = asyncio.ensure_future(rig.controller.run())
         await paused.wait()
-        rig.fence = fence
-        rig.job.wake()
+        rig.fencing_token = fencing_token
+        rig.controller.wake()
         await engine.reported.wait()
         running.cancel()
 
