--- a/plumline/coordination/replication.py
+++ b/plumline/coordination/replication.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from plumline.coordination.effects import Effects, Member, Message, Record
+from plumline.coordination.environment import Environment, Member, Message, Record
 from plumline.coordination.log import Entry, ReplicationLog
 from plumline.coordination.read_barrier import ReadBarrier
 from plumline.coordination.snapshot_transfer import (
@@ -49,7 +49,7 @@
         self,
         me: Member,
         copies: int,
-        effects: Effects,
+        effects: Environment,
         empty: Any,  # noqa: ANN401
         load: Callable[[Any], Any],
         applied: Callable[[int, list[Any] | None], None],
