--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -21,7 +21,7 @@
 from plumline.registrar.discovery import EndpointDiscovery
 from plumline.registrar.operator_api import OperatorApi
 from plumline.registrar.publisher import FeedPublisher, ServiceLoads
-from plumline.registrar.rollout.plan import RolloutController
+from plumline.registrar.rollout.loop import RolloutController
 from plumline.settings import Settings, SettingsFile
 from plumline.store.log_writers import GroupCommitWriter, LogWriter, VolatileWriter
 from plumline.store.write_ahead_log import WriteAheadLog
@@ -135,7 +135,7 @@
             lambda: self.core.chain.state.versions,
             self.publish_rollout,
             self.loop.time,
-            apply_s=settings.bounds.version_apply_ms / 1000,
+            apply_timeout_s=settings.bounds.version_apply_ms / 1000,
         )
 
     # The store.
@@ -226,7 +226,7 @@
             return
         self.feed.tell_topic(name)
         if name == "marks":
-            self.rollout.adopt(payload)
+            self.rollout.inherit(payload)
         self.rollout.wake()
 
     def tell_topic(self, name: str, term: int, payload: Any) -> None:  # noqa: ANN401
