--- a/plumline/configuration/history.py
+++ b/plumline/configuration/history.py
@@ -12,9 +12,9 @@
 from plumline.errors import PlumlineError
 
 #: Changes whose repeat is known. The aim is 7,600 changes a day: more than a day of them.
-REMEMBERED = 8192
+MIN_REMEMBERED_CHANGES = 8192
 #: Changes in a segment. Whole segments are shared between states, and are forgotten whole.
-SEGMENT = 256
+SEGMENT_CHANGES = 256
 DIGEST_BYTES = 16
 
 Segment = dict[int, bytes]  # base version -> digest of the change that was taken on top of it
@@ -26,11 +26,11 @@
     code, status = "history-invalid", 500
 
 
-class Match(Enum):
+class HistoryMatch(Enum):
     """What the history says of a change."""
 
-    TAKEN = auto()  # this very change was taken
-    OTHER = auto()  # another one was taken on top of the same version, or none
+    APPLIED = auto()  # this very change was taken
+    DIFFERENT = auto()  # another one was taken on top of the same version, or none
     FORGOTTEN = auto()  # it builds on a version that is older than what is remembered
 
 
@@ -44,39 +44,39 @@
     """Never changed in place; `with_change` gives the next one, which shares the full segments."""
 
     horizon: int = 0  # changes on top of a version below this one are not remembered
-    full: tuple[Segment, ...] = ()  # oldest first
-    recent: Segment = field(default_factory=dict)
+    full_segments: tuple[Segment, ...] = ()  # oldest first
+    open_segment: Segment = field(default_factory=dict)
 
-    def match(self, base: int, digest: str) -> Match:
+    def match(self, base: int, digest: str) -> HistoryMatch:
         """Compares a change, by its digest in hex, with the one that was taken on top of `base`."""
         if base < self.horizon:
-            return Match.FORGOTTEN
-        for segment in (self.recent, *reversed(self.full)):
+            return HistoryMatch.FORGOTTEN
+        for segment in (self.open_segment, *reversed(self.full_segments)):
             if base in segment:
-                return Match.TAKEN if segment[base] == shortened(digest) else Match.OTHER
-        return Match.OTHER
+                return HistoryMatch.APPLIED if segment[base] == shortened(digest) else HistoryMatch.DIFFERENT
+        return HistoryMatch.DIFFERENT
 
     def with_change(self, base: int, digest: str) -> "History":
         """The history after one more change; `base` is above all others."""
-        recent = {**self.recent, base: shortened(digest)}
-        if len(recent) < SEGMENT:
-            return History(self.horizon, self.full, recent)
-        return History(self.horizon, (*self.full, recent), {}).trimmed()
+        recent = {**self.open_segment, base: shortened(digest)}
+        if len(recent) < SEGMENT_CHANGES:
+            return History(self.horizon, self.full_segments, recent)
+        return History(self.horizon, (*self.full_segments, recent), {}).trimmed()
 
     def trimmed(self) -> "History":
-        """Without the oldest segments that are not needed for REMEMBERED changes."""
-        surplus = len(self.full) - max(1, REMEMBERED // SEGMENT)
+        """Without the oldest segments that are not needed for MIN_REMEMBERED_CHANGES changes."""
+        surplus = len(self.full_segments) - max(1, MIN_REMEMBERED_CHANGES // SEGMENT_CHANGES)
         if surplus <= 0:
             return self
-        kept = self.full[surplus:]
-        return History(next(iter(kept[0])), kept, self.recent)
+        kept = self.full_segments[surplus:]
+        return History(next(iter(kept[0])), kept, self.open_segment)
 
     def __len__(self) -> int:
-        return sum(map(len, self.full)) + len(self.recent)
+        return sum(map(len, self.full_segments)) + len(self.open_segment)
 
     def to_wire(self) -> list[Any]:
         """[horizon, base versions, digests in one run of bytes]."""
-        entries = [entry for segment in (*self.full, self.recent) for entry in segment.items()]
+        entries = [entry for segment in (*self.full_segments, self.open_segment) for entry in segment.items()]
         return [self.horizon, [base for base, _ in entries], b"".join(digest for _, digest in entries)]
 
     @classmethod
@@ -88,8 +88,11 @@
                     (base, digests[place * DIGEST_BYTES : (place + 1) * DIGEST_BYTES])
                     for place, base in enumerate(bases)
                 ]
-                whole = len(entries) - len(entries) % SEGMENT
-                full = tuple(dict(entries[start : start + SEGMENT]) for start in range(0, whole, SEGMENT))
+                whole = len(entries) - len(entries) % SEGMENT_CHANGES
+                full = tuple(
+                    dict(entries[start : start + SEGMENT_CHANGES])
+                    for start in range(0, whole, SEGMENT_CHANGES)
+                )
                 return cls(horizon, full, dict(entries[whole:]))
         raise HistoryInvalidError("not a history: horizon, base versions and digests are needed")
 
--- a/plumline/configuration/state.py
+++ b/plumline/configuration/replicated_state.py
@@ -10,28 +10,32 @@
 
 from plumline.configuration import NAME, fault, whole
 from plumline.configuration.document import Document, amended, conflict, digest, merged, replaced
-from plumline.configuration.history import History, HistoryInvalidError, Match
+from plumline.configuration.history import History, HistoryInvalidError, HistoryMatch
 from plumline.errors import ConfigurationInvalidError, PlumlineError, UnavailableError
 
 Change = Sequence[Any]
 WEIGHTS_VERSION = whole(1)
 
 
-class StateInvalidError(PlumlineError):
+class ReplicatedStateInvalidError(PlumlineError):
     """A state that came over the wire, or from a disk, has not the form of one."""
 
     code, status = "state-invalid", 500
 
 
 @dataclass(slots=True, frozen=True)
-class State:
+class ReplicatedConfiguration:
     """Never changed in place; `apply` gives the next one, which shares what stays as it was."""
 
     configuration: Document | None = None
-    versions: dict[str, int] = field(default_factory=dict)  # model -> newest named version of its weights
-    wall: int = 0  # generation of the pool of kept parts that tenants share
+    weight_versions: dict[str, int] = field(
+        default_factory=dict
+    )  # model -> newest named version of its weights
+    shared_cache_generation: int = 0  # rises when a tenant leaves the prefix cache that tenants share
     history: History = field(default_factory=History)  # the changes that led here, for their repeats
-    departed: frozenset[str] = frozenset()  # tenants no longer listed whose parts lie in the shared pool
+    departed_tenants: frozenset[str] = (
+        frozenset()
+    )  # tenants no longer listed whose parts lie in the shared pool
 
     @property
     def version(self) -> int:
@@ -49,18 +53,18 @@
             case ["weights", dict(named)]:
                 return self._check_weights(named)
             case ["replace", based_on, dict(body)]:
-                if self._was_taken("replace", based_on, body):
+                if self._is_repeat("replace", based_on, body):
                     return True
                 replaced(self.configuration, based_on, body)
                 return False
             case ["amend", based_on, dict(body)]:
-                if self._was_taken("amend", based_on, body):
+                if self._is_repeat("amend", based_on, body):
                     return True
                 amended(self.configuration, based_on, body)
                 return False
         raise ConfigurationInvalidError("the change: not allowed; allowed: replace, amend or weights")
 
-    def _was_taken(self, kind: str, based_on: Any, body: Document) -> bool:  # noqa: ANN401
+    def _is_repeat(self, kind: str, based_on: Any, body: Document) -> bool:  # noqa: ANN401
         """Whether this very change was taken; UnavailableError where nobody can say."""
         if type(based_on) is not int:
             return False
@@ -69,11 +73,11 @@
         if based_on == self.version:
             return False
         found = self.history.match(based_on, digest(kind, based_on, body))
-        if found is Match.FORGOTTEN:
+        if found is HistoryMatch.FORGOTTEN:
             raise UnavailableError(f"what was taken on top of version {based_on} is not remembered")
-        return found is Match.TAKEN
+        return found is HistoryMatch.APPLIED
 
-    def apply(self, change: Change) -> "State":
+    def apply(self, change: Change) -> "ReplicatedConfiguration":
         """The state after a change for which `check` gave False on this very state; the same one on a repeat.
 
         Validity isn't checked again (every member of the chain applies what its head has checked), but a
@@ -82,22 +86,28 @@
         kind = change[0]
         if kind == "weights":
             model, version = change[1]["Model"], change[1]["Version"]
-            if version <= self.versions.get(model, 0):
+            if version <= self.weight_versions.get(model, 0):
                 return self
-            return replace(self, versions={**self.versions, model: version})
+            return replace(self, weight_versions={**self.weight_versions, model: version})
         _, based_on, body = change
-        mark = digest(kind, based_on, body)
-        if self.history.match(based_on, mark) is Match.TAKEN:
+        change_digest = digest(kind, based_on, body)
+        if self.history.match(based_on, change_digest) is HistoryMatch.APPLIED:
             return self
         conflict(self.configuration, based_on)
         new = merged(self.configuration, body) if kind == "amend" and self.configuration else body
-        history = self.history.with_change(based_on, mark)
-        pooled = self.departed | tenants(self.configuration, isolated=False)
-        if pooled & tenants(new, isolated=True):
-            wall, departed = self.wall + 1, frozenset[str]()
+        history = self.history.with_change(based_on, change_digest)
+        pooled = self.departed_tenants | tenant_names(self.configuration, isolated=False)
+        if pooled & tenant_names(new, isolated=True):
+            generation, departed = self.shared_cache_generation + 1, frozenset[str]()
         else:
-            wall, departed = self.wall, pooled - tenants(new, isolated=False)
-        return replace(self, configuration=new, wall=wall, history=history, departed=departed)
+            generation, departed = self.shared_cache_generation, pooled - tenant_names(new, isolated=False)
+        return replace(
+            self,
+            configuration=new,
+            shared_cache_generation=generation,
+            history=history,
+            departed_tenants=departed,
+        )
 
     def _check_weights(self, named: Document) -> bool:
         model, version = named.get("Model"), named.get("Version")
@@ -105,9 +115,9 @@
             raise ConfigurationInvalidError(fault("Model", model, NAME.allowed))
         if not WEIGHTS_VERSION.test(version):
             raise ConfigurationInvalidError(fault("Version", version, WEIGHTS_VERSION.allowed))
-        if version <= self.versions.get(model, 0):
+        if version <= self.weight_versions.get(model, 0):
             return True  # a late resend is answered like the first time
-        known = models(self.configuration)
+        known = model_names(self.configuration)
         if known and model not in known:
             # No refusal: a late copy would be taken once a configuration names the model.
             raise UnavailableError(f"the configuration names no model {model} yet")
@@ -120,15 +130,15 @@
         """
         return {
             "configuration": self.configuration,
-            "versions": self.versions,
-            "wall": self.wall,
+            "versions": self.weight_versions,
+            "wall": self.shared_cache_generation,
             "history": (self.history if history else History(horizon=self.version)).to_wire(),
-            "departed": sorted(self.departed),
+            "departed": sorted(self.departed_tenants),
         }
 
     @classmethod
-    def from_wire(cls, wire: Any) -> "State":  # noqa: ANN401
-        """The state that `to_wire` gave, now or in an earlier release; StateInvalidError if it is none."""
+    def from_wire(cls, wire: Any) -> "ReplicatedConfiguration":  # noqa: ANN401
+        """The state that `to_wire` gave, now or in an earlier release. Raises ReplicatedStateInvalidError."""
         match wire:
             case {
                 "configuration": dict() | None as configuration,
@@ -138,7 +148,9 @@
             }:
                 history = cls._history_from_wire(wire)
                 return cls(configuration, versions, wall, history, frozenset(departed))
-        raise StateInvalidError("not a state: configuration, versions, wall, history and departed are needed")
+        raise ReplicatedStateInvalidError(
+            "not a state: configuration, versions, wall, history and departed are needed"
+        )
 
     @staticmethod
     def _history_from_wire(wire: dict[str, Any]) -> History:
@@ -149,17 +161,17 @@
                 try:
                     return History.from_wire(history)
                 except HistoryInvalidError as error:
-                    raise StateInvalidError(error.text) from error
-        raise StateInvalidError("a state without its history")
+                    raise ReplicatedStateInvalidError(error.text) from error
+        raise ReplicatedStateInvalidError("a state without its history")
 
 
-def tenants(document: Document | None, isolated: bool) -> frozenset[str]:
+def tenant_names(document: Document | None, isolated: bool) -> frozenset[str]:
     """Names of the tenants that are, or are not, Isolated."""
     listed = document.get("Tenants", ()) if document else ()
     return frozenset(each["Name"] for each in listed if bool(each.get("Isolated")) is isolated)
 
 
-def models(document: Document | None) -> frozenset[str]:
+def model_names(document: Document | None) -> frozenset[str]:
     """Names of all models that the services' engines list."""
     found: set[str] = set()
     for service in document.get("Services", ()) if document else ():
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from plumline import logs
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
 from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member, Message, Record
@@ -102,8 +102,8 @@
             copies=settings.machine_losses + 1,
             first_start=settings.first_start,
             effects=self,
-            empty=State(),
-            load=State.from_wire,
+            empty=ReplicatedConfiguration(),
+            load=ReplicatedConfiguration.from_wire,
             leases={
                 "discovery": Terms(DISCOVERY_LEASE, 0.0),
                 "weights": Terms(WEIGHTS_LEASE, rest),
@@ -132,7 +132,7 @@
             settings.node_name,
             lambda: self.held("weights"),
             lambda: self.topics.payload("roster") or [],
-            lambda: self.core.chain.state.versions,
+            lambda: self.core.chain.state.weight_versions,
             self.publish_marks,
             self.loop.time,
             apply_s=settings.bounds.version_apply_ms / 1000,
--- a/plumline/registrar/backlog.py
+++ b/plumline/registrar/backlog.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from plumline.configuration.state import State
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.wire.frames import pack
 
 KEPT_BYTES = 1024 * 1024  # of packed entries; whoever is further behind gets a snapshot
@@ -27,7 +27,7 @@
 class Backlog:
     """Consecutive entries up to `newest`."""
 
-    def __init__(self, now: Callable[[], tuple[int, State]]) -> None:
+    def __init__(self, now: Callable[[], tuple[int, ReplicatedConfiguration]]) -> None:
         """`now`: the committed state and the number of its newest entry."""
         self.now = now
         self.newest = 0
--- a/plumline/router/following.py
+++ b/plumline/router/following.py
@@ -17,8 +17,8 @@
 
 from plumline import logs
 from plumline.configuration.document import Document
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
 from plumline.coordination.ring import Candidate, watchers
 from plumline.coordination.topics import Topics
 from plumline.counters import Counters
@@ -91,7 +91,7 @@
         self.topics = Topics()
         self.sources: dict[str, Source] = {}
         self.shunned: dict[str, float] = {}
-        self.state, self.place = State(), 0  # the newest that came
+        self.state, self.place = ReplicatedConfiguration(), 0  # the newest that came
         self.news: list[list[Any]] = []  # of this router's prompts, not yet sent
         self.on_news: Callable[[str, list[Any]], None] = lambda node, events: None
         self.work: Callable[[], dict[str, list[Any]]] = dict  # this router's, for heartbeats
@@ -270,7 +270,7 @@
                 case ["state", int(number), wire]:
                     source.progress_at = now
                     if number > self.place:
-                        self.take(number, State.from_wire(wire))
+                        self.take(number, ReplicatedConfiguration.from_wire(wire))
                 case ["topic", str(name), [int(term), int(count)], payload]:
                     self.take_topic(name, (term, count), payload)
                 case ["news", str(node), list(events)]:
@@ -281,7 +281,7 @@
         except (PlumlineError, ValueError, TypeError, KeyError) as error:
             raise FrameError(f"a feed's message can't be applied: {error!r}") from error
 
-    def take(self, number: int, state: State, change: list[Any] | None = None) -> None:
+    def take(self, number: int, state: ReplicatedConfiguration, change: list[Any] | None = None) -> None:
         """The state of this number; `change`: what led to it from the present one. A router that begins shows
         none to its requests before it has all that the first beat told of."""
         known, self.state, self.place = self.state, state, number
--- a/plumline/router/selection.py
+++ b/plumline/router/selection.py
@@ -119,8 +119,8 @@
             return None
         salt = look.salts.get(version)
         if salt is None:
-            wall = router.fleet.state.wall if router.fleet.state else 0
-            salt = look.salts[version] = salt_for(version, wall, self.request.isolated)
+            generation = router.fleet.state.shared_cache_generation if router.fleet.state else 0
+            salt = look.salts[version] = salt_for(version, generation, self.request.isolated)
         return salt
 
     # What each would cost.
--- a/plumline/router/state.py
+++ b/plumline/router/state.py
@@ -103,7 +103,7 @@
 
     def told_versions(self) -> dict[str, int] | None:
         """The named version of each model's weights; None while no configuration is known."""
-        return self.fleet.state.versions if self.fleet.state else None
+        return self.fleet.state.weight_versions if self.fleet.state else None
 
     def told(self, topic: str) -> None:
         """The fleet's news."""
--- a/plumline/routing/fleet.py
+++ b/plumline/routing/fleet.py
@@ -72,8 +72,8 @@
 
 
 class Fleet:
-    """The newest of everything that the feed has told. `state` is a plumline.configuration.state.State,
-    `table` the RouteTable made from it; both None until the first snapshot has come."""
+    """The newest of everything that the feed has told. `state` is a ReplicatedConfiguration, `table` the
+    RouteTable made from it; both None until the first snapshot has come."""
 
     def __init__(self) -> None:
         self.place = 0  # number of the newest chain entry applied
@@ -91,7 +91,7 @@
 
     def named_version(self, model: str) -> int:
         """The newest version of the model's weights that was acknowledged to the operator; 1 if none was."""
-        return self.state.versions.get(model, 1) if self.state else 1
+        return self.state.weight_versions.get(model, 1) if self.state else 1
 
     def tell(self, topic: str) -> None:
         """Tells the watchers that this has changed."""
--- a/plumline/routing/salt.py
+++ b/plumline/routing/salt.py
@@ -1,7 +1,8 @@
 """Under which text an endpoint keeps a prompt's parts, and which version of the weights goes with it.
 
 STALE and WALL hold by construction: the salt names the version, the tenant where it is isolated, else the
-shared wall generation, and it leaves this module only together with the same version for `Expect-Version`.
+generation of the shared prefix cache, and it leaves this module only together with the same version for
+`Expect-Version`.
 """
 
 import math
@@ -19,9 +20,11 @@
     version: int
 
 
-def salt_for(version: int, wall: int, isolated: str | None) -> Salt:
+def salt_for(version: int, shared_generation: int, isolated: str | None) -> Salt:
     """`isolated` is the tenant's name where it is an isolated one."""
-    return Salt(f"v{version}t:{isolated}" if isolated is not None else f"v{version}w{wall}", version)
+    return Salt(
+        f"v{version}t:{isolated}" if isolated is not None else f"v{version}w{shared_generation}", version
+    )
 
 
 class NamedVersions:
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -13,7 +13,7 @@
 
 from plumline.configuration import history as history_module
 from plumline.configuration.document import check
-from plumline.configuration.state import State, models
+from plumline.configuration.replicated_state import ReplicatedConfiguration, model_names
 from plumline.coordination import chain as chain_module
 from plumline.coordination.effects import Message
 from plumline.errors import ConfigurationInvalidError, PlumlineError, VersionConflictError
@@ -46,7 +46,7 @@
 class NamedState:
     """The state of the program, and the ids of all changes that led to it."""
 
-    state: State = field(default_factory=State)
+    state: ReplicatedConfiguration = field(default_factory=ReplicatedConfiguration)
     ids: tuple[str, ...] = ()
 
     def check(self, change: list[Any]) -> bool:
@@ -67,7 +67,7 @@
 
     @staticmethod
     def load(wire: list[Any]) -> "NamedState":
-        return NamedState(State.from_wire(wire[0]), tuple(wire[1]))
+        return NamedState(ReplicatedConfiguration.from_wire(wire[0]), tuple(wire[1]))
 
 
 @dataclass(slots=True)
@@ -416,9 +416,9 @@
             self.repeat(order)
         self.go(2.0)
 
-    def can_settle(self, change: list[Any], newest: State) -> bool:
+    def can_settle(self, change: list[Any], newest: ReplicatedConfiguration) -> bool:
         if change[0] == "weights":
-            known = models(newest.configuration)
+            known = model_names(newest.configuration)
             return not known or change[1]["Model"] in known
         return newest.history.horizon <= change[1] <= newest.version
 
@@ -441,8 +441,8 @@
         stack.enter_context(patch.object(chain_module, "KEPT_ENTRIES", KEPT))
         stack.enter_context(patch.object(core_world, "Register", NamedState))
         if remembered:
-            stack.enter_context(patch.object(history_module, "SEGMENT", 2))
-            stack.enter_context(patch.object(history_module, "REMEMBERED", remembered))
+            stack.enter_context(patch.object(history_module, "SEGMENT_CHANGES", 2))
+            stack.enter_context(patch.object(history_module, "MIN_REMEMBERED_CHANGES", remembered))
         yield
 
 
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -5,8 +5,8 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any
 
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
 from plumline.counters import Counters
 from plumline.router.dispatch import Dispatcher
 from plumline.routing.fleet import Fleet
@@ -157,7 +157,7 @@
         self.writers: list[asyncio.StreamWriter] = []  # one that is let go closes its connection
         self.fleet.fresh = True
         if configuration is not None:
-            self.fleet.state = State()
+            self.fleet.state = ReplicatedConfiguration()
             self.fleet.table = RouteTable(configuration)
         settings = Settings(
             "n", LOCAL, (1, 1), zone="z", bounds=Bounds(version_apply_ms=8000), first_start=True
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 
 from plumline.configuration.document import amended, check, digest, parse, replaced
-from plumline.configuration.history import REMEMBERED, SEGMENT, History
+from plumline.configuration.history import MIN_REMEMBERED_CHANGES, SEGMENT_CHANGES, History
+from plumline.configuration.replicated_state import ReplicatedConfiguration, ReplicatedStateInvalidError
 from plumline.configuration.routes import RouteTable, Tenant
-from plumline.configuration.state import State, StateInvalidError
 from plumline.errors import ConfigurationInvalidError, UnavailableError, VersionConflictError
 
 Document = dict[str, Any]
@@ -153,7 +153,10 @@
     with pytest.raises(ConfigurationInvalidError) as error:
         check(body)
     assert word in error.value.text and "allowed" in error.value.text
-    for state, based_on in ((State(), 0), (State().apply(["replace", 0, document(1)]), 1)):
+    for state, based_on in (
+        (ReplicatedConfiguration(), 0),
+        (ReplicatedConfiguration().apply(["replace", 0, document(1)]), 1),
+    ):
         before, sent = copy.deepcopy(state), copy.deepcopy(body)
         with pytest.raises(ConfigurationInvalidError):
             state.check(["replace", based_on, body])
@@ -170,7 +173,7 @@
     ids=[name for name, (fields, _) in INVALID.items() if all(isinstance(v, list) for v in fields.values())],
 )
 def test_invalid_items_are_refused_in_an_amend_as_well(fields: Document, word: str) -> None:
-    state = State().apply(["replace", 0, document(1)])
+    state = ReplicatedConfiguration().apply(["replace", 0, document(1)])
     before = copy.deepcopy(state)
     (section, items), *_ = fields.items()
     names = [item.get("Name") for item in items if isinstance(item, dict)]
@@ -224,7 +227,7 @@
 @pytest.mark.parametrize("version", [1, 2])
 def test_a_version_not_above_the_present_one_is_invalid(version: int) -> None:
     for kind, body in (("replace", document(version)), ("amend", {"Version": version})):
-        state = State().apply(["replace", 0, document(2)])
+        state = ReplicatedConfiguration().apply(["replace", 0, document(2)])
         with pytest.raises(ConfigurationInvalidError, match="Version"):
             state.check([kind, 2, body])
 
@@ -251,7 +254,7 @@
 
 @pytest.mark.parametrize("body", AMENDMENTS_INVALID.values(), ids=AMENDMENTS_INVALID.keys())
 def test_invalid_amends_are_refused_without_effect(body: Document) -> None:
-    state = State().apply(["replace", 0, document(2)])
+    state = ReplicatedConfiguration().apply(["replace", 0, document(2)])
     before = copy.deepcopy(state)
     with pytest.raises(ConfigurationInvalidError, match="allowed"):
         state.check(["amend", 2, body])
@@ -286,7 +289,7 @@
 
 @given(first=plain, changes=steps)
 def test_amends_agree_with_a_plain_model(first: dict[str, int], changes: list[Any]) -> None:
-    state = State().apply(
+    state = ReplicatedConfiguration().apply(
         ["replace", 0, document(1, Routes=[route(n, TimeoutMs=t) for n, t in first.items()])]
     )
     model = dict(first)
@@ -339,7 +342,7 @@
 
 def test_two_changes_on_one_version_and_a_repeat() -> None:
     one, two = ["replace", 0, document(3)], ["replace", 0, document(3, Extra=1)]
-    state = State().apply(one)
+    state = ReplicatedConfiguration().apply(one)
     assert state.check(one) is True
     with pytest.raises(VersionConflictError):
         state.check(two)
@@ -350,18 +353,19 @@
 
 
 def test_a_repeat_of_a_change_too_old_to_remember_is_never_refused() -> None:
-    state = State().apply(["replace", 0, {"Version": 1}])
+    state = ReplicatedConfiguration().apply(["replace", 0, {"Version": 1}])
     changes = [
-        ["amend", version, {"Version": version + 1}] for version in range(1, REMEMBERED + 2 * SEGMENT + 1)
+        ["amend", version, {"Version": version + 1}]
+        for version in range(1, MIN_REMEMBERED_CHANGES + 2 * SEGMENT_CHANGES + 1)
     ]
     for change in changes:
         state = state.apply(change)
-    assert REMEMBERED <= len(state.history) < REMEMBERED + SEGMENT
-    for change in changes[-REMEMBERED:]:
+    assert MIN_REMEMBERED_CHANGES <= len(state.history) < MIN_REMEMBERED_CHANGES + SEGMENT_CHANGES
+    for change in changes[-MIN_REMEMBERED_CHANGES:]:
         assert state.check(change) is True
         with pytest.raises(VersionConflictError):
             state.check([change[0], change[1], change[2] | {"Limits": {}}])
-    for change in changes[:SEGMENT]:
+    for change in changes[:SEGMENT_CHANGES]:
         with pytest.raises(UnavailableError):
             state.check(change)
 
@@ -369,7 +373,7 @@
 def test_a_change_on_a_version_that_may_still_come_is_not_refused() -> None:
     # A copy of it that arrives after that version would be taken.
     early = ["amend", 5, {"Version": 9}]
-    state = State().apply(["replace", 0, {"Version": 3}])
+    state = ReplicatedConfiguration().apply(["replace", 0, {"Version": 3}])
     with pytest.raises(UnavailableError):
         state.check(early)
     assert state.apply(["amend", 3, {"Version": 5}]).check(early) is False
@@ -378,7 +382,9 @@
 def test_a_repeat_is_known_after_changes_of_the_other_kind() -> None:
     replaced_once = ["replace", 0, document(2)]
     amended_once = ["amend", 2, {"Version": 4}]
-    state = State().apply(replaced_once).apply(amended_once).apply(["replace", 4, document(7)])
+    state = (
+        ReplicatedConfiguration().apply(replaced_once).apply(amended_once).apply(["replace", 4, document(7)])
+    )
     assert state.check(replaced_once) is True and state.check(amended_once) is True
     with pytest.raises(VersionConflictError):
         state.check(["replace", 2, {"Version": 4}])  # the same body as another kind of change
@@ -387,15 +393,15 @@
 
 
 def test_named_versions_of_weights() -> None:
-    state = State()
+    state = ReplicatedConfiguration()
     change = ["weights", {"Model": "m1", "Version": 3}]
     assert state.check(change) is False
     new = state.apply(change)
-    assert (state.versions, new.versions) == ({}, {"m1": 3})
+    assert (state.weight_versions, new.weight_versions) == ({}, {"m1": 3})
     assert new.check(change) is True and new.apply(change) is new
     late = ["weights", {"Model": "m1", "Version": 2}]
     assert new.check(late) is True and new.apply(late) is new
-    assert new.apply(["weights", {"Model": "m2", "Version": 1}]).versions == {"m1": 3, "m2": 1}
+    assert new.apply(["weights", {"Model": "m2", "Version": 1}]).weight_versions == {"m1": 3, "m2": 1}
 
 
 @pytest.mark.parametrize(
@@ -414,13 +420,13 @@
 )
 def test_invalid_named_versions(named: Document) -> None:
     with pytest.raises(ConfigurationInvalidError, match="allowed"):
-        State().apply(["replace", 0, document()]).check(["weights", named])
+        ReplicatedConfiguration().apply(["replace", 0, document()]).check(["weights", named])
 
 
 def test_a_version_of_a_model_that_may_still_be_named_is_not_refused() -> None:
     # A copy of it that arrives after such a configuration would be taken.
     change = ["weights", {"Model": "later", "Version": 2}]
-    state = State().apply(["replace", 0, document(1)])
+    state = ReplicatedConfiguration().apply(["replace", 0, document(1)])
     with pytest.raises(UnavailableError):
         state.check(change)
     service = {"Name": "more", "Engine": {"Models": [{"Name": "later"}]}}
@@ -430,22 +436,22 @@
 
 def test_models_are_free_while_none_is_listed() -> None:
     change = ["weights", {"Model": "unknown", "Version": 2}]
-    assert State().check(change) is False
-    assert State().apply(["replace", 0, {"Version": 1}]).check(change) is False
+    assert ReplicatedConfiguration().check(change) is False
+    assert ReplicatedConfiguration().apply(["replace", 0, {"Version": 1}]).check(change) is False
 
 
 @pytest.mark.parametrize("change", [[], ["drop"], ["replace", 0], ["replace", 0, []], ["weights", []]])
 def test_unknown_changes_are_refused(change: list[Any]) -> None:
     with pytest.raises(ConfigurationInvalidError):
-        State().check(change)
+        ReplicatedConfiguration().check(change)
 
 
-def test_the_wall_rises_when_a_tenant_leaves_the_shared_pool() -> None:
+def test_the_shared_cache_generation_rises_when_a_tenant_leaves_the_shared_pool() -> None:
     def tenant(name: str, isolated: bool) -> Document:
         return {"Name": name, "Isolated": isolated}
 
-    state = State()
-    walls = []
+    state = ReplicatedConfiguration()
+    generations = []
     for version, listed in enumerate(
         [
             [tenant("a", False), tenant("b", True)],  # new ones, isolated or not: 0
@@ -459,19 +465,23 @@
         ],
         1,
     ):
-        state = State.from_wire(state.to_wire()).apply(
+        state = ReplicatedConfiguration.from_wire(state.to_wire()).apply(
             ["replace", version - 1, {"Version": version, "Tenants": listed}]
         )
-        walls.append(state.wall)
-    assert walls == [0, 0, 1, 1, 1, 2, 2, 2]
+        generations.append(state.shared_cache_generation)
+    assert generations == [0, 0, 1, 1, 1, 2, 2, 2]
 
 
 def test_the_state_survives_the_wire() -> None:
-    state = State().apply(["weights", {"Model": "m1", "Version": 2}]).apply(["replace", 0, document(2)])
+    state = (
+        ReplicatedConfiguration()
+        .apply(["weights", {"Model": "m1", "Version": 2}])
+        .apply(["replace", 0, document(2)])
+    )
     state = state.apply(["amend", 2, {"Version": 5, "Removals": {"Tenants": ["t1"]}}])
-    again = State.from_wire(ormsgpack.unpackb(ormsgpack.packb(state.to_wire())))
+    again = ReplicatedConfiguration.from_wire(ormsgpack.unpackb(ormsgpack.packb(state.to_wire())))
     assert again == state and again.history.to_wire() == state.history.to_wire() and again.version == 5
-    assert State.from_wire(State().to_wire()) == State()
+    assert ReplicatedConfiguration.from_wire(ReplicatedConfiguration().to_wire()) == ReplicatedConfiguration()
 
 
 @pytest.mark.parametrize(
@@ -480,21 +490,21 @@
         None,
         [],
         {},
-        State().to_wire() | {"wall": "1"},
-        State().to_wire() | {"taken": []} | {"history": {}},
-        State().to_wire() | {"history": [0, [1], b""]},
-        State().to_wire() | {"history": [0, [1, 2]]},
+        ReplicatedConfiguration().to_wire() | {"wall": "1"},
+        ReplicatedConfiguration().to_wire() | {"taken": []} | {"history": {}},
+        ReplicatedConfiguration().to_wire() | {"history": [0, [1], b""]},
+        ReplicatedConfiguration().to_wire() | {"history": [0, [1, 2]]},
     ],
 )
 def test_what_is_no_state_is_refused(wire: object) -> None:
-    with pytest.raises(StateInvalidError):
-        State.from_wire(wire)
+    with pytest.raises(ReplicatedStateInvalidError):
+        ReplicatedConfiguration.from_wire(wire)
 
 
 def test_who_only_follows_gets_no_history_and_refuses_nothing_by_it() -> None:
     first, second = ["replace", 0, document(2)], ["amend", 2, {"Version": 5}]
-    state = State().apply(first)
-    follower = State.from_wire(state.to_wire(history=False))
+    state = ReplicatedConfiguration().apply(first)
+    follower = ReplicatedConfiguration.from_wire(state.to_wire(history=False))
     assert len(follower.history) == 0
     assert follower.apply(second).configuration == state.apply(second).configuration
     with pytest.raises(UnavailableError):
@@ -503,16 +513,16 @@
 
 def test_a_state_of_an_earlier_release_keeps_its_repeats() -> None:
     changes = [["replace", 0, document(2)], ["amend", 2, {"Version": 5}], ["amend", 5, {"Version": 6}]]
-    state = State()
+    state = ReplicatedConfiguration()
     for change in changes:
         state = state.apply(change)
     taken = {digest(*change): change[2]["Version"] for change in changes}
     old = {key: value for key, value in state.to_wire().items() if key != "history"} | {"taken": taken}
-    again = State.from_wire(old)
+    again = ReplicatedConfiguration.from_wire(old)
     assert again.check(changes[1]) is True and again.check(changes[2]) is True
     with pytest.raises(UnavailableError):  # what the oldest was based on isn't known
         again.check(changes[0])
-    assert State.from_wire(old | {"taken": {}}).history == History()
+    assert ReplicatedConfiguration.from_wire(old | {"taken": {}}).history == History()
 
 
 segments = st.text("ab", min_size=1, max_size=2)
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from plumline.configuration.history import History, Match
-from plumline.configuration.state import State
+from plumline.configuration.history import History, HistoryMatch
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.coordination.chain import Answer, Chain
 from plumline.coordination.core import Core
 from plumline.errors import (
@@ -116,38 +116,46 @@
     return {"mutate": mutate}
 
 
-def refuses_what_may_come(state: State, kind: str, based_on: Any, body: Any) -> bool:  # noqa: ANN401
+def refuses_what_may_come(state: ReplicatedConfiguration, kind: str, based_on: Any, body: Any) -> bool:  # noqa: ANN401
     if based_on > state.version:
         raise VersionConflictError("not in place")
-    return WAS_TAKEN(state, kind, based_on, body)
+    return IS_REPEAT(state, kind, based_on, body)
 
 
-def refuses_what_it_forgot(state: State, kind: str, based_on: Any, body: Any) -> bool:  # noqa: ANN401
+def refuses_what_it_forgot(state: ReplicatedConfiguration, kind: str, based_on: Any, body: Any) -> bool:  # noqa: ANN401
     try:
-        return WAS_TAKEN(state, kind, based_on, body)
+        return IS_REPEAT(state, kind, based_on, body)
     except UnavailableError as error:
         if "remembered" in error.text:
             raise VersionConflictError("not remembered") from error
         raise
 
 
-def refuses_unknown_models(state: State, named: dict[str, Any]) -> bool:
+def refuses_unknown_models(state: ReplicatedConfiguration, named: dict[str, Any]) -> bool:
     try:
         return CHECK_WEIGHTS(state, named)
     except UnavailableError as error:
         raise ConfigurationInvalidError(error.text) from error
 
 
-def knows_no_repeat(history: History, base: int, digest: str) -> Match:
-    return Match.OTHER
+def knows_no_repeat(history: History, base: int, digest: str) -> HistoryMatch:
+    return HistoryMatch.DIFFERENT
 
 
-def knows_no_content(history: History, base: int, digest: str) -> Match:
+def knows_no_content(history: History, base: int, digest: str) -> HistoryMatch:
     found = MATCH(history, base, digest)
-    return Match.TAKEN if base < history.horizon or any(base in each for each in history.full) else found
+    return (
+        HistoryMatch.APPLIED
+        if base < history.horizon or any(base in each for each in history.full_segments)
+        else found
+    )
 
 
-WAS_TAKEN, CHECK_WEIGHTS, MATCH = State._was_taken, State._check_weights, History.match
+IS_REPEAT, CHECK_WEIGHTS, MATCH = (
+    ReplicatedConfiguration._is_repeat,
+    ReplicatedConfiguration._check_weights,
+    History.match,
+)
 
 
 def guards() -> Iterator[Any]:
@@ -159,11 +167,15 @@
         (AcknowledgesAnUncommittedRepeat, 0),
     ):
         yield pytest.param({"first": first, **exchange(kind)}, nullcontext(), id=kind.__name__)
-    yield pytest.param({}, patch.object(State, "_was_taken", refuses_what_may_come), id="RefusesWhatMayCome")
+    yield pytest.param(
+        {},
+        patch.object(ReplicatedConfiguration, "_is_repeat", refuses_what_may_come),
+        id="RefusesWhatMayCome",
+    )
     few = {"remembered": FEW, "first": 35}
-    forgot = patch.object(State, "_was_taken", refuses_what_it_forgot)
+    forgot = patch.object(ReplicatedConfiguration, "_is_repeat", refuses_what_it_forgot)
     yield pytest.param(few, forgot, id="RefusesWhatItForgot")
-    unknown = patch.object(State, "_check_weights", refuses_unknown_models)
+    unknown = patch.object(ReplicatedConfiguration, "_check_weights", refuses_unknown_models)
     yield pytest.param({"cuts": True, "seconds": 22.0}, unknown, id="RefusesUnknownModels")
     yield pytest.param({}, patch.object(History, "match", knows_no_repeat), id="KnowsNoRepeat")
     yield pytest.param(few, patch.object(History, "match", knows_no_content), id="TakesAnyBodyForTheRepeat")
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -7,8 +7,8 @@
 
 from plumline.configuration.difference import as_amend
 from plumline.configuration.document import Document
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
 
 NAMES = st.sampled_from("abcdef")
 
@@ -44,11 +44,15 @@
 
 @given(documents(1), documents(2))
 def test_the_difference_leads_to_the_same_state(first: Document, second: Document) -> None:
-    state = State().apply(["replace", 0, first])
+    state = ReplicatedConfiguration().apply(["replace", 0, first])
     change = ["replace", 1, second]
     whole, told = state.apply(change), state.apply(as_amend(first, change))
     assert told.configuration == whole.configuration
-    assert (told.wall, told.departed, told.version) == (whole.wall, whole.departed, whole.version)
+    assert (told.shared_cache_generation, told.departed_tenants, told.version) == (
+        whole.shared_cache_generation,
+        whole.departed_tenants,
+        whole.version,
+    )
 
 
 def looks(table: RouteTable) -> Any:  # noqa: ANN401
@@ -69,7 +73,7 @@
     earlier = RouteTable(first)
     before = looks(earlier)
     change = as_amend(first, ["replace", 1, second])
-    state = State().apply(["replace", 0, first]).apply(change)
+    state = ReplicatedConfiguration().apply(["replace", 0, first]).apply(change)
     if change[0] == "amend" and state.configuration is not None:
         assert looks(earlier.amended(state.configuration, change[2])) == looks(
             RouteTable(state.configuration)
@@ -92,7 +96,9 @@
         {"Version": 2, "Upserts": {"Routes": [route("r70", 70, 2)]}, "Removals": {"Routes": []}},
     ]
     table = RouteTable(first)
-    again = table.amended(State().apply(["replace", 0, first]).apply(change).configuration or {}, change[2])
+    again = table.amended(
+        ReplicatedConfiguration().apply(["replace", 0, first]).apply(change).configuration or {}, change[2]
+    )
     same = sum(mine is other for mine, other in zip(table.routes, again.routes, strict=True))
     assert same == 2999
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -5,8 +5,8 @@
 
 import pytest
 
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
 from plumline.wire.exchange import Exchange
 from tests.dispatch_world import (
     FULL,
@@ -227,7 +227,7 @@
         peer = Peer("e1", answer())
         router = await made(document() | {"Tenants": TENANTS}, peer)
         router.fleet.table.services["st"] = RouteTable({"Version": 1, "Services": [STORE]}).services["st"]
-        router.fleet.state = State(versions={"m": 4}, wall=7)
+        router.fleet.state = ReplicatedConfiguration(weight_versions={"m": 4}, shared_cache_generation=7)
         router.fleet.take_roster([peer.entry(models={"m": 4})])
         await router.ask(X_Api_Key="key-p", **MODEL)
         await router.ask(X_Api_Key="key-w", **MODEL)
@@ -243,7 +243,7 @@
         await router.ask(X_Api_Key="key-p", **LONG)
         assert "kv-save" not in peer.heads[-1]
         router.fleet.take_roster([peer.entry(models={})])
-        router.fleet.state = State()
+        router.fleet.state = ReplicatedConfiguration()
         await router.ask(X_Api_Key="key-p", **LONG)
         await router.ask(X_Api_Key="key-p", **LONG)
         unknown = peer.heads[-2:]
@@ -262,7 +262,7 @@
         now = 100.0
         router.dispatcher.clock = lambda: now + asyncio.get_running_loop().time()
         router.dispatcher.versions.look(0.0)
-        router.fleet.state = State(versions={"m": 2})
+        router.fleet.state = ReplicatedConfiguration(weight_versions={"m": 2})
         router.fleet.tell("configuration")
         router.fleet.take_roster([old.entry(), new.entry(models={"m": 2})])
         late = {"Remaining_Milliseconds": "900000"}
--- a/tests/test_feeding.py
+++ b/tests/test_feeding.py
@@ -6,7 +6,7 @@
 import pytest
 
 from plumline.configuration.document import Document
-from plumline.configuration.state import State
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.coordination.topics import Topics
 from plumline.counters import Counters
 from plumline.registrar import backlog as backlog_module
@@ -18,7 +18,7 @@
     """What a feed reads of a chain; a test commits to it."""
 
     def __init__(self) -> None:
-        self.state, self.committed = State(), 0
+        self.state, self.committed = ReplicatedConfiguration(), 0
 
     def commit(self, feed: Feed, change: list[Any]) -> None:
         self.state = self.state.apply(change)
@@ -56,7 +56,7 @@
     """Applies what it is sent as a router does."""
 
     def __init__(self, link: FakeLink) -> None:
-        self.link, self.place, self.state, self.bytes = link, 0, State(), 0
+        self.link, self.place, self.state, self.bytes = link, 0, ReplicatedConfiguration(), 0
 
     def take(self) -> list[str]:
         self.bytes += sum(map(len, self.link.frames))
@@ -65,7 +65,7 @@
             kinds.append(kind)
             if kind == "state":
                 assert number > self.place
-                self.state = State.from_wire(told)
+                self.state = ReplicatedConfiguration.from_wire(told)
             else:
                 assert number == self.place + 1
                 self.state = self.state.apply(told)
@@ -191,7 +191,7 @@
     new = [scene.join(f"new{at}") for at in range(50)]
     for each in [*behind, *new]:
         if each in behind:
-            each.place, each.state = 1, State().apply(["replace", 0, document(1, 4000)])
+            each.place, each.state = 1, ReplicatedConfiguration().apply(["replace", 0, document(1, 4000)])
         each.take()
         assert each.place == scene.chain.committed
         assert each.state.configuration == scene.chain.state.configuration
@@ -218,7 +218,7 @@
     scene = Scene()
     scene.commit(["replace", 0, document(1, 3)])
     scene.routers[0].take()
-    scene.chain.state = State().apply(["replace", 0, document(9, 3)])
+    scene.chain.state = ReplicatedConfiguration().apply(["replace", 0, document(9, 3)])
     scene.chain.committed = 12
     scene.feed.applied(12, None)
     assert scene.routers[0].take() == ["state"]
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -8,7 +8,7 @@
 
 from peers import play, soon
 
-from plumline.configuration.state import State
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.counters import Counters
 from plumline.router import following
 from plumline.router.following import Follower
@@ -98,10 +98,10 @@
     follower.look(asyncio.get_running_loop().time())
     await soon(registrar.up.wait())
     link = registrar.links[0]
-    state = State().apply(["replace", 0, DOCUMENT])
+    state = ReplicatedConfiguration().apply(["replace", 0, DOCUMENT])
     link.send(["state", 5, state.to_wire()])
     link.send(["entry", 6, ["weights", {"Model": "m", "Version": 2}]])
-    link.send(["state", 4, State().to_wire()])
+    link.send(["state", 4, ReplicatedConfiguration().to_wire()])
     link.send(["entry", 6, ["weights", {"Model": "m", "Version": 9}]])
     link.send(["topic", "roster", [1, 1], []])
     await soon(until(lambda: "roster" in follower.topics.told))
@@ -180,7 +180,7 @@
     told = [[f"127.0.0.1:{port}", "a"], [f"127.0.0.2:{port}", "b"]]
     first.links[0].send(["beat", True, 5, told, 4, {}])
     await soon(until(lambda: follower.primary is not None))
-    first.links[0].send(["state", 5, State().apply(["replace", 0, DOCUMENT]).to_wire()])
+    first.links[0].send(["state", 5, ReplicatedConfiguration().apply(["replace", 0, DOCUMENT]).to_wire()])
     await soon(until(lambda: fleet.place == 5))
     follower.look(follower.loop.time())
     await soon(second.up.wait())
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -48,7 +48,7 @@
     # What was the newest entry as it ended is committed as the next life begins, before any message came.
     second = Registrar(settings_for(tmp_path))
     assert second.core.me == first.core.me
-    assert second.core.chain.state.versions == {"m": 3}
+    assert second.core.chain.state.weight_versions == {"m": 3}
     assert second.core.chain.is_head() and second.core.chain.caught_up
     second.writer.close()
 
--- a/tests/wire_world.py
+++ b/tests/wire_world.py
@@ -13,8 +13,8 @@
 import virtual_net
 from virtual_net import MemoryTransport, VirtualLoop
 
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
 from plumline.counters import Counters
 from plumline.router.dispatch import Dispatcher
 from plumline.routing.fleet import Fleet
@@ -599,7 +599,7 @@
     async def run(self, loop: VirtualLoop) -> None:
         self.loop = loop
         fleet = Fleet()
-        fleet.fresh, fleet.state, fleet.table = True, State(), RouteTable(configuration())
+        fleet.fresh, fleet.state, fleet.table = True, ReplicatedConfiguration(), RouteTable(configuration())
         settings = Settings("n", "10.0.0.1", (1, 1), zone="z", bounds=Bounds(), first_start=True)
         roster = []
         for number in range(ENDPOINTS):
