--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -8,8 +8,8 @@
 from typing import Any
 
 from plumline import logs
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.lease import LeaseDurations
@@ -102,8 +102,8 @@
             copies=settings.machine_losses + 1,
             first_start=settings.first_start,
             environment=self,
-            empty=State(),
-            load=State.from_wire,
+            empty=ReplicatedConfiguration(),
+            load=ReplicatedConfiguration.from_wire,
             leases={
                 "discovery": LeaseDurations(DISCOVERY_LEASE_S, 0.0),
                 "weights": LeaseDurations(WEIGHTS_LEASE_S, rest),
@@ -132,7 +132,7 @@
             settings.node_name,
             lambda: self.held("weights"),
             lambda: self.topics.get("roster") or [],
-            lambda: self.core.chain.state.versions,
+            lambda: self.core.chain.state.weight_versions,
             self.publish_rollout,
             self.loop.time,
             apply_timeout_s=settings.bounds.version_apply_ms / 1000,
