--- a/tests/frozen_adapter.py
+++ b/tests/frozen_adapter.py
@@ -6,20 +6,38 @@
 """
 
 import ast
+import asyncio
+import functools
 import importlib
+import io
 import json
 import pkgutil
+import re
+import sys
+import tempfile
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from dataclasses import fields
 from pathlib import Path
 from typing import Any
+from unittest.mock import patch
 
 import click
+import frozen_cluster
+import frozen_story
+import ormsgpack
 from click.testing import CliRunner
+from frozen_story import Day, Program, Told
 
 import plumline
+from plumline import logs, settings
 from plumline.cli import main
 from plumline.errors import PlumlineError
+from plumline.operator_calls import settle
+from plumline.registrar import app as registrar
+from plumline.router import app as router
 from plumline.settings import from_environment
+from plumline.store.writer import ImmediateWriter
 
 ROOT = Path(__file__).parent.parent
 PROGRAMS = ("plumline", "elmglade")
@@ -144,3 +162,127 @@
         return any((head.isdigit() or head in literals) and made(name[len(head) :]) for head in heads)
 
     return [name for name in names if not made(name)]
+
+
+# Whole programs on a virtual network.
+
+
+def registrar_program(path: Path) -> Program:
+    """A registrar with this settings file."""
+    return lambda: registrar.run(settings.load(path))
+
+
+def router_program(path: Path) -> Program:
+    """A router with this settings file."""
+    return lambda: router.run(settings.load(path))
+
+
+async def operate(addresses: list[tuple[str, int]], document: dict[str, Any]) -> None:
+    """The operator's client reads the configuration, and puts another one on top of version 2."""
+    await settle(addresses, "configuration_read")
+    await settle(addresses, "configuration_replace", {"Based-On-Version": "2"}, document)
+
+
+def writer_at_once(file: Any, loop: asyncio.AbstractEventLoop, image: Callable[[], Any]) -> ImmediateWriter:  # noqa: ANN401
+    """In place of the writer with a thread, which knows no virtual time."""
+    return ImmediateWriter(file, image, loop.time)
+
+
+@contextmanager
+def log_lines() -> Iterator[io.StringIO]:
+    """What the programs log, as they write it to standard error."""
+    lines, root = io.StringIO(), logs.logging.getLogger()
+    with patch.object(sys, "stderr", lines):
+        logs.configure("INFO")
+    try:
+        yield lines
+    finally:
+        for handler in list(root.handlers):
+            root.removeHandler(handler)
+
+
+def play(story: Callable[..., Any], *arguments: object) -> tuple[Told, str]:
+    """What a story of `frozen_story` leaves, and the log."""
+    with (
+        tempfile.TemporaryDirectory() as folder,
+        patch.object(registrar, "DurableWriter", writer_at_once),
+        log_lines() as lines,
+    ):
+        told = frozen_cluster.play(
+            lambda cluster: story(
+                Day(cluster, Path(folder), registrar_program, router_program, operate), *arguments
+            )
+        )
+        return told, lines.getvalue()
+
+
+@functools.cache
+def day() -> tuple[Told, str]:
+    """The whole day, and what is seldom said beside it."""
+    told, text = play(frozen_story.whole_day)
+    odd, more = play(frozen_story.odd_hours)
+    told.messages += odd.messages
+    told.frames += odd.frames
+    told.calls += odd.calls
+    told.disks |= odd.disks
+    return told, text + more
+
+
+def messages_sent() -> dict[str, Any]:
+    """By sender, receiver and kind: the forms of all messages between the programs."""
+    found: dict[str, list[bytes]] = {}
+    for each in day()[0].messages:
+        found.setdefault(f"{each.sender} > {each.receiver}: {each.kind}", []).append(each.body)
+    return {key: frozen_story.forms(bodies) for key, bodies in sorted(found.items())}
+
+
+def frame_kinds() -> dict[str, Any]:
+    """The forms of frames that carry others, compressed or in parts; and the size of the largest frame."""
+    found: dict[str, set[str]] = {"packed": set(), "piece": set()}
+    largest = 0
+    for frame in day()[0].frames:
+        largest = max(largest, len(frame))
+        value = ormsgpack.unpackb(frame[4:])
+        if value[0] in found:
+            found[value[0]].add(" ".join(type(each).__name__ for each in value))
+    return {"largest": largest} | {kind: sorted(types) for kind, types in found.items()}
+
+
+def records_written() -> dict[str, Any]:
+    """By kind: the forms of all records in the registrars' files."""
+    found: dict[str, list[bytes]] = {}
+    for data in day()[0].disks.values():
+        for each in frozen_story.records_in(data):
+            found.setdefault(frozen_story.kind_of(ormsgpack.unpackb(each)), []).append(each)
+    return {kind: frozen_story.forms(bodies) for kind, bodies in sorted(found.items())}
+
+
+def calls_made() -> dict[str, list[str]]:
+    """By caller, callee, first line and status: the first call over HTTP, and its answer."""
+    found: dict[str, list[str]] = {}
+    for _, caller, callee, call, answer in day()[0].calls:
+        line, status = call.split(b"\r\n")[0].partition(b" HTTP/")[0].decode(), answer[9:12].decode()
+        if answer:
+            shown = [call.decode("latin-1")[:2000], answer.decode("latin-1")]
+            found.setdefault(f"{caller} > {callee}: {line} -> {status}", shown)
+    return dict(sorted(found.items()))
+
+
+def names_logged() -> dict[str, list[str]]:
+    """The names of events and counters in a day's log."""
+    text = day()[1]
+    return {name: sorted(set(re.findall(rf" {name}=([^ \n]+)", text))) for name in ("event", "counter")}
+
+
+def started_from(disks: dict[str, bytes]) -> dict[str, Any]:
+    """What three registrars with these disks tell one another and an operator."""
+    told, text = play(frozen_story.power_is_back, disks)
+    incarnations = {each.value[2] for each in told.messages if each.kind == "ping"}
+    answers = [each.answer for each in told.calls if each.request.startswith(b"GET /Configuration.Read")]
+    return {
+        "incarnations": sorted(incarnations),
+        "first view": min(int(each) for each in re.findall(r"event=view number=(\d+)", text)),
+        "founded": any(each.kind.startswith("found") for each in told.messages),
+        "terms above": min(each.value[4] for each in told.messages if each.kind == "ballot ask"),
+        "read": answers[0].decode(),
+    }
--- a/tests/test_frozen_forms.py
+++ b/tests/test_frozen_forms.py
@@ -71,3 +71,45 @@
         (["router"], {"PLUMLINE_BOOT": wrong}, 78),
     ]:
         assert code.run_command(words, variables)[0] == exit_code, words
+
+
+# What goes over the wire. All of it is heard in one day of a small system, see `frozen_story`.
+
+
+def differing(found: dict[str, Any], expected: dict[str, Any]) -> dict[str, Any]:
+    """What is not as recorded: by name, what was found and what is expected."""
+    names = sorted(found.keys() | expected.keys())
+    pairs = {name: (found.get(name), expected.get(name)) for name in names}
+    return {name: pair for name, pair in pairs.items() if pair[0] != pair[1]}
+
+
+def test_the_messages_between_the_programs() -> None:
+    """Every kind by its sender and receiver, its fields' types, and the bytes of an example or two."""
+    assert differing(code.messages_sent(), recorded("messages")) == {}
+
+
+def test_frames_that_are_compressed_or_sent_in_parts() -> None:
+    assert code.frame_kinds() == recorded("frames")
+
+
+def test_the_calls_over_http_and_their_answers() -> None:
+    assert differing(code.calls_made(), recorded("calls")) == {}
+
+
+def test_the_names_in_the_log() -> None:
+    assert code.names_logged() == recorded("logged")
+
+
+# What lies on registrars' disks.
+
+
+def test_the_records_on_registrars_disks() -> None:
+    """Every kind, its fields' types, and the bytes of an example or two; and the layout of the file."""
+    assert differing(code.records_written(), recorded("records")) == {}
+
+
+def test_registrars_start_from_recorded_disks() -> None:
+    """They know view, leases, incarnations and configuration, and a change builds on these."""
+    disks = {path.stem: path.read_bytes() for path in sorted((DATA / "disks").glob("*.log"))}
+    assert len(disks) == 3
+    assert code.started_from(disks) == recorded("started")
