--- a/tests/frozen_adapter.py
+++ b/tests/frozen_adapter.py
@@ -11,8 +11,10 @@
 import importlib
 import io
 import json
+import os
 import pkgutil
 import re
+import subprocess
 import sys
 import tempfile
 from collections.abc import Callable, Iterator
@@ -24,6 +26,7 @@
 
 import click
 import frozen_cluster
+import frozen_sender
 import frozen_story
 import ormsgpack
 from click.testing import CliRunner
@@ -41,6 +44,7 @@
 
 ROOT = Path(__file__).parent.parent
 PROGRAMS = ("plumline", "elmglade")
+SENDER = "elmglade"  # the package that is run as the sender's program
 
 
 # The command line.
@@ -286,3 +290,37 @@
         "terms above": min(each.value[4] for each in told.messages if each.kind == "ballot ask"),
         "read": answers[0].decode(),
     }
+
+
+# The sender's process.
+
+
+def sender_journal(folder: Path) -> dict[str, Any]:
+    """The lines of a journal after SIGKILL, and as the next process makes it anew; without times."""
+    found = frozen_sender.run(frozen_sender.journal_of_a_life, SENDER, folder)
+    return frozen_sender.timeless(found)
+
+
+def sender_started_from(journal: list[Any], folder: Path) -> dict[str, Any]:
+    """What a sender makes of a recorded journal: its own, and the first request that it sends."""
+    return frozen_sender.run(
+        lambda machine: frozen_sender.started_from_journal(machine, journal), SENDER, folder
+    )
+
+
+def sender_hands_over(folder: Path) -> list[Any]:
+    """The frames that a sender hands over, with the types of their values."""
+    return [*map(frozen_sender.typed, frozen_sender.run(frozen_sender.handed_over_by, SENDER, folder))]
+
+
+def sender_takes_over(frames: list[Any], folder: Path) -> dict[str, Any]:
+    """What a sender that was given recorded frames hands over in its turn, and what its client hears."""
+    return frozen_sender.run(lambda machine: frozen_sender.handed_over_to(machine, frames), SENDER, folder)
+
+
+def sender_without_configuration() -> tuple[int, int]:
+    """Exit code, and lines on standard error, where the environment names no configuration."""
+    variables = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
+    words = [sys.executable, "-m", SENDER]
+    ended = subprocess.run(words, cwd=ROOT, env=variables, capture_output=True, timeout=60, check=False)
+    return ended.returncode, ended.stderr.count(b"\n")
--- a/tests/test_frozen_forms.py
+++ b/tests/test_frozen_forms.py
@@ -113,3 +113,33 @@
     disks = {path.stem: path.read_bytes() for path in sorted((DATA / "disks").glob("*.log"))}
     assert len(disks) == 3
     assert code.started_from(disks) == recorded("started")
+
+
+# The sender: its journal, and what it hands over to its next version.
+
+SENDER = recorded("sender")
+
+
+def test_the_lines_of_the_senders_journal(tmp_path: Path) -> None:
+    """Each kind, with its fields in their order."""
+    assert json.dumps(code.sender_journal(tmp_path)) == json.dumps(SENDER["written"])
+
+
+def test_a_sender_starts_from_a_recorded_journal(tmp_path: Path) -> None:
+    """One with every kind of line and every outcome."""
+    found = code.sender_started_from(SENDER["journal"], tmp_path)
+    assert json.dumps(found) == json.dumps(SENDER["started"])
+
+
+def test_what_a_sender_hands_over(tmp_path: Path) -> None:
+    assert json.dumps(code.sender_hands_over(tmp_path)) == json.dumps(SENDER["handed over"])
+
+
+def test_a_sender_takes_over_what_was_recorded(tmp_path: Path) -> None:
+    """It goes on with all of it, and hands the same on."""
+    found = code.sender_takes_over(SENDER["taken over"], tmp_path)
+    assert json.dumps(found) == json.dumps(SENDER["handed on"])
+
+
+def test_a_sender_without_a_configuration_ends_with_one_line() -> None:
+    assert code.sender_without_configuration() == (1, 1)
