--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -9,10 +9,11 @@
 
 from plumline.coordination.ballot import Ballots, Persist, Send, Terms
 from plumline.coordination.chain import Chain
-from plumline.coordination.contacts import SUSPECT_AFTER, Contacts
 from plumline.coordination.environment import Environment, Member, Message, Record
+from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
 from plumline.coordination.formation import Formation
 from plumline.coordination.keeper import Duty, Keeper
+from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
 from plumline.coordination.view import View, Views
 
 
@@ -39,11 +40,11 @@
         self.changed, self.leases = changed, tuple(leases)
         self.views = Views(me, environment, self.installed)
         self.chain = Chain(me, copies, environment, empty, load, applied)
-        self.contacts = Contacts(me, environment)
-        self.keeper = Keeper(me, self.views, self.contacts, chance, copies)
+        self.failure_detector = FailureDetector(me, environment)
+        self.keeper = Keeper(me, self.views, self.failure_detector, chance, copies)
         self.formation = Formation(me, seeds, first_start, environment, self.views, known_elsewhere)
         self.ballots = Ballots(me[0], leases, now, chance)
-        self.sick = False
+        self.disk_unhealthy = False
 
     def set_seeds(self, seeds: list[str]) -> None:
         """The seeds of now: whom to ask. The first view is formed by those of this process's start, or never:
@@ -75,7 +76,7 @@
     def installed(self, view: View) -> None:
         self.chain.install(view)
         for address, _ in (*view.acceptors, *view.chain):
-            self.contacts.know(self.now, address)
+            self.failure_detector.add_peer(self.now, address)
         voters = [address for address, _ in view.acceptors] if self.me in view.acceptors else []
         formed_now = view.number == 1 and self.formation.formed
         self.ballots.set_view(self.now, view.number, voters, formed_now=formed_now)
@@ -84,30 +85,32 @@
     def tick(self, now: float) -> None:
         self.now = now
         for address in self.seeds:
-            self.contacts.know(now, address)
+            self.failure_detector.add_peer(now, address)
         self.formation.tick(now)
         view = self.views.view
         present = self.chain.position is not None
         synced = self.chain.synced if present else min(self.chain.synced, self.chain.committed)
-        self.contacts.tick(
-            now,
-            [
-                *(self.me[1], view.number if view else 0, synced),
-                *(self.sick, self.keeper.leaving, self.chain.standing()),
-            ],
+        local_status = LocalStatus(
+            incarnation=self.me.incarnation,
+            view_number=view.number if view else 0,
+            last_synced=synced,
+            disk_unhealthy=self.disk_unhealthy,
+            draining=self.keeper.leaving,
+            status=ReplicaStatus(self.chain.standing()),
         )
+        self.failure_detector.tick(now, local_status)
         self.keeper.tick(now, self.chain.synced, self.chain.committed, self.chain.caught_up)
         self.chain.tick(now)
         self.ballots.tick(now)
         self.flush_ballots()
         if view is not None:
             named = {address for address, _ in (*view.acceptors, *view.chain)} | set(self.seeds)
-            self.contacts.forget(now, named)
+            self.failure_detector.remove_silent_peers(now, named)
 
     def on_message(self, now: float, sender: str, message: Message) -> bool:
         """False if nobody here knows the kind of message."""
         self.now = now
-        if self.contacts.on_message(now, sender, message):
+        if self.failure_detector.on_message(now, sender, message):
             if message[0] == "ping":
                 self.views.heard_number(sender, message[3])
             return True
@@ -170,18 +173,18 @@
         view = self.views.view
         if view is None or self.chain.position is None:
             return False
-        if not self.contacts.know_views(now, view.acceptors):
+        if not self.failure_detector.has_quorum_of_reported_views(now, view.acceptors):
             return False
         newer = any(
-            peer.view > view.number and now - peer.echoed < SUSPECT_AFTER
-            for peer in self.contacts.peers.values()
+            peer.view_number > view.number and now - peer.last_echoed_at < SUSPECT_TIMEOUT_S
+            for peer in self.failure_detector.peers.values()
         )
         return self.chain.caught_up and not newer
 
-    def has_majority(self, now: float) -> bool:
+    def has_quorum_contact(self, now: float) -> bool:
         """Whether a majority of the acceptors answered this registrar lately."""
         view = self.views.view
-        return view is not None and self.contacts.in_touch(now, view.acceptors)
+        return view is not None and self.failure_detector.has_quorum_contact(now, view.acceptors)
 
     def head(self) -> str | None:
         view = self.views.view
--- a/plumline/coordination/keeper.py
+++ b/plumline/coordination/keeper.py
@@ -8,8 +8,9 @@
 import random
 from enum import StrEnum
 
-from plumline.coordination.contacts import SUSPECT_AFTER, Contacts
 from plumline.coordination.environment import Member
+from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
+from plumline.coordination.replica_status import ReplicaStatus
 from plumline.coordination.view import View, Views
 
 STAGGER = 0.12  # s between the registrars that could propose the same
@@ -27,7 +28,7 @@
 
 class Keeper:
     def __init__(
-        self, me: Member, views: Views, contacts: Contacts, chance: random.Random, copies: int
+        self, me: Member, views: Views, contacts: FailureDetector, chance: random.Random, copies: int
     ) -> None:
         """`copies`: of what is acknowledged; twice that less one acceptors are enough."""
         self.me, self.views, self.contacts, self.chance = me, views, contacts, chance
@@ -44,10 +45,10 @@
         peer = self.contacts.peers.get(address)
         if peer is None:
             return False, False
-        alive = self.contacts.alive(now, address)
+        alive = self.contacts.is_alive(now, address)
         if not peer.incarnation:
             return not alive, False  # it hasn't told anything yet
-        if alive and (peer.incarnation != incarnation or peer.sick or peer.leaving):
+        if alive and (peer.incarnation != incarnation or peer.disk_unhealthy or peer.draining):
             return True, True
         return not alive, False
 
@@ -89,13 +90,17 @@
         if at == 0 or (caught_up and mine is not None and at <= mine):
             return True
         peer = self.contacts.peers.get(member[0])
-        return peer is not None and (peer.incarnation, peer.view, peer.present) == (member[1], view.number, 2)
+        return peer is not None and (peer.incarnation, peer.view_number, peer.status) == (
+            member[1],
+            view.number,
+            ReplicaStatus.CHAIN_CAUGHT_UP,
+        )
 
     def never_back(self, now: float, member: Member) -> bool:
         """As far as can be known: it lost its disk, or has been silent for long."""
         peer = self.contacts.peers.get(member[0])
         wiped = peer is not None and peer.incarnation not in ("", member[1])
-        return wiped or self.contacts.unheard_for(now, member[0]) > AWAY_AFTER
+        return wiped or self.contacts.time_since_contact(now, member[0]) > AWAY_AFTER
 
     def enough(
         self, now: float, view: View, chain: tuple[Member, ...], caught_up: bool, committed: int
@@ -109,7 +114,7 @@
         for each in chain:
             peer = self.contacts.peers.get(each[0])
             same = peer is not None and peer.incarnation == each[1]
-            level = caught_up and same and peer.synced >= committed
+            level = caught_up and same and peer.last_synced >= committed
             holding += self.heard(now, each) and (level or self.holds_all(view, each, caught_up))
         gone = [each for each in view.chain if each not in chain]
         away = all(self.never_back(now, each) for each in gone)
@@ -117,15 +122,20 @@
 
     def heard(self, now: float, member: Member) -> bool:
         """Whether it has answered lately, not only begun to be asked."""
-        return self.contacts.silent_for(now, member[0]) < SUSPECT_AFTER
+        return self.contacts.time_since_echo(now, member[0]) < SUSPECT_TIMEOUT_S
 
     def learner(self, now: float, view: View, chain: tuple[Member, ...], synced: int) -> Member | None:
         for address, peer in sorted(self.contacts.peers.items()):
             member = Member(address, peer.incarnation)
-            fit = not (peer.sick or peer.leaving) and self.contacts.steady(now, address)
+            fit = not (peer.disk_unhealthy or peer.draining) and self.contacts.is_stable(now, address)
             if not fit or any(address == each for each, _ in chain) or not peer.incarnation:
                 continue
-            if peer.view == view.number and not peer.present and peer.synced + LEARNER_LAG >= synced:
+            nearly_caught_up = peer.status is ReplicaStatus.LEARNER_NEARLY_CAUGHT_UP
+            if (
+                peer.view_number == view.number
+                and nearly_caught_up
+                and peer.last_synced + LEARNER_LAG >= synced
+            ):
                 return member
         return None
 
@@ -161,14 +171,14 @@
             for each in view.acceptors
             if each not in chain and each != self.me and self.votes_no_more(now, each)
         ]
-        return max(vacant, key=lambda each: self.contacts.unheard_for(now, each[0]), default=None)
+        return max(vacant, key=lambda each: self.contacts.time_since_contact(now, each[0]), default=None)
 
     def votes_no_more(self, now: float, member: Member) -> bool:
         """Whether this acceptor is silent, has lost its disk, or is about to end."""
         peer = self.contacts.peers.get(member[0])
-        if peer is None or not self.contacts.alive(now, member[0]):
+        if peer is None or not self.contacts.is_alive(now, member[0]):
             return True
-        return peer.leaving or peer.incarnation not in ("", member[1])
+        return peer.draining or peer.incarnation not in ("", member[1])
 
     def remaining_duty(self, now: float) -> Duty | None:
         """What a registrar that leaves has not yet handed over."""
@@ -187,7 +197,9 @@
         holding = [
             peer
             for peer, incarnation in peers
-            if peer and (peer.incarnation, peer.view, peer.present) == (incarnation, view.number, 2)
+            if peer
+            and (peer.incarnation, peer.view_number, peer.status)
+            == (incarnation, view.number, ReplicaStatus.CHAIN_CAUGHT_UP)
         ]
         return len(holding) >= min(self.copies, len(view.chain))
 
@@ -202,7 +214,7 @@
         """Whether a majority of the acceptors answers. Who was cut off or frozen and is just back has heard
         of nobody: it judges nobody before the echoes have come."""
         view = self.views.view
-        return view is not None and self.contacts.in_touch(now, view.acceptors)
+        return view is not None and self.contacts.has_quorum_contact(now, view.acceptors)
 
     def left_over(self) -> View | None:
         """What an acceptor has accepted: until it is decided, no read can be answered."""
@@ -222,6 +234,6 @@
         for address, _ in sorted(wanted.acceptors):
             if address == self.me[0]:
                 break
-            rank += self.contacts.alive(now, address)
+            rank += self.contacts.is_alive(now, address)
         if now - self.since >= rank * STAGGER:
             self.views.propose(now, self.chance, wanted)
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -308,7 +308,9 @@
         beat_at = told_at = summary_at = 0.0
         while True:
             now = self.loop.time()
-            self.core.sick = self.writer.broken is not None or (self.writer.oldest_pending(now) > SICK_AFTER)
+            self.core.disk_unhealthy = self.writer.broken is not None or (
+                self.writer.oldest_pending(now) > SICK_AFTER
+            )
             if (changed := self.settings_file.changed(now)) is not None:
                 self.core.set_seeds(changed.seeds)
             self.core.tick(now)
@@ -320,7 +322,7 @@
             if now >= told_at:
                 told_at = now + 1.0
                 self.mesh.send_all(["followers", self.feed.alive(now)])
-                self.mesh.want(set(self.core.contacts.peers))
+                self.mesh.want(set(self.core.failure_detector.peers))
             if now >= summary_at:
                 summary_at = now + SUMMARY
                 for line in self.counters.lines():
@@ -341,8 +343,8 @@
     def beat(self, now: float) -> None:
         """Beats to the routers, and opens dead links anew."""
         for address in list(self.mesh.links):
-            if self.core.contacts.unheard_for(now, address) > DEAD_LINK:
-                self.core.contacts.know(now, address)
+            if self.core.failure_detector.time_since_contact(now, address) > DEAD_LINK:
+                self.core.failure_detector.add_peer(now, address)
                 self.mesh.renew(address)
         view = self.core.views.view
         known = [address for address, _ in view.chain] if view else []
@@ -421,7 +423,7 @@
         """How many acceptors of the view this registrar reaches, and of how many."""
         view = self.core.views.view
         members = view.acceptors if view else ()
-        heard = sum(self.core.contacts.alive(now, address) for address, _ in members)
+        heard = sum(self.core.failure_detector.is_alive(now, address) for address, _ in members)
         return f"{heard}/{len(members)}"
 
 
--- a/plumline/registrar/relay.py
+++ b/plumline/registrar/relay.py
@@ -73,9 +73,9 @@
         """Why no answer can be had from that registrar now; None if it may come."""
         if to is None:
             return UnavailableError("no view of the core is known yet")
-        if not self.core.has_majority(now):
+        if not self.core.has_quorum_contact(now):
             return UnavailableError("this registrar is cut off from the majority; ask another")
-        if to != self.core.me[0] and not self.core.contacts.alive(now, to):
+        if to != self.core.me[0] and not self.core.failure_detector.is_alive(now, to):
             return UnavailableError(f"{to} is silent; ask another")
         return None
 
@@ -105,7 +105,8 @@
         return True
 
     def _on_submit(self, now: float, sender: str, key: str, change: Change) -> None:
-        if not self.core.has_majority(now):  # else the change would wait here, to be dropped or taken late
+        # Without a quorum the change would wait here, to be dropped or taken late.
+        if not self.core.has_quorum_contact(now):
             self._answer(sender, key, UnavailableError("the head is cut off from the majority"), None)
             return
 
@@ -115,7 +116,7 @@
         self.core.chain.submit(change, submitted)
 
     def _on_read(self, now: float, sender: str, key: str) -> None:
-        if not self.core.has_majority(now):
+        if not self.core.has_quorum_contact(now):
             self._answer(sender, key, UnavailableError("the tail is cut off from the majority"), None)
             return
 
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -202,7 +202,7 @@
 
     def before_tick(self, node: Node) -> None:
         waited = self.now - self.around.unsynced_since.get(node.name, self.now)
-        node.core.sick = bool(node.unsynced) and waited > SICK_AFTER_S
+        node.core.disk_unhealthy = bool(node.unsynced) and waited > SICK_AFTER_S
 
     def arrive(self, sent: float, sender: str, to: str, message: Message) -> None:
         resets = self.around.reset_at
--- a/tests/test_internal_asks.py
+++ b/tests/test_internal_asks.py
@@ -56,8 +56,8 @@
             head=lambda: NAMES[0],
             tail=lambda: NAMES[1],
             chain=self.chains[name],
-            has_majority=lambda now: True,
-            contacts=SimpleNamespace(alive=lambda now, address: True),
+            has_quorum_contact=lambda now: True,
+            failure_detector=SimpleNamespace(is_alive=lambda now, address: True),
         )
         return Relay(core, lambda to, message: self.send(name, to, message))
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -3,7 +3,7 @@
 import pytest
 
 from plumline.coordination.ballot import Terms
-from plumline.coordination.contacts import GONE_AFTER, SUSPECT_AFTER
+from plumline.coordination.failure_detector import FORGET_TIMEOUT_S, SUSPECT_TIMEOUT_S
 from plumline.coordination.keeper import Duty
 from tests.core_world import World
 
@@ -19,7 +19,7 @@
     world = formed()
     world.put(0)
     world.crash(world.nodes[name])
-    world.go(SUSPECT_AFTER / 4)
+    world.go(SUSPECT_TIMEOUT_S / 4)
     world.start(world.nodes[name])
     world.go(3.0)
     assert list(world.views) == [1]
@@ -42,7 +42,7 @@
     world.put(0)
     world.crash(world.nodes[name])
     rest = "".join(sorted(set("abc") - {name}))
-    assert world.go(3 * SUSPECT_AFTER, lambda: world.chain() == rest)
+    assert world.go(3 * SUSPECT_TIMEOUT_S, lambda: world.chain() == rest)
     world.put(1)
     world.start(world.nodes[name])
     world.settle()
@@ -70,10 +70,10 @@
 
 def test_a_member_with_a_sick_disk_is_taken_out_and_comes_back() -> None:
     world = formed()
-    world.nodes["b"].core.sick = True
+    world.nodes["b"].core.disk_unhealthy = True
     assert world.go(3.0, lambda: world.chain() == "ac")
     world.put(0)
-    world.nodes["b"].core.sick = False
+    world.nodes["b"].core.disk_unhealthy = False
     world.settle()
     assert world.chain() == "acb"
 
@@ -101,7 +101,7 @@
         world.start(world.nodes[new])
         world.settle(within=30.0)
         world.go(3.0)
-    world.go(2 * GONE_AFTER)
+    world.go(2 * FORGET_TIMEOUT_S)
     world.put(3)
     assert sorted(address for address, _ in world.newest.acceptors) == ["d", "e", "f"]
     assert all(len(world.ids(name)) == 4 for name in "def")
@@ -112,7 +112,7 @@
     world = formed()
     world.put(0)
     world.crash(world.nodes["c"])
-    world.go(3 * GONE_AFTER)
+    world.go(3 * FORGET_TIMEOUT_S)
     world.wipe(world.nodes["a"])
     world.start(world.nodes["c"])
     world.start(world.nodes["a"])
@@ -314,7 +314,7 @@
     world = formed(size=4)
     world.put(0)
     core = world.nodes["c"].core
-    core.sick = True
+    core.disk_unhealthy = True
     world.settle("abd")
     world.go(0.5)
     core.leave(local(world, "c"))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,11 +10,11 @@
 CHANGE = ["amend", 1, {"Version": 2}]
 
 
-class Contacts:
+class FailureDetector:
     def __init__(self) -> None:
         self.silent: set[str] = set()
 
-    def alive(self, now: float, address: str) -> bool:
+    def is_alive(self, now: float, address: str) -> bool:
         return address not in self.silent
 
 
@@ -35,11 +35,11 @@
 
     def __init__(self) -> None:
         self.me = ("me", "1")
-        self.contacts, self.chain = Contacts(), Chain()
+        self.failure_detector, self.chain = FailureDetector(), Chain()
         self.majority = True
         self.chain_head: str | None = "head"
 
-    def has_majority(self, now: float) -> bool:
+    def has_quorum_contact(self, now: float) -> bool:
         return self.majority
 
     def head(self) -> str | None:
@@ -115,7 +115,7 @@
     elif why == "no majority":
         scene.core.majority = False
     else:
-        scene.core.contacts.silent.add("head")
+        scene.core.failure_detector.silent.add("head")
     scene.relay.submit(0.0, CHANGE, 4_000_000, scene.take)
     assert scene.unavailable() and not scene.sent
 
@@ -127,7 +127,7 @@
     if why == "no majority":
         scene.core.majority = False
     else:
-        scene.core.contacts.silent.add("head")
+        scene.core.failure_detector.silent.add("head")
     scene.relay.tick(0.05)
     assert scene.unavailable()
 
