--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from plumline.coordination.ballot import Ballots, Persist, Send, Terms
+from plumline.coordination.bootstrap import Bootstrap
 from plumline.coordination.chain import Chain
 from plumline.coordination.environment import Environment, Member, Message, Record
 from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
-from plumline.coordination.formation import Formation
 from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
 from plumline.coordination.view import View, Views
@@ -34,7 +34,7 @@
         chance: random.Random,
         applied: Callable[[int, list[Any] | None], None],
         changed: Callable[[View], None],
-        known_elsewhere: Callable[[], bool],
+        is_configuration_known: Callable[[], bool],
     ) -> None:
         self.me, self.seeds, self.environment, self.now = me, seeds, environment, now
         self.changed, self.leases = changed, tuple(leases)
@@ -42,7 +42,7 @@
         self.chain = Chain(me, copies, environment, empty, load, applied)
         self.failure_detector = FailureDetector(me, environment)
         self.keeper = Keeper(me, self.views, self.failure_detector, chance, copies)
-        self.formation = Formation(me, seeds, first_start, environment, self.views, known_elsewhere)
+        self.bootstrap = Bootstrap(me, seeds, first_start, environment, self.views, is_configuration_known)
         self.ballots = Ballots(me[0], leases, now, chance)
         self.disk_unhealthy = False
 
@@ -78,7 +78,7 @@
         for address, _ in (*view.acceptors, *view.chain):
             self.failure_detector.add_peer(self.now, address)
         voters = [address for address, _ in view.acceptors] if self.me in view.acceptors else []
-        formed_now = view.number == 1 and self.formation.formed
+        formed_now = view.number == 1 and self.bootstrap.took_part
         self.ballots.set_view(self.now, view.number, voters, formed_now=formed_now)
         self.changed(view)
 
@@ -86,7 +86,7 @@
         self.now = now
         for address in self.seeds:
             self.failure_detector.add_peer(now, address)
-        self.formation.tick(now)
+        self.bootstrap.tick(now)
         view = self.views.view
         present = self.chain.position is not None
         synced = self.chain.synced if present else min(self.chain.synced, self.chain.committed)
@@ -124,7 +124,7 @@
             return True
         if self.chain.on_message(sender, message):
             return True
-        if self.formation.on_message(sender, message):
+        if self.bootstrap.on_message(sender, message):
             return True
         if message[0] == "ballot":
             self.ballots.on_message(now, sender, message[1:])
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -112,7 +112,7 @@
             chance=random.Random(secrets.randbits(64)),
             applied=self.applied,
             changed=self.view_changed,
-            known_elsewhere=lambda: self.feed.told_place > 0,
+            is_configuration_known=lambda: self.feed.told_place > 0,
         )
 
     def _make_jobs(self) -> None:
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -38,7 +38,7 @@
     held_back: list[Callable[[], None]] = field(default_factory=list)
     offset: float = 0.0  # of its steady clock
     lost: bool = False  # lost its disk, and is not yet a caught-up member of the chain again
-    known_elsewhere: bool = False
+    is_configuration_known: bool = False
     starting: bool = False  # its incarnation is being written
     gone: bool = False  # for good, with what its disk held
 
@@ -192,7 +192,7 @@
             Random(self.random.random()),
             lambda number, change: self.on_applied(node, number, change),
             lambda view: self.on_view(node, view),
-            lambda: node.known_elsewhere,
+            lambda: node.is_configuration_known,
         )
         self.mutate(core)
         core.restore([list(record) for record in node.disk if record[0] != "incarnation"])
--- a/tests/test_formation.py
+++ b/tests/test_bootstrap.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from plumline.coordination.formation import LATER_START_WAIT
+from plumline.coordination.bootstrap import LATER_START_WAIT_S
 from plumline.coordination.view import View
 from tests.core_world import World
 
@@ -81,16 +81,16 @@
 
 def test_a_later_start_with_all_disks_empty_forms_only_after_a_wait() -> None:
     world = World(5, quiet=True, first_start=False)
-    world.go(LATER_START_WAIT)
+    world.go(LATER_START_WAIT_S)
     assert not world.views
-    world.settle(within=LATER_START_WAIT)
+    world.settle(within=LATER_START_WAIT_S)
 
 
 def test_a_later_start_forms_nothing_while_something_is_known_elsewhere() -> None:
     world = World(6, quiet=True, first_start=False)
     for node in world.nodes.values():
-        node.known_elsewhere = True
-    world.go(3 * LATER_START_WAIT)
+        node.is_configuration_known = True
+    world.go(3 * LATER_START_WAIT_S)
     assert not world.views
 
 
--- a/tests/test_core_explorer.py
+++ b/tests/test_core_explorer.py
@@ -10,10 +10,10 @@
 
 import pytest
 
+from plumline.coordination.bootstrap import QUERY_INTERVAL_S, Bootstrap
 from plumline.coordination.chain import Chain
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member
-from plumline.coordination.formation import ASK_EVERY, Formation
 from plumline.coordination.view import Ballot, View, Views
 from tests.core_register import ViolationError
 from tests.core_schedule import explore
@@ -98,19 +98,21 @@
         return self.view is not None
 
 
-class FormsWithAMajority(Formation):
+class CreatesViewWithAMajority(Bootstrap):
     def tick(self, now: float) -> None:
-        if self.views.knows_any() or now < self.asked_at + ASK_EVERY or self.me[0] not in self.seeds[:2]:
+        if self.views.knows_any() or now < self.queried_at + QUERY_INTERVAL_S:
             return
-        if 2 * len(self.told) > len(self.seeds):
-            members: tuple[Member, ...] = tuple(Member(*each) for each in sorted(self.told.items()))
+        if self.local_member.address not in self.seeds[:2]:
+            return
+        if 2 * len(self.incarnations) > len(self.seeds):
+            members: tuple[Member, ...] = tuple(Member(*each) for each in sorted(self.incarnations.items()))
             for each in self.seeds:
                 self.environment.send(
-                    each, ["found-view", self.question, View(1, members, members).to_wire()]
+                    each, ["found-view", self.query_id, View(1, members, members).to_wire()]
                 )
-        self.question, self.told, self.asked_at = secrets.token_hex(8), {}, now
+        self.query_id, self.incarnations, self.queried_at = secrets.token_hex(8), {}, now
         for each in self.seeds:
-            self.environment.send(each, ["found-ask", self.question])
+            self.environment.send(each, ["found-ask", self.query_id])
 
 
 def exchange(part: str, kind: type) -> Callable[[Core], None]:
@@ -140,7 +142,9 @@
         yield pytest.param({"mutate": exchange("chain", kind), **more}, id=kind.__name__)
     for kind in views:
         yield pytest.param({"mutate": exchange("views", kind)}, id=kind.__name__)
-    yield pytest.param({"mutate": exchange("formation", FormsWithAMajority)}, id=FormsWithAMajority.__name__)
+    yield pytest.param(
+        {"mutate": exchange("bootstrap", CreatesViewWithAMajority)}, id=CreatesViewWithAMajority.__name__
+    )
     yield pytest.param({"sync_first": False}, id="TellsBeforeSync")
     yield pytest.param({"identity_first": False, "first": 1400}, id="TellsItsIncarnationBeforeSync")
 
