--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -7,9 +7,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumline.coordination.chain import Chain
 from plumline.coordination.contacts import SUSPECT_AFTER, Contacts
-from plumline.coordination.effects import Effects, Member, Message, Record
+from plumline.coordination.environment import Environment, Member, Message, Record
 from plumline.coordination.formation import Formation
 from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.lease import (
@@ -20,6 +19,7 @@
     Persist,
     Send,
 )
+from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View, Views
 
 
@@ -32,7 +32,7 @@
         seeds: list[str],
         copies: int,
         first_start: bool,
-        effects: Effects,
+        environment: Environment,
         empty: Any,  # noqa: ANN401
         load: Callable[[Any], Any],
         leases: dict[str, LeaseDurations],
@@ -42,13 +42,13 @@
         changed: Callable[[View], None],
         known_elsewhere: Callable[[], bool],
     ) -> None:
-        self.me, self.seeds, self.effects, self.now = me, seeds, effects, now
+        self.me, self.seeds, self.environment, self.now = me, seeds, environment, now
         self.changed, self.leases = changed, tuple(leases)
-        self.views = Views(me, effects, self.installed)
-        self.chain = Chain(me, copies, effects, empty, load, applied)
-        self.contacts = Contacts(me, effects)
+        self.views = Views(me, environment, self.installed)
+        self.chain = ChainReplica(me, copies, environment, empty, load, applied)
+        self.contacts = Contacts(me, environment)
         self.keeper = Keeper(me, self.views, self.contacts, chance, copies)
-        self.formation = Formation(me, seeds, first_start, effects, self.views, known_elsewhere)
+        self.formation = Formation(me, seeds, first_start, environment, self.views, known_elsewhere)
         self.lease_election = LeaseElection(me[0], leases, chance)
         self.sick = False
 
@@ -95,15 +95,17 @@
         self.formation.tick(now)
         view = self.views.view
         present = self.chain.position is not None
-        synced = self.chain.synced if present else min(self.chain.synced, self.chain.committed)
+        synced = (
+            self.chain.synced_index if present else min(self.chain.synced_index, self.chain.committed_index)
+        )
         self.contacts.tick(
             now,
             [
                 *(self.me[1], view.number if view else 0, synced),
-                *(self.sick, self.keeper.leaving, self.chain.standing()),
+                *(self.sick, self.keeper.leaving, self.chain.status()),
             ],
         )
-        self.keeper.tick(now, self.chain.synced, self.chain.committed, self.chain.caught_up)
+        self.keeper.tick(now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
         self.chain.tick(now)
         self.lease_election.tick(now)
         self.perform_lease_actions()
@@ -121,7 +123,7 @@
         if message[0] == "view-check":
             _, nonce, number = message
             if self.views.is_present(number) and self.views.may_accept():
-                self.effects.send(sender, ["view-checked", nonce, number])
+                self.environment.send(sender, ["view-checked", nonce, number])
             return True
         if self.views.on_message(sender, message):
             self.stop_granting_leases()
@@ -144,14 +146,16 @@
     def perform_lease_actions(self) -> None:
         for action in self.lease_election.take_actions():
             if isinstance(action, Send):
-                self.effects.send(action.to, [LEASE_MESSAGE_KIND, *action.message])
+                self.environment.send(action.to, [LEASE_MESSAGE_KIND, *action.message])
             else:
-                self.effects.persist(action.record, lambda action=action: self.lease_record_synced(action))
+                self.environment.persist(
+                    action.record, lambda action=action: self.lease_record_synced(action)
+                )
 
     def lease_record_synced(self, action: Persist) -> None:
         self.lease_election.on_synced(action.record)
         for to, message in action.send_after:
-            self.effects.send(to, [LEASE_MESSAGE_KIND, *message])
+            self.environment.send(to, [LEASE_MESSAGE_KIND, *message])
 
     def campaign(self, now: float, lease: str) -> None:
         """Makes this registrar a candidate for the lease, until it leaves."""
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -4,11 +4,11 @@
 from operator import attrgetter
 from typing import Any
 
-from plumline.coordination.chain import Chain
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Member, Message, Record
+from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.lease.voter import Voter
+from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View, Views
 
 
@@ -81,23 +81,23 @@
             super().restore(record)
 
 
-class TakesEntriesOfAnyView(Chain):
+class TakesEntriesOfAnyView(ChainReplica):
     def on_message(self, sender: str, message: Message) -> bool:
         if message[0] in ("chain-entry", "chain-state"):
-            message = [message[0], self.number(), *message[2:]]
+            message = [message[0], self.view_number(), *message[2:]]
         return super().on_message(sender, message)
 
 
-class TakesReportsOfAnyView(Chain):
+class TakesReportsOfAnyView(ChainReplica):
     def on_message(self, sender: str, message: Message) -> bool:
         if message[0] in ("chain-floor", "chain-report", "chain-commit"):
-            message = [message[0], self.number(), *message[2:]]
+            message = [message[0], self.view_number(), *message[2:]]
         return super().on_message(sender, message)
 
 
 def mutation(name: str) -> dict[str, Any]:
     """Keywords of a schedule whose cores are without that guard."""
     kind = globals()[name]
-    parts = {Keeper: "keeper", Voter: "lease_election.voter", Views: "views", Chain: "chain"}
+    parts = {Keeper: "keeper", Voter: "lease_election.voter", Views: "views", ChainReplica: "chain"}
     part = next(part for base, part in parts.items() if issubclass(kind, base))
     return {"mutate": exchange(part, kind)}
