--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -11,7 +11,14 @@
 from plumline.coordination.environment import Environment, Member, Message, Record
 from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
 from plumline.coordination.keeper import Duty, Keeper
-from plumline.coordination.lease import LeaseDurations, LeaseElection, Persist, Send
+from plumline.coordination.lease import (
+    LEASE_MESSAGE_KIND,
+    TERM_RECORD_KIND,
+    LeaseDurations,
+    LeaseElection,
+    Persist,
+    Send,
+)
 from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View, Views
@@ -43,7 +50,7 @@
         self.failure_detector = FailureDetector(me, environment)
         self.keeper = Keeper(me, self.views, self.failure_detector, chance, copies)
         self.bootstrap = Bootstrap(me, seeds, first_start, environment, self.views, is_configuration_known)
-        self.lease_election = LeaseElection(me[0], leases, now, chance)
+        self.lease_election = LeaseElection(me[0], leases, chance)
         self.disk_unhealthy = False
 
     def set_seeds(self, seeds: list[str]) -> None:
@@ -59,7 +66,7 @@
         for record in records:
             if record[0] in ("view", "promise", "accept"):
                 self.views.restore(record)
-            elif record[0] == "ballot":
+            elif record[0] == TERM_RECORD_KIND:
                 lease_records.append(record)
             else:
                 self.chain.restore(record)
@@ -128,7 +135,7 @@
             return True
         if self.bootstrap.on_message(sender, message):
             return True
-        if message[0] == "ballot":
+        if message[0] == LEASE_MESSAGE_KIND:
             self.lease_election.on_message(now, sender, message[1:])
             self.perform_lease_actions()
             return True
@@ -142,7 +149,7 @@
     def perform_lease_actions(self) -> None:
         for action in self.lease_election.take_actions():
             if isinstance(action, Send):
-                self.environment.send(action.to, ["ballot", *action.message])
+                self.environment.send(action.to, [LEASE_MESSAGE_KIND, *action.message])
             else:
                 self.environment.persist(
                     action.record, lambda action=action: self.lease_record_synced(action)
@@ -151,7 +158,7 @@
     def lease_record_synced(self, action: Persist) -> None:
         self.lease_election.on_synced(action.record)
         for to, message in action.send_after:
-            self.environment.send(to, ["ballot", *message])
+            self.environment.send(to, [LEASE_MESSAGE_KIND, *message])
 
     def campaign(self, now: float, lease: str) -> None:
         """Makes this registrar a candidate for the lease, until it leaves."""
