--- a/plumline/coordination/log.py
+++ b/plumline/coordination/log.py
@@ -1,4 +1,4 @@
-"""The entries that a member of the chain holds in memory: consecutive, and bounded by count and bytes."""
+"""The replicated log as a member holds it in memory: consecutive entries, bounded by count and bytes."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -8,63 +8,74 @@
 
 import ormsgpack
 
+Change = list[Any]  # as the replicated state takes it: its kind, then its fields
+
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A change in its place. `end`: bytes of all changes that the log ever took, up to this one."""
+    """A change in its place in the log."""
 
-    number: int
-    change: list[Any]
-    size: int
-    end: int
+    index: int
+    change: Change
+    size: int  # of the packed change, in bytes
+    end_offset: int  # bytes of all changes appended to this log up to and with this one
 
 
 class ReplicationLog:
+    """The newest entries; older ones are trimmed once they are committed."""
+
     def __init__(self) -> None:
-        self.entries: deque[Entry] = deque()
-        self.end = 0
+        self._entries: deque[Entry] = deque()
+        self._end_offset = 0
 
     def __len__(self) -> int:
-        return len(self.entries)
+        return len(self._entries)
 
     def __iter__(self) -> Iterator[Entry]:
-        return iter(self.entries)
+        return iter(self._entries)
 
-    def append(self, number: int, change: list[Any]) -> Entry:
+    def append(self, index: int, change: Change) -> Entry:
+        """Add the entry; `index` must follow the newest one's."""
         size = len(ormsgpack.packb(change))
-        self.end += size
-        entry = Entry(number, change, size, self.end)
-        self.entries.append(entry)
+        self._end_offset += size
+        entry = Entry(index, change, size, self._end_offset)
+        self._entries.append(entry)
         return entry
 
     def clear(self) -> None:
-        self.entries.clear()
-
-    def drop_after(self, number: int) -> None:
-        while self.entries and self.entries[-1].number > number:
-            self.end -= self.entries.pop().size
-
-    def trim(self, committed: int, most: int, most_bytes: int) -> None:
-        """Lets the oldest committed entries go, until the rest is few and small enough."""
-        while self.entries and self.entries[0].number <= committed:
-            if len(self.entries) <= most and self.size() <= most_bytes:
+        """Remove all entries; the next one may have any index."""
+        self._entries.clear()
+
+    def truncate_after(self, index: int) -> None:
+        """Remove the entries above `index`."""
+        while self._entries and self._entries[-1].index > index:
+            self._end_offset -= self._entries.pop().size
+
+    def trim(self, committed_index: int, max_entries: int, max_bytes: int) -> None:
+        """Remove the oldest entries while there are too many, but none above `committed_index`."""
+        while self._entries and self._entries[0].index <= committed_index:
+            if len(self._entries) <= max_entries and self.size_bytes() <= max_bytes:
                 break
-            self.entries.popleft()
-
-    def size(self) -> int:
-        """Bytes of the entries on the wire; in memory they take about four times as much."""
-        return self.end - self.entries[0].end + self.entries[0].size if self.entries else 0
-
-    def leads_on(self, number: int) -> bool:
-        """Whether it holds the entry after `number`, so that it leads from there to its newest."""
-        return bool(self.entries) and self.entries[0].number <= number + 1
-
-    def between(self, after: int, last: int) -> Iterator[Entry]:
-        """The entries whose numbers are above `after`, up to `last`."""
-        if not self.entries:
+            self._entries.popleft()
+
+    def size_bytes(self) -> int:
+        """Return the size of all entries as packed; in memory they take about four times as much."""
+        if not self._entries:
+            return 0
+        oldest = self._entries[0]
+        return self._end_offset - oldest.end_offset + oldest.size
+
+    def continues_from(self, index: int) -> bool:
+        """Whether it has all entries after `index`, so that a replica with those before can go on."""
+        return bool(self._entries) and self._entries[0].index <= index + 1
+
+    def between(self, after: int, through: int) -> Iterator[Entry]:
+        """Return the entries whose indices are above `after`, up to and with `through`."""
+        if not self._entries:
             return iter(())
-        first = self.entries[0].number
-        return islice(self.entries, max(0, after + 1 - first), max(0, last + 1 - first))
+        first = self._entries[0].index
+        return islice(self._entries, max(0, after + 1 - first), max(0, through + 1 - first))
 
-    def bytes_between(self, after: int, last: int) -> int:
-        return sum(each.size for each in self.between(after, last))
+    def bytes_between(self, after: int, through: int) -> int:
+        """Return the packed size of these entries."""
+        return sum(entry.size for entry in self.between(after, through))
--- a/plumline/coordination/replication.py
+++ b/plumline/coordination/replication.py
@@ -18,9 +18,9 @@
 from plumline.coordination.effects import Effects, Member, Message, Record
 from plumline.coordination.log import Entry, ReplicationLog
 from plumline.coordination.read_barrier import ReadBarrier
+from plumline.coordination.retry_timer import RetryTimer
 from plumline.coordination.snapshot_transfer import (
     ChunkRequest,
-    RetryTimer,
     Snapshot,
     SnapshotChunk,
     SnapshotFetch,
@@ -74,7 +74,7 @@
         self.now = self.tick_at = 0.0
         self.snapshots = SnapshotSender(
             lambda: (self.committed_index, self.state.to_wire()),
-            lambda number: number == self.committed_index or self.log.leads_on(number),
+            lambda number: number == self.committed_index or self.log.continues_from(number),
         )
         self.transfer = SnapshotFetch()
         self.near = False  # the newest lesson left nothing over
@@ -105,7 +105,7 @@
     def records(self) -> list[Record]:
         found: list[Record] = [["base", self.committed_index, self.state.to_wire()]]
         found += [
-            ["entry", each.number, each.change, self.committed_index]
+            ["entry", each.index, each.change, self.committed_index]
             for each in self.log.between(self.committed_index, self.last_index)
         ]
         found.append(["caught-up", self.caught_up])
@@ -116,7 +116,7 @@
     def drop_after(self, number: int) -> None:
         """Forgets entries that may never have been committed."""
         self.life += 1
-        self.log.drop_after(number)
+        self.log.truncate_after(number)
         self.last_index = min(self.last_index, max(number, self.committed_index))
         self.synced_index = min(self.synced_index, self.last_index)
         self.latest_state = self.state
@@ -243,11 +243,11 @@
         if number <= self.committed_index:
             return
         for each in list(self.log.between(self.committed_index, number)):
-            newest = each.number == self.last_index
+            newest = each.index == self.last_index
             self.state = self.latest_state if newest else self.state.apply(each.change)
-            self.committed_index = each.number
+            self.committed_index = each.index
             if not quiet:
-                self.applied(each.number, each.change)
+                self.applied(each.index, each.change)
         self.trim()
         for n in [each for each in self.waiting if each <= self.committed_index]:
             for answer, error in self.waiting.pop(n):
@@ -283,8 +283,8 @@
         self.note_reported(last)
         if self.caught_up and not caught_up:
             self.effects.send(sender, ["chain-floor", self.view_number(), self.synced_index])
-        if last < self.sent and self.resend.over(self.now):
-            self.resend.ask(self.now)
+        if last < self.sent and self.resend.may_send(self.now):
+            self.resend.start(self.now)
             self.sent = last  # some of it was lost
         self.push()
         if committed > self.committed_index:
@@ -297,16 +297,16 @@
         self.sent = max(self.sent, last)
         if last > self.reported:
             self.reported = last
-            self.resend.answered(self.now)
+            self.resend.on_reply(self.now)
             if self.sent > last:
-                self.resend.ask(self.now)
+                self.resend.start(self.now)
 
     def push(self) -> None:
         """Sends the successor what it lacks and is synced here, as far as its window reaches."""
         successor = self.neighbour(1)
         if successor is None or self.reported < 0 or self.sent >= self.synced_index:
             return
-        if not self.log.leads_on(self.sent):
+        if not self.log.continues_from(self.sent):
             self.effects.send(successor, ["chain-behind", self.view_number()])
             return
         room = WINDOW_BYTES - self.log.bytes_between(self.reported, self.sent)
@@ -314,10 +314,10 @@
         if self.sent > self.reported and entries[0].size > room:
             return
         for each in first_bytes(entries, room):
-            self.effects.send(successor, ["chain-entry", self.view_number(), each.number, each.change])
-            self.sent = each.number
-        if not self.resend.waiting:
-            self.resend.ask(self.now)
+            self.effects.send(successor, ["chain-entry", self.view_number(), each.index, each.change])
+            self.sent = each.index
+        if not self.resend.awaiting_reply:
+            self.resend.start(self.now)
 
     def take_state(self, number: int, wire: Any) -> None:  # noqa: ANN401
         """A whole committed state in place of entries that are no longer at hand."""
@@ -351,53 +351,59 @@
 
     def pull(self, source: str) -> None:
         """Asks for the piece that is wanted next."""
-        self.ask_piece(source, self.transfer.ask(self.now, source))
+        self.ask_piece(source, self.transfer.request(self.now, source))
 
     def ask_piece(self, source: str, wanted: ChunkRequest) -> None:
         self.effects.send(
-            source, ["chain-pull", self.view_number(), wanted.number, wanted.digest, wanted.offset]
+            source, ["chain-pull", self.view_number(), wanted.index, wanted.digest, wanted.offset]
         )
 
     def pull_again(self) -> None:
         """In the chain: a state that the predecessor was asked for and did not send on."""
-        if self.transfer.active and self.transfer.may_ask(self.now) and (predecessor := self.neighbour(-1)):
+        if (
+            self.transfer.in_progress
+            and self.transfer.may_request(self.now)
+            and (predecessor := self.neighbour(-1))
+        ):
             self.pull(predecessor)
 
     def on_behind(self, sender: str) -> None:
         """The predecessor no longer keeps what is lacking here."""
-        if self.transfer.may_ask(self.now):
+        if self.transfer.may_request(self.now):
             self.pull(sender)
 
     def on_pull(self, sender: str, wanted: ChunkRequest) -> None:
-        piece = self.snapshots.answer(self.now, wanted)
-        self.effects.send(sender, ["chain-piece", self.view_number(), *piece.to_wire()])
+        chunk = self.snapshots.chunk_for(self.now, wanted)
+        self.effects.send(sender, ["chain-piece", self.view_number(), *chunk.to_wire()])
 
     def on_piece(self, sender: str, wire: list[Any]) -> None:
         """Only a state from beyond what is held here is of use."""
         try:
-            match self.transfer.take(self.now, sender, SnapshotChunk.from_wire(wire), self.committed_index):
+            match self.transfer.on_chunk(
+                self.now, sender, SnapshotChunk.from_wire(wire), self.committed_index
+            ):
                 case Snapshot() as whole:
                     if self.position is None:
                         self.drop_uncommitted()
-                    self.take_state(whole.name.number, whole.wire())
+                    self.take_state(whole.id.index, whole.unpack())
                     if self.position is None:
                         self.ask_lesson(sender)
                 case ChunkRequest() as wanted:
                     self.ask_piece(sender, wanted)
         except PlumlineError:
-            self.transfer.drop()
+            self.transfer.reset()
 
     # Learning, outside the chain: committed entries only, from the tail.
 
     def learn(self) -> None:
-        if self.view is None or not self.view.chain or not self.transfer.may_ask(self.now):
+        if self.view is None or not self.view.chain or not self.transfer.may_request(self.now):
             return
-        if self.transfer.active and self.in_chain(self.transfer.source):
+        if self.transfer.in_progress and self.in_chain(self.transfer.source):
             self.pull(self.transfer.source)
             return
         self.lessons += 1  # each in turn, from the tail on: one may be gone
         teacher, _ = self.view.chain[-1 - self.lessons % len(self.view.chain)]
-        if self.transfer.active:
+        if self.transfer.in_progress:
             self.pull(teacher)
         else:
             self.ask_lesson(teacher)
@@ -407,21 +413,21 @@
 
     def ask_lesson(self, teacher: str) -> None:
         self.transfer.source = teacher
-        self.transfer.patience.ask(self.now, CATCH_UP_RETRY_S)
+        self.transfer.timer.start(self.now, CATCH_UP_RETRY_S)
         self.effects.send(teacher, ["chain-learn", self.view_number(), self.committed_index])
 
     def on_learn(self, sender: str, place: int) -> None:
-        if place < self.committed_index and not self.log.leads_on(place):
+        if place < self.committed_index and not self.log.continues_from(place):
             self.on_pull(sender, ChunkRequest())
             return
         entries = list(first_bytes(list(self.log.between(place, self.committed_index)), CATCH_UP_BATCH_BYTES))
-        more = bool(entries) and entries[-1].number < self.committed_index
-        told = [[each.number, each.change] for each in entries]
+        more = bool(entries) and entries[-1].index < self.committed_index
+        told = [[each.index, each.change] for each in entries]
         self.effects.send(sender, ["chain-lesson", self.view_number(), more, told])
 
     def on_lesson(self, sender: str, more: bool, entries: list[Any]) -> None:
-        if self.transfer.awaits(sender):
-            self.transfer.patience.answered(self.now)
+        if self.transfer.awaits_reply_from(sender):
+            self.transfer.timer.on_reply(self.now)
             self.near = not more
         if entries:
             self.drop_uncommitted()
@@ -444,7 +450,7 @@
         self.check_floor()
         self.commit_if_tail()
         level = self.near or self.synced_index < self.last_index
-        if self.position is None and not level and not self.transfer.patience.waiting:
+        if self.position is None and not level and not self.transfer.timer.awaiting_reply:
             self.ask_lesson(teacher)
 
     def status(self) -> int:
@@ -452,7 +458,7 @@
         lesson, -1 one that lacks more."""
         if self.position is not None:
             return 1 + int(self.caught_up)
-        return 0 if self.near and not self.transfer.active else -1
+        return 0 if self.near and not self.transfer.in_progress else -1
 
     # Reads.
 
@@ -470,7 +476,7 @@
         if self.view is None:
             answer(False)
         else:
-            self.read_barrier.ask(self.view, answer)
+            self.read_barrier.confirm(self.view, answer)
 
     # Messages.
 
@@ -512,7 +518,7 @@
                 if number == self.view_number() and self.position is None:
                     self.on_lesson(sender, more, entries)
             case ["view-checked", int(nonce), int(number)]:
-                self.read_barrier.on_checked(sender, nonce, number)
+                self.read_barrier.on_confirmed(sender, nonce, number)
             case _:
                 return False
         return True
--- a/plumline/coordination/snapshot_transfer.py
+++ b/plumline/coordination/snapshot_transfer.py
@@ -1,11 +1,11 @@
-"""A whole state carried from one registrar to another, in pieces that the receiver asks for one by one.
+"""Transfer of a whole state between registrars, in chunks that the receiver requests one by one.
 
-The sender keeps one packed snapshot for all that ask; the receiver asks for the next piece only when it has
-the one before, and for the same one again after a wait that doubles. So hardly more than one piece of a state
-is on its way to a receiver, whatever the link takes, and a loss costs one piece. A snapshot is known by its
-number and digest: where another registrar has the very same, the transfer goes on with it.
+The sender keeps one packed snapshot for all receivers. A receiver requests the next chunk only once it has
+the one before, and the same one again after a timeout with backoff. So hardly more than one chunk of a
+snapshot is in flight to a receiver, whatever the link's rate, and a lost message costs one chunk. A snapshot
+is identified by log index and digest: a transfer goes on with any registrar that has the same one.
 
-Pure: messages and times come as arguments, answers go back as values.
+No input or output: messages and times come as arguments, replies are returned.
 """
 
 import hashlib
@@ -16,223 +16,227 @@
 
 import ormsgpack
 
+from plumline.coordination.retry_timer import RetryTimer
 from plumline.errors import FrameError
 
-CHUNK_BYTES = 64 * 1024
-MAX_STATE_BYTES = 16 * 1024 * 1024  # bytes, unpacked
-COMPRESS_LEVEL = 1
-INITIAL_RETRY_S = 0.4  # s for an answer, before it is asked for again
-MAX_RETRY_S = 3.2  # s
-RETRY_PER_ROUND_TRIP = 4  # times what the last answer took, at the least
-MAX_ATTEMPTS = 3  # of a piece, before what came of its state is dropped
-SNAPSHOT_IDLE_S = 5.0  # s that a snapshot is kept after it was last asked for
+CHUNK_BYTES = 64 * 1024  # of a packed snapshot in one message
+MAX_STATE_BYTES = 16 * 1024 * 1024  # of an unpacked state; bounds what a received snapshot expands to
+COMPRESS_LEVEL = 1  # of zlib: fast
+MAX_ATTEMPTS = 3  # for one chunk, before the partial snapshot is given up
+SNAPSHOT_IDLE_S = 5.0  # that a packed snapshot is kept after its last request
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotId:
-    """Which state it is: entry number, digest of the packed bytes, and how many of them there are."""
+    """Identity of a packed snapshot."""
 
-    number: int
-    digest: str
-    size: int
+    index: int  # of the last log entry that the state includes
+    digest: str  # SHA-256 of the packed bytes, in hex
+    size: int  # of the packed snapshot, in bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """A packed state."""
+    """A state, packed and compressed."""
 
-    name: SnapshotId
+    id: SnapshotId
     data: bytes
 
     @classmethod
-    def of(cls, number: int, wire: Any) -> "Snapshot":  # noqa: ANN401
-        data = zlib.compress(ormsgpack.packb(wire), COMPRESS_LEVEL)
-        return cls(SnapshotId(number, hashlib.sha256(data).hexdigest(), len(data)), data)
-
-    def wire(self) -> Any:  # noqa: ANN401
-        """Raises FrameError if it is not what its name says."""
-        if hashlib.sha256(self.data).hexdigest() != self.name.digest:
-            raise FrameError("a state whose digest is another than was told")
+    def pack(cls, index: int, state_wire: Any) -> "Snapshot":  # noqa: ANN401
+        """Pack the state as of the log entry `index`, given in its wire form."""
+        data = zlib.compress(ormsgpack.packb(state_wire), COMPRESS_LEVEL)
+        return cls(SnapshotId(index, hashlib.sha256(data).hexdigest(), len(data)), data)
+
+    def unpack(self) -> Any:  # noqa: ANN401
+        """Return the state in its wire form.
+
+        Raises FrameError if the data don't match the digest, expand to more than MAX_STATE_BYTES or can't be
+        read.
+        """
+        if hashlib.sha256(self.data).hexdigest() != self.id.digest:
+            raise FrameError("a snapshot whose data do not match its digest")
         expander = zlib.decompressobj()
         try:
             body = expander.decompress(self.data, MAX_STATE_BYTES)
             if expander.unconsumed_tail or not expander.eof:
-                raise FrameError("a state that is too large, or ends early")
+                raise FrameError("a snapshot that is too large or truncated")
             return ormsgpack.unpackb(body)
         except (zlib.error, ValueError) as error:
-            raise FrameError(f"a state that can't be read: {error}") from None
+            raise FrameError(f"a snapshot that can't be read: {error}") from None
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotChunk:
-    """Some bytes of a snapshot."""
+    """Consecutive bytes of a packed snapshot."""
 
-    name: SnapshotId
-    offset: int
+    snapshot: SnapshotId
+    offset: int  # of the first of them
     data: bytes
 
     def to_wire(self) -> list[Any]:
-        return [self.name.number, self.name.digest, self.name.size, self.offset, self.data]
+        """Return the fields of a `chain-piece` message after the view number."""
+        return [self.snapshot.index, self.snapshot.digest, self.snapshot.size, self.offset, self.data]
 
     @classmethod
     def from_wire(cls, wire: list[Any]) -> "SnapshotChunk":
+        """Raises FrameError if the fields are not those of a chunk."""
         match wire:
-            case [int(number), str(digest), int(size), int(offset), bytes(data)]:
-                return cls(SnapshotId(number, digest, size), offset, data)
-        raise FrameError("a malformed piece of a state")
+            case [int(index), str(digest), int(size), int(offset), bytes(data)]:
+                return cls(SnapshotId(index, digest, size), offset, data)
+        raise FrameError("a malformed snapshot chunk")
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkRequest:
-    """What a receiver asks for next: a place in a snapshot, or the beginning of any."""
+    """What a receiver needs next: a chunk of a snapshot that it has begun, or by default the start of any."""
 
-    number: int = 0
+    index: int = 0
     digest: str = ""
     offset: int = 0
 
 
 class SnapshotSender:
-    """Gives out pieces of one snapshot at a time."""
-
-    def __init__(self, state: Callable[[], tuple[int, Any]], leads_on: Callable[[int], bool]) -> None:
-        """`state`: the committed number and its state on the wire; `leads_on(number)`: whether the entries
-        that follow that number are all still kept, so that a snapshot of it is of use."""
-        self.state, self.leads_on = state, leads_on
-        self.pinned: Snapshot | None = None
-        self.asked_at = 0.0
-
-    def answer(self, now: float, wanted: ChunkRequest) -> SnapshotChunk:
-        """The piece that is wanted, or the first of another snapshot where this one is not had."""
-        snapshot, self.asked_at = self.pinned, now
-        if snapshot is None or not self.leads_on(snapshot.name.number):
-            number, wire = self.state()
-            snapshot = self.pinned = Snapshot.of(number, wire)
-        name = snapshot.name
-        known = (wanted.number, wanted.digest) == (name.number, name.digest) and wanted.offset < name.size
-        offset = wanted.offset if known else 0
-        return SnapshotChunk(name, offset, snapshot.data[offset : offset + CHUNK_BYTES])
+    """Serves chunks of one snapshot at a time, which all receivers share."""
+
+    def __init__(
+        self, current_state: Callable[[], tuple[int, Any]], log_continues_from: Callable[[int], bool]
+    ) -> None:
+        """Take the callables that give the committed index with its state in wire form, and say whether the
+        log still has all entries after an index, so that a snapshot of that index is of use."""
+        self._current_state, self._log_continues_from = current_state, log_continues_from
+        self.cached: Snapshot | None = None
+        self._requested_at = 0.0
+
+    def chunk_for(self, now: float, request: ChunkRequest) -> SnapshotChunk:
+        """Return the requested chunk, or the first one of the present snapshot if that is another."""
+        self._requested_at = now
+        snapshot = self._usable_snapshot()
+        known = snapshot.id
+        same = (request.index, request.digest) == (known.index, known.digest)
+        offset = request.offset if same and request.offset < known.size else 0
+        return SnapshotChunk(known, offset, snapshot.data[offset : offset + CHUNK_BYTES])
 
     def tick(self, now: float) -> None:
-        """Lets go of a snapshot that nobody asks for any more."""
-        if self.pinned is not None and now - self.asked_at > SNAPSHOT_IDLE_S:
-            self.pinned = None
-
-
-class RetryTimer:
-    """How long an answer is waited for: longer each time that none came, and where answers take long."""
-
-    def __init__(self) -> None:
-        self.asked_at: float | None = None  # None: nothing is awaited
-        self.seconds = INITIAL_RETRY_S
-
-    def ask(self, now: float, most: float = MAX_RETRY_S) -> None:
-        if self.asked_at is not None:  # no answer came to the last one
-            self.seconds = 2 * self.seconds
-        self.seconds = min(self.seconds, most)
-        self.asked_at = now
-
-    def answered(self, now: float) -> None:
-        if self.asked_at is not None:
-            took = RETRY_PER_ROUND_TRIP * (now - self.asked_at)
-            self.seconds = min(max(INITIAL_RETRY_S, took), MAX_RETRY_S)
-        self.asked_at = None
+        """Free a snapshot that has not been requested for SNAPSHOT_IDLE_S."""
+        if self.cached is not None and now - self._requested_at > SNAPSHOT_IDLE_S:
+            self.cached = None
 
-    @property
-    def waiting(self) -> bool:
-        return self.asked_at is not None
-
-    def over(self, now: float) -> bool:
-        return self.asked_at is None or now - self.asked_at >= self.seconds
+    def _usable_snapshot(self) -> Snapshot:
+        if self.cached is None or not self._log_continues_from(self.cached.id.index):
+            index, state_wire = self._current_state()
+            self.cached = Snapshot.pack(index, state_wire)
+        return self.cached
 
 
 class SnapshotReceiver:
-    """Puts a snapshot together. At most one is under way; a newer one takes its place only from its start."""
+    """Assembles one snapshot at a time; a newer one replaces it only from its first chunk on."""
 
     def __init__(self) -> None:
-        self.name: SnapshotId | None = None
+        self.snapshot: SnapshotId | None = None  # of which there are some chunks
         self.data = bytearray()
 
     @property
-    def active(self) -> bool:
-        return self.name is not None
+    def in_progress(self) -> bool:
+        """Whether a part of a snapshot has come."""
+        return self.snapshot is not None
 
-    def wanted(self) -> ChunkRequest:
-        if self.name is None:
+    def next_request(self) -> ChunkRequest:
+        """Return the request for the chunk after those received."""
+        if self.snapshot is None:
             return ChunkRequest()
-        return ChunkRequest(self.name.number, self.name.digest, len(self.data))
-
-    def take(self, piece: SnapshotChunk) -> Snapshot | None:
-        """The whole snapshot, if this was its last piece. One that isn't wanted now changes nothing."""
-        if piece.name != self.name:
-            if piece.offset != 0 or (self.name is not None and piece.name.number <= self.name.number):
-                return None
-            if not 0 < piece.name.size <= MAX_STATE_BYTES:
-                raise FrameError(f"a state of {piece.name.size} bytes; {MAX_STATE_BYTES} at the most")
-            self.name, self.data = piece.name, bytearray()
-        if piece.offset != len(self.data) or not piece.data:
+        return ChunkRequest(self.snapshot.index, self.snapshot.digest, len(self.data))
+
+    def add(self, chunk: SnapshotChunk) -> Snapshot | None:
+        """Return the whole snapshot if this was its last chunk. A duplicate or outdated chunk is ignored.
+
+        Raises FrameError if a snapshot of an impossible size begins.
+        """
+        if chunk.snapshot != self.snapshot and not self._begin(chunk):
             return None
-        self.data += piece.data
-        if len(self.data) < piece.name.size:
+        if chunk.offset != len(self.data) or not chunk.data:
             return None
-        whole = Snapshot(piece.name, bytes(self.data))
-        self.drop()
-        return whole
-
-    def drop(self) -> None:
-        self.name, self.data = None, bytearray()
+        self.data += chunk.data
+        if len(self.data) < chunk.snapshot.size:
+            return None
+        complete = Snapshot(chunk.snapshot, bytes(self.data))
+        self.reset()
+        return complete
+
+    def _begin(self, chunk: SnapshotChunk) -> bool:
+        """Begin the snapshot of this chunk if it is its first and the snapshot is newer than the present."""
+        if chunk.offset != 0:
+            return False
+        if self.snapshot is not None and chunk.snapshot.index <= self.snapshot.index:
+            return False
+        if not 0 < chunk.snapshot.size <= MAX_STATE_BYTES:
+            raise FrameError(f"a snapshot of {chunk.snapshot.size} bytes, over {MAX_STATE_BYTES}")
+        self.snapshot, self.data = chunk.snapshot, bytearray()
+        return True
+
+    def reset(self) -> None:
+        """Give up the partial snapshot."""
+        self.snapshot, self.data = None, bytearray()
 
 
 class SnapshotFetch:
-    """A receiver with whom it asks, and how long it waits."""
+    """The receiving side of transfers: the partial snapshot, whom it is requested from, and the retries."""
 
     def __init__(self) -> None:
         self.receiver = SnapshotReceiver()
-        self.source = ""  # who was asked last
-        self.patience = RetryTimer()  # for the answer
-        self.tries = 0  # of the question, beyond the first
+        self.source = ""  # address of the registrar that was asked last
+        self.timer = RetryTimer()
+        self._attempts = 0  # repeats of the present request
 
     @property
-    def active(self) -> bool:
-        """Whether a part of a state has come."""
-        return self.receiver.active
+    def in_progress(self) -> bool:
+        """Whether a part of a snapshot has come."""
+        return self.receiver.in_progress
 
     def begin_view(self) -> None:
-        """Others may be asked now, and at once; what has come is kept."""
-        self.patience, self.tries = RetryTimer(), 0
+        """Allow a request at once, as the sources may be others; a partial snapshot is kept."""
+        self.timer, self._attempts = RetryTimer(), 0
 
-    def may_ask(self, now: float) -> bool:
-        return self.patience.over(now)
+    def may_request(self, now: float) -> bool:
+        """Whether no request is out, or the one that is has timed out."""
+        return self.timer.may_send(now)
 
-    def awaits(self, sender: str) -> bool:
-        return sender == self.source and self.patience.waiting
+    def awaits_reply_from(self, sender: str) -> bool:
+        """Whether a request to this registrar is out."""
+        return sender == self.source and self.timer.awaiting_reply
 
-    def ask(self, now: float, source: str) -> ChunkRequest:
-        """What to ask the source for. One that answers nothing of use may not have this snapshot any more."""
-        self.tries = self.tries + 1 if self.patience.waiting else 0
-        if self.tries >= MAX_ATTEMPTS:
-            self.drop()
-            self.tries = 0
+    def request(self, now: float, source: str) -> ChunkRequest:
+        """Return what to request from `source`, and count it as sent.
+
+        After MAX_ATTEMPTS without progress the partial snapshot is given up: nobody may have it any more.
+        """
+        self._attempts = self._attempts + 1 if self.timer.awaiting_reply else 0
+        if self._attempts >= MAX_ATTEMPTS:
+            self.reset()
+            self._attempts = 0
         self.source = source
-        self.patience.ask(now)
-        return self.receiver.wanted()
+        self.timer.start(now)
+        return self.receiver.next_request()
 
-    def take(
-        self, now: float, sender: str, piece: SnapshotChunk, held: int
+    def on_chunk(
+        self, now: float, sender: str, chunk: SnapshotChunk, committed_index: int
     ) -> Snapshot | ChunkRequest | None:
-        """The whole snapshot, or what to ask the sender for next; None if the piece changes nothing.
+        """Return the complete snapshot, or what to request from the sender next; None if nothing changed.
 
-        `held`: number of the state that the receiver has.
+        A snapshot that is not beyond `committed_index`, the receiver's own state, is not needed any more.
+        Raises FrameError if a snapshot of an impossible size begins.
         """
-        if piece.name.number <= held:
-            self.drop()
-            self.patience.answered(now)
+        if chunk.snapshot.index <= committed_index:
+            self.reset()
+            self.timer.on_reply(now)
             return None
-        before = self.receiver.wanted()
-        whole = self.receiver.take(piece)
-        if whole is None and self.receiver.wanted() == before:
+        before = self.receiver.next_request()
+        complete = self.receiver.add(chunk)
+        if complete is None and self.receiver.next_request() == before:
             return None
-        self.patience.answered(now)
-        return whole if whole is not None else self.ask(now, sender)
+        self.timer.on_reply(now)
+        return complete if complete is not None else self.request(now, sender)
 
-    def drop(self) -> None:
-        self.receiver.drop()
+    def reset(self) -> None:
+        """Give up the partial snapshot."""
+        self.receiver.reset()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -244,8 +244,8 @@
     world.go(0.05)
     assert b.core.chain.synced_index == 5
     assert b.core.chain.committed_index == 3
-    snapshot = Snapshot.of(4, [*early.ids, "c4"])
-    world.deliver("a", "b", ["chain-piece", 1, *SnapshotChunk(snapshot.name, 0, snapshot.data).to_wire()])
+    snapshot = Snapshot.pack(4, [*early.ids, "c4"])
+    world.deliver("a", "b", ["chain-piece", 1, *SnapshotChunk(snapshot.id, 0, snapshot.data).to_wire()])
     assert b.core.chain.committed_index == 4
     assert b.core.chain.last_index == 5
     assert b.core.chain.synced_index == 5
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -14,13 +14,11 @@
 from plumline.coordination import replication as replication_module
 from plumline.coordination import snapshot_transfer as transfer_module
 from plumline.coordination.log import ReplicationLog
+from plumline.coordination.retry_timer import INITIAL_TIMEOUT_S, MAX_TIMEOUT_S, RetryTimer
 from plumline.coordination.snapshot_transfer import (
     CHUNK_BYTES,
-    INITIAL_RETRY_S,
-    MAX_RETRY_S,
     SNAPSHOT_IDLE_S,
     ChunkRequest,
-    RetryTimer,
     Snapshot,
     SnapshotChunk,
     SnapshotReceiver,
@@ -38,9 +36,9 @@
 def carried(receiver: SnapshotReceiver, sender: SnapshotSender) -> tuple[Any, int]:
     """The state that comes, and how many pieces were asked for."""
     for asked in range(1, 10_000):
-        whole = receiver.take(sender.answer(0.0, receiver.wanted()))
+        whole = receiver.add(sender.chunk_for(0.0, receiver.next_request()))
         if whole is not None:
-            return whole.wire(), asked
+            return whole.unpack(), asked
     raise AssertionError("it never ends")
 
 
@@ -61,16 +59,16 @@
         for step in range(20_000):
             if step % 50 == 49 and newest < 20:
                 newest += 1
-            on_the_way.append(sender.answer(0.0, receiver.wanted()))
+            on_the_way.append(sender.chunk_for(0.0, receiver.next_request()))
             if chance.random() < 0.3:
-                on_the_way.append(sender.answer(0.0, receiver.wanted()))
+                on_the_way.append(sender.chunk_for(0.0, receiver.next_request()))
             chance.shuffle(on_the_way)
             if chance.random() < 0.3:
                 on_the_way.pop()
             while len(on_the_way) > 3:
-                whole = receiver.take(on_the_way.pop())
+                whole = receiver.add(on_the_way.pop())
                 if whole is not None:
-                    assert whole.wire() == wire_of(size, whole.name.number)
+                    assert whole.unpack() == wire_of(size, whole.id.index)
                     return
         raise AssertionError("it never ends")
 
@@ -80,10 +78,10 @@
     second = SnapshotSender(lambda: (7, wire_of(500_000)), lambda number: True)
     receiver = SnapshotReceiver()
     for _ in range(4):
-        receiver.take(first.answer(0.0, receiver.wanted()))
-    held = receiver.wanted().offset
+        receiver.add(first.chunk_for(0.0, receiver.next_request()))
+    held = receiver.next_request().offset
     assert held == 4 * CHUNK_BYTES
-    assert second.answer(0.0, receiver.wanted()).offset == held
+    assert second.chunk_for(0.0, receiver.next_request()).offset == held
     assert carried(receiver, second)[1] == 500_000 // CHUNK_BYTES + 1 - 4
 
 
@@ -99,18 +97,18 @@
         carried(SnapshotReceiver(), sender)
     assert len(made) == 1
     sender.tick(SNAPSHOT_IDLE_S - 0.1)
-    assert sender.pinned is not None
+    assert sender.cached is not None
     sender.tick(SNAPSHOT_IDLE_S + 0.1)
-    assert sender.pinned is None
+    assert sender.cached is None
 
 
 def test_a_snapshot_that_no_entries_lead_on_from_is_made_anew() -> None:
     numbers, kept = iter([7, 30]), {7}
     sender = SnapshotSender(lambda: (next(numbers), wire_of(100)), lambda number: number in kept)
-    assert sender.answer(0.0, ChunkRequest()).name.number == 7
-    assert sender.answer(0.0, ChunkRequest()).name.number == 7
+    assert sender.chunk_for(0.0, ChunkRequest()).snapshot.index == 7
+    assert sender.chunk_for(0.0, ChunkRequest()).snapshot.index == 7
     kept.clear()
-    assert sender.answer(0.0, ChunkRequest()).name.number == 30
+    assert sender.chunk_for(0.0, ChunkRequest()).snapshot.index == 30
 
 
 @pytest.mark.parametrize("wire", [[], [1, "d", 2, 0], [1, "d", 2, 0, "text"], ["1", "d", 2, 0, b""]])
@@ -120,29 +118,29 @@
 
 
 def test_a_state_that_is_not_what_its_name_says_is_refused() -> None:
-    whole = Snapshot.of(7, wire_of(100))
+    whole = Snapshot.pack(7, wire_of(100))
     with pytest.raises(FrameError):
-        Snapshot(whole.name, Snapshot.of(7, wire_of(100, seed=2)).data).wire()
-    large = Snapshot.of(7, [bytes(transfer_module.MAX_STATE_BYTES + 1)])
+        Snapshot(whole.id, Snapshot.pack(7, wire_of(100, seed=2)).data).unpack()
+    large = Snapshot.pack(7, [bytes(transfer_module.MAX_STATE_BYTES + 1)])
     with pytest.raises(FrameError):
-        large.wire()
+        large.unpack()
 
 
 def test_answers_are_waited_for_longer_where_they_take_long_or_do_not_come() -> None:
-    patience = RetryTimer()
-    assert patience.over(0.0)
-    patience.ask(0.0)
-    assert not patience.over(INITIAL_RETRY_S - 0.01)
-    assert patience.over(INITIAL_RETRY_S)
+    timer = RetryTimer()
+    assert timer.may_send(0.0)
+    timer.start(0.0)
+    assert not timer.may_send(INITIAL_TIMEOUT_S - 0.01)
+    assert timer.may_send(INITIAL_TIMEOUT_S)
     now, waits = 0.0, []
     for _ in range(6):
-        patience.ask(now)
-        waits.append(patience.seconds)
-        now += patience.seconds
-    assert waits[-1] == MAX_RETRY_S
+        timer.start(now)
+        waits.append(timer.timeout_s)
+        now += timer.timeout_s
+    assert waits[-1] == MAX_TIMEOUT_S
     assert waits == sorted(waits)
-    patience.answered(now - patience.seconds + 0.5)
-    assert patience.seconds == 4 * 0.5
+    timer.on_reply(now - timer.timeout_s + 0.5)
+    assert timer.timeout_s == 4 * 0.5
 
 
 # The log.
@@ -153,15 +151,15 @@
     for number in range(1, 11):
         log.append(number, ["x" * 1000])
     log.trim(8, 512, 3000)
-    assert [each.number for each in log] == [9, 10]
+    assert [each.index for each in log] == [9, 10]
     log.trim(10, 1, 1 << 20)
-    assert [each.number for each in log] == [10]
-    assert (log.leads_on(9), log.leads_on(8), log.leads_on(15)) == (True, False, True)
-    log.drop_after(9)
-    assert (len(log), log.size()) == (0, 0)
+    assert [each.index for each in log] == [10]
+    assert (log.continues_from(9), log.continues_from(8), log.continues_from(15)) == (True, False, True)
+    log.truncate_after(9)
+    assert (len(log), log.size_bytes()) == (0, 0)
     log.append(10, ["x" * 1000])
-    assert log.size() == len(ormsgpack.packb(["x" * 1000]))
-    assert [each.number for each in log.between(9, 12)] == [10]
+    assert log.size_bytes() == len(ormsgpack.packb(["x" * 1000]))
+    assert [each.index for each in log.between(9, 12)] == [10]
 
 
 # In the chain.
@@ -262,7 +260,7 @@
 def test_a_member_that_was_away_for_a_thousand_changes_gets_one_state(name: str, wiped: bool) -> None:
     world = without(name, 1000, 200)
     other = world.chain()[0]
-    state = len(Snapshot.of(1, world.nodes[other].core.chain.state.to_wire()).data)
+    state = len(Snapshot.pack(1, world.nodes[other].core.chain.state.to_wire()).data)
     world.spy = True
     if wiped:
         world.wipe(world.nodes[name])
@@ -282,7 +280,7 @@
 def test_changes_of_a_megabyte_leave_a_bounded_log_and_come_once() -> None:
     world = without("c", 12, 1_000_000)
     for name in "ab":
-        assert world.nodes[name].core.chain.log.size() <= replication_module.RETAINED_BYTES
+        assert world.nodes[name].core.chain.log.size_bytes() <= replication_module.RETAINED_BYTES
     world.spy = True
     world.start(world.nodes["c"])
     world.settle()
@@ -300,7 +298,7 @@
     began = world.now
     world.start(world.nodes["c"])
     world.settle(within=20.0)
-    state = len(Snapshot.of(1, world.nodes["a"].core.chain.state.to_wire()).data)
+    state = len(Snapshot.pack(1, world.nodes["a"].core.chain.state.to_wire()).data)
     taken, took = bytes_of(world, *TRANSFER)["c"], world.now - began
     print("bytes", taken, "state", state, "seconds", round(took, 2))
     assert state > 1_000_000
@@ -319,7 +317,7 @@
     world.go(1.0)
     world.cut = set()
     world.settle(within=20.0)
-    state = len(Snapshot.of(1, world.nodes["a"].core.chain.state.to_wire()).data)
+    state = len(Snapshot.pack(1, world.nodes["a"].core.chain.state.to_wire()).data)
     taken = bytes_of(world, *TRANSFER)["c"]
     print("bytes", taken, "state", state)
     assert taken < 1.3 * state
