--- a/plumline/coordination/read_barrier.py
+++ b/plumline/coordination/read_barrier.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from plumline.coordination.effects import Effects
+from plumline.coordination.environment import Environment
 from plumline.coordination.view import View
 
 MAX_PENDING_CONFIRMATIONS = 64  # beyond that the oldest is denied
@@ -29,7 +29,7 @@
 class ReadBarrier:
     """Asks the acceptors whether a view is the newest. A denial means only that it is not known to be."""
 
-    def __init__(self, effects: Effects) -> None:
+    def __init__(self, effects: Environment) -> None:
         self.effects = effects
         self.pending: dict[int, PendingConfirmation] = {}  # by nonce, oldest first
         #: Begins at random, so that replies to an earlier process of this member match nothing.
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -6,11 +6,11 @@
 import pytest
 
 from plumline.configuration.document import Document
-from plumline.configuration.state import State
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.coordination.soft_state import SoftState
 from plumline.counters import Counters
 from plumline.registrar import publish_buffer
-from plumline.registrar.publisher import Feed
+from plumline.registrar.publisher import FeedPublisher
 from plumline.wire.frames import Unpacker
 
 
@@ -18,9 +18,9 @@
     """What a feed reads of a chain; a test commits to it."""
 
     def __init__(self) -> None:
-        self.state, self.committed_index = State(), 0
+        self.state, self.committed_index = ReplicatedConfiguration(), 0
 
-    def commit(self, feed: Feed, change: list[Any]) -> None:
+    def commit(self, feed: FeedPublisher, change: list[Any]) -> None:
         self.state = self.state.apply(change)
         self.committed_index += 1
         feed.applied(self.committed_index, change)
@@ -56,7 +56,7 @@
     """Applies what it is sent as a router does."""
 
     def __init__(self, link: FakeLink) -> None:
-        self.link, self.place, self.state, self.bytes = link, 0, State(), 0
+        self.link, self.place, self.state, self.bytes = link, 0, ReplicatedConfiguration(), 0
 
     def take(self) -> list[str]:
         self.bytes += sum(map(len, self.link.frames))
@@ -65,7 +65,7 @@
             kinds.append(kind)
             if kind == "state":
                 assert number > self.place
-                self.state = State.from_wire(told)
+                self.state = ReplicatedConfiguration.from_wire(told)
             else:
                 assert number == self.place + 1
                 self.state = self.state.apply(told)
@@ -95,7 +95,7 @@
 
     def __init__(self, routers: int = 1) -> None:
         self.chain, self.fresh = FakeChain(), True
-        self.feed = Feed(self.chain, SoftState(), Counters(), 1.2, lambda: self.fresh)  # type: ignore[arg-type]
+        self.feed = FeedPublisher(self.chain, SoftState(), Counters(), 1.2, lambda: self.fresh)  # type: ignore[arg-type]
         self.routers = [self.join(f"n{at}") for at in range(routers)]
 
     def join(self, node: str, place: int = 0, primary: bool = True) -> Router:
@@ -191,13 +191,13 @@
     new = [scene.join(f"new{at}") for at in range(50)]
     for each in [*behind, *new]:
         if each in behind:
-            each.place, each.state = 1, State().apply(["replace", 0, document(1, 4000)])
+            each.place, each.state = 1, ReplicatedConfiguration().apply(["replace", 0, document(1, 4000)])
         each.take()
         assert each.place == scene.chain.committed_index
         assert each.state.configuration == scene.chain.state.configuration
         assert each.bytes < size / 5
     assert packed == ["state"]  # one packed snapshot for all of them
-    assert scene.feed.backlog.bytes <= publish_buffer.KEPT_BYTES
+    assert scene.feed.backlog.bytes <= publish_buffer.MAX_BUFFERED_BYTES
 
 
 def test_a_replaced_configuration_is_told_as_what_it_changes() -> None:
@@ -218,7 +218,7 @@
     scene = Scene()
     scene.commit(["replace", 0, document(1, 3)])
     scene.routers[0].take()
-    scene.chain.state = State().apply(["replace", 0, document(9, 3)])
+    scene.chain.state = ReplicatedConfiguration().apply(["replace", 0, document(9, 3)])
     scene.chain.committed_index = 12
     scene.feed.applied(12, None)
     assert scene.routers[0].take() == ["state"]
@@ -228,7 +228,7 @@
 
 
 def test_entries_kept_for_followers_are_bounded_by_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(publish_buffer, "KEPT_BYTES", 2000)
+    monkeypatch.setattr(publish_buffer, "MAX_BUFFERED_BYTES", 2000)
     scene = Scene()
     scene.commit(["replace", 0, document(1, 20)])
     for version in range(2, 100):
