--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -58,12 +58,11 @@
         records, incarnation = self.open_store()
         self.mesh = self._make_mesh()
         self.core = self._make_core((self.address, incarnation))
-        self.feed = FeedPublisher(
+        self.publisher = FeedPublisher(
             self.core.chain,
             self.topics,
-            self.counters,
             settings.heartbeat_interval_ms / 1000,
-            may_feed=lambda: self.core.fresh(self.loop.time()),
+            is_current=lambda: self.core.fresh(self.loop.time()),
         )
         if settings.data_directory is not None:
             self.writer = GroupCommitWriter(self.file, self.loop, self.image)
@@ -112,7 +111,7 @@
             chance=random.Random(secrets.randbits(64)),
             applied=self.applied,
             changed=self.view_changed,
-            known_elsewhere=lambda: self.feed.told_place > 0,
+            known_elsewhere=lambda: self.publisher.highest_subscriber_offset > 0,
         )
 
     def _make_jobs(self) -> None:
@@ -181,7 +180,7 @@
                 case ["followers", dict(routers)]:
                     self.elsewhere[sender] = now, routers
                 case ["news", str(), list()]:
-                    self.feed.pass_news(message)
+                    self.publisher.forward_prompt_events(message)
                 case ["hurry"]:
                     self.discovery.refresh_soon()
                 case ["zone", str(zone)]:
@@ -200,7 +199,7 @@
 
     def follower_up(self, link: FrameLink) -> None:
         """A router has connected."""
-        self.feed.came(link, self.loop.time())
+        self.publisher.on_subscriber_connected(link, self.loop.time())
 
     def follower_says(self, link: FrameLink, message: list[Any]) -> None:
         """Dispatches a message of a router."""
@@ -209,14 +208,14 @@
             self.discovery.refresh_soon()
             return
         if message[0] == "news":
-            self.feed.pass_news(message, link)
+            self.publisher.forward_prompt_events(message, link)
             self.mesh.send_all(message)
             return
-        self.feed.heard(link, message, self.loop.time())
+        self.publisher.on_subscriber_message(link, message, self.loop.time())
 
     def follower_down(self, link: FrameLink) -> None:
         """A router's connection has ended."""
-        self.feed.went(link)
+        self.publisher.on_subscriber_disconnected(link)
 
     # Soft topics.
 
@@ -224,7 +223,7 @@
         """Takes a soft topic that another registrar tells, if it is newer, and tells the routers."""
         if not self.topics.offer(name, number, payload):
             return
-        self.feed.tell_topic(name)
+        self.publisher.publish_soft_state(name)
         if name == "marks":
             self.rollout.adopt(payload)
         self.rollout.wake()
@@ -236,7 +235,7 @@
             self.counters.add("topics.term-over")
             return
         self.topics.offer(name, number, payload)
-        self.feed.tell_topic(name)
+        self.publisher.publish_soft_state(name)
         self.mesh.send_all(["topic", name, list(number), payload])
 
     def may_discover(self) -> bool:
@@ -251,7 +250,7 @@
         elif self.topics.payload("roster") is None and roster:
             # Below any lease's number, and for this registrar's followers only.
             self.topics.offer("roster", (0, 0), roster)
-            self.feed.tell_topic("roster")
+            self.publisher.publish_soft_state("roster")
         self.rollout.wake()
 
     def store_addresses(self) -> dict[str, tuple[str, int]]:
@@ -278,7 +277,7 @@
         for start in range(0, max(len(told), 1), MAX_EVENTS_PER_MESSAGE):
             stored = ["stored", epoch, told[start : start + MAX_EVENTS_PER_MESSAGE]]
             news = ["news", f"{address[0]}:{address[1]}", [stored]]
-            self.feed.pass_news(news)
+            self.publisher.forward_prompt_events(news)
             self.mesh.send_all(news)
 
     def publish_rollout(self, marks: dict[str, dict[str, Any]]) -> None:
@@ -294,7 +293,7 @@
 
     def applied(self, number: int, change: list[Any] | None) -> None:
         """An entry, or with None a whole state, is committed here."""
-        self.feed.applied(number, change)
+        self.publisher.on_entry_committed(number, change)
         self.rollout.wake()
         self.cache_stores.wake()
 
@@ -323,7 +322,7 @@
                 self.beat(now)
             if now >= told_at:
                 told_at = now + 1.0
-                self.mesh.send_all(["followers", self.feed.alive(now)])
+                self.mesh.send_all(["followers", self.publisher.live_subscribers(now)])
                 self.mesh.want(set(self.core.contacts.peers))
             if now >= summary_at:
                 summary_at = now + COUNTERS_LOG_INTERVAL_S
@@ -351,16 +350,16 @@
         view = self.core.views.view
         known = [address for address, _ in view.chain] if view else []
         followed = [[address, self.zones.get(address, "")] for address in known]
-        self.feed.beat(self.core.fresh(now), followed, self.routers(now))
+        self.publisher.publish_heartbeat(self.core.fresh(now), followed, self.routers(now))
 
     def routers(self, now: float) -> dict[str, ServiceLoads]:
         """Routers alive anywhere, as far as told, and their work."""
-        patience = self.feed.patience + 1.0
+        patience = self.publisher.subscriber_timeout_s + 1.0
         found: dict[str, ServiceLoads] = {}
         for at, routers in self.elsewhere.values():
             if now - at < patience:
                 found.update(routers)
-        return found | self.feed.alive(now)
+        return found | self.publisher.live_subscribers(now)
 
     async def run(self) -> None:
         """Until SIGTERM."""
--- a/plumline/registrar/publish_buffer.py
+++ b/plumline/registrar/publish_buffer.py
@@ -1,6 +1,6 @@
-"""What a registrar keeps ready for the routers that follow it: packed entries, and one packed snapshot.
+"""The publisher's buffer: the newest committed entries, packed, and one packed snapshot of the whole state.
 
-Both are packed once and shared by all followers; a follower's queue holds references only.
+Both are packed once and shared by all subscribers; a subscriber's queue holds references only.
 """
 
 from collections import deque
@@ -11,80 +11,81 @@
 from plumline.configuration.state import State
 from plumline.wire.frames import pack
 
-MAX_BUFFERED_BYTES = 1024 * 1024  # of packed entries; whoever is further behind gets a snapshot
-SMALL_DELTA_BYTES = 16 * 1024  # bytes of entries that are sent without a look at what a snapshot would take
+MAX_BUFFERED_BYTES = 1024 * 1024  # of packed entries; a subscriber that is further behind gets a snapshot
+SMALL_DELTA_BYTES = 16 * 1024  # entries of no more bytes are sent without packing a snapshot to compare with
 
 
 @dataclass(frozen=True, slots=True)
 class PackedMessage:
-    """A message, ready to be sent, and the number of the entry up to which its receiver then knows all."""
+    """A frame that is ready to be sent."""
 
-    number: int
-    kind: str
-    data: bytes
+    offset: int  # number of the entry up to which the receiver is complete once it has this message
+    kind: str  # of the message, as on the wire
+    data: bytes  # the whole frame
 
 
 class PublishBuffer:
-    """Consecutive entries up to `newest`."""
+    """Consecutive entries that end at `newest_offset`, and the last snapshot that was packed."""
 
-    def __init__(self, now: Callable[[], tuple[int, State]]) -> None:
-        """`now`: the committed state and the number of its newest entry."""
-        self.now = now
-        self.newest = 0
+    def __init__(self, committed_state: Callable[[], tuple[int, State]]) -> None:
+        """`committed_state()`: the number of the newest committed entry, and the state after it."""
+        self.committed_state = committed_state
+        self.newest_offset = 0
         self.entries: deque[PackedMessage] = deque()
-        self.bytes = 0
-        self.snapshot_kept: PackedMessage | None = None
+        self.size_bytes = 0  # of all entries
+        self._cached_snapshot: PackedMessage | None = None
 
-    def restart(self, number: int) -> None:
-        """What led to the state of this number isn't known."""
-        self.newest = number
+    def reset(self, offset: int) -> None:
+        """Drops all entries: the one that led to the state at `offset` isn't known here."""
+        self.newest_offset = offset
         self.entries.clear()
-        self.bytes = 0
+        self.size_bytes = 0
 
-    def add(self, number: int, change: list[Any]) -> None:
-        if number != self.newest + 1:
-            self.restart(number)
+    def append(self, offset: int, change: list[Any]) -> None:
+        """Packs the entry of this number; one that doesn't follow the newest resets the buffer."""
+        if offset != self.newest_offset + 1:
+            self.reset(offset)
             return
-        entry = PackedMessage(number, "entry", pack(["entry", number, change]))
-        self.newest = number
+        entry = PackedMessage(offset, "entry", pack(["entry", offset, change]))
+        self.newest_offset = offset
         self.entries.append(entry)
-        self.bytes += len(entry.data)
-        while self.bytes > MAX_BUFFERED_BYTES:
-            self.bytes -= len(self.entries.popleft().data)
+        self.size_bytes += len(entry.data)
+        while self.size_bytes > MAX_BUFFERED_BYTES:
+            self.size_bytes -= len(self.entries.popleft().data)
 
-    def after(self, place: int) -> list[PackedMessage] | None:
-        """The entries that lead from `place` to the newest; None if they are no longer kept."""
-        if place >= self.newest:
+    def entries_after(self, offset: int) -> list[PackedMessage] | None:
+        """The entries that lead from `offset` to the newest; None if some are no longer buffered."""
+        if offset >= self.newest_offset:
             return []
-        missing = self.newest - place
-        if missing > len(self.entries):
+        count = self.newest_offset - offset
+        if count > len(self.entries):
             return None
-        return [self.entries[at] for at in range(len(self.entries) - missing, len(self.entries))]
-
-    def messages(self, place: int) -> list[PackedMessage]:
-        """What takes a follower from `place` to the newest entry in the fewest bytes."""
-        tail = self.after(place)
-        if tail is not None:
-            length = size(tail)
-            if length <= SMALL_DELTA_BYTES or length <= len(self.snapshot().data):
-                return tail
+        return [self.entries[index] for index in range(len(self.entries) - count, len(self.entries))]
+
+    def messages_after(self, offset: int) -> list[PackedMessage]:
+        """What takes a subscriber from `offset` to the newest entry in the fewest bytes."""
+        delta = self.entries_after(offset)
+        if delta is not None:
+            delta_bytes = total_bytes(delta)
+            if delta_bytes <= SMALL_DELTA_BYTES or delta_bytes <= len(self.snapshot().data):
+                return delta
         snapshot = self.snapshot()
-        return [snapshot, *(self.after(snapshot.number) or [])]
+        return [snapshot, *(self.entries_after(snapshot.offset) or [])]
 
     def snapshot(self) -> PackedMessage:
-        """A whole state: the newest, or an earlier one that few bytes of entries lead on from."""
-        kept = self.snapshot_kept
-        if kept is not None and (tail := self.after(kept.number)) is not None:
-            if size(tail) <= max(SMALL_DELTA_BYTES, len(kept.data) // 4):
-                return kept
-        number, state = self.now()
-        if number != self.newest:
-            self.restart(number)
-        self.snapshot_kept = PackedMessage(
-            number, "state", pack(["state", number, state.to_wire(history=False)])
-        )
-        return self.snapshot_kept
-
-
-def size(messages: list[PackedMessage]) -> int:
-    return sum(len(each.data) for each in messages)
+        """A whole state: the newest, or a cached earlier one that few bytes of entries lead on from."""
+        cached = self._cached_snapshot
+        if cached is not None and (delta := self.entries_after(cached.offset)) is not None:
+            if total_bytes(delta) <= max(SMALL_DELTA_BYTES, len(cached.data) // 4):
+                return cached
+        offset, state = self.committed_state()
+        if offset != self.newest_offset:
+            self.reset(offset)
+        data = pack(["state", offset, state.to_wire(history=False)])
+        self._cached_snapshot = PackedMessage(offset, "state", data)
+        return self._cached_snapshot
+
+
+def total_bytes(messages: list[PackedMessage]) -> int:
+    """The size of the messages' frames together."""
+    return sum(len(message.data) for message in messages)
--- a/plumline/registrar/publisher.py
+++ b/plumline/registrar/publisher.py
@@ -1,8 +1,8 @@
-"""The feed to routers: a numbered history of changes from a place on, soft topics, and beats.
+"""Publishes the configuration feed to routers: committed entries from an offset on, soft state, heartbeats.
 
-Entries go to the followers that have chosen this registrar as their primary. A follower that has not taken
-yet what it was sent gets no more of them: once it has, it gets all that it lacks, as entries or as one
-snapshot, whichever is shorter. Nothing is sent to it while this registrar may not know the newest.
+Entries go only to the subscribers that have chosen this registrar as their primary. A subscriber that has not
+read yet what it was sent gets no more of them: once it has, it gets all that it lacks, as entries or as one
+snapshot, whichever is shorter. Nothing is sent while this registrar may lack the newest entries.
 """
 
 import math
@@ -14,24 +14,23 @@
 from plumline.configuration.document import Document
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.soft_state import SoftState
-from plumline.counters import Counters
 from plumline.errors import FrameError
 from plumline.registrar.publish_buffer import PublishBuffer
 from plumline.routing.shares import summed
 from plumline.wire.frames import FrameLink, pack
 
-MAX_MISSED_HEARTBEATS = 3  # of its interval, after which a follower no longer counts as alive
+MAX_MISSED_HEARTBEATS = 3  # a subscriber that is silent for so many of its intervals counts as dead
 
 #: By service: ms of endpoints' time a second for short and for long requests; then, where shares are
 #: reserved, what the tenants ask for (routing.shares.Told).
 ServiceLoads = dict[str, list[Any]]
 
 
-def is_load_report(rates: Any) -> bool:  # noqa: ANN401
-    """Whether it has the shape of what `ServiceLoads` holds for a service; a sum checks the tenants' part."""
-    if not isinstance(rates, list) or not 2 <= len(rates) <= 3:
+def is_load_report(report: Any) -> bool:  # noqa: ANN401
+    """Whether it has the shape of a value of `ServiceLoads`; the tenants' part is checked by the sum."""
+    if not isinstance(report, list) or not 2 <= len(report) <= 3:
         return False
-    return all(type(each) in (int, float) and 0 <= each < math.inf for each in rates[:2])
+    return all(type(load) in (int, float) and 0 <= load < math.inf for load in report[:2])
 
 
 @dataclass(slots=True)
@@ -40,142 +39,159 @@
 
     link: FrameLink
     node: str
-    place: int = -1  # number of the newest entry it has or was sent; -1: it has not said yet
-    heard: float = 0.0
-    work: ServiceLoads = field(default_factory=dict)
-    primary: bool = False  # takes entries, and news of prompts, from here
-    has_topics: bool = False  # was sent all soft topics that were known
+    offset: int = -1  # number of the newest entry it has or was sent; -1: it has not subscribed yet
+    last_heard: float = 0.0  # s, steady
+    loads: ServiceLoads = field(default_factory=dict)  # of its last heartbeat
+    is_primary: bool = False  # whether it takes entries and prompt events from this registrar
+    has_soft_state: bool = False  # whether all soft state that was known has been sent to it
 
 
 class FeedPublisher:
-    """Routers that follow this registrar. They are also those that it watches: `alive` names them."""
+    """The routers that subscribe to this registrar, which also watches them: see `live_subscribers`."""
 
     def __init__(
         self,
         chain: ChainReplica,
-        topics: SoftState,
-        counters: Counters,
+        soft_state: SoftState,
         heartbeat_s: float,
-        may_feed: Callable[[], bool] = lambda: True,
+        is_current: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`may_feed`: whether this registrar surely knows the newest entries."""
-        self.chain, self.topics, self.counters, self.may_feed = chain, topics, counters, may_feed
-        self.patience = MAX_MISSED_HEARTBEATS * heartbeat_s
-        self.followers: dict[FrameLink, Subscriber] = {}
-        self.told_place = 0  # the highest that a follower has had from anyone
-        self.backlog = PublishBuffer(lambda: (chain.committed, chain.state))
-        self.configuration: tuple[int, Document | None] = (-1, None)  # after the entry of that number
-
-    def came(self, link: FrameLink, now: float) -> None:
+        """`heartbeat_s`: interval of the routers' heartbeats. `is_current()`: whether this registrar surely
+        has the newest entries."""
+        self.chain, self.soft_state, self.is_current = chain, soft_state, is_current
+        self.subscriber_timeout_s = MAX_MISSED_HEARTBEATS * heartbeat_s
+        self.subscribers: dict[FrameLink, Subscriber] = {}
+        self.highest_subscriber_offset = 0  # that a subscriber has had from any registrar
+        self.buffer = PublishBuffer(lambda: (chain.committed, chain.state))
+        self._last_configuration: tuple[int, Document | None] = (-1, None)  # after the entry of that number
+
+    # Connections.
+
+    def on_subscriber_connected(self, link: FrameLink, now: float) -> None:
+        """A router has connected; it gets nothing before it subscribes."""
         assert link.peer is not None
-        self.followers[link] = Subscriber(link, link.peer["node"], heard=now)
-        link.on_drained = self.drained
+        self.subscribers[link] = Subscriber(link, link.peer["node"], last_heard=now)
+        link.on_drained = self._on_link_drained
 
-    def went(self, link: FrameLink) -> None:
-        self.followers.pop(link, None)
+    def on_subscriber_disconnected(self, link: FrameLink) -> None:
+        """A router's connection has ended."""
+        self.subscribers.pop(link, None)
 
-    def drained(self, link: FrameLink) -> None:
-        if follower := self.followers.get(link):
-            self.catch_up(follower)
-
-    def heard(self, link: FrameLink, message: list[Any], now: float) -> None:
-        follower = self.followers.get(link)
-        if follower is None:
+    def on_subscriber_message(self, link: FrameLink, message: list[Any], now: float) -> None:
+        """Raises FrameError for a message that a subscriber never sends."""
+        subscriber = self.subscribers.get(link)
+        if subscriber is None:
             return
-        follower.heard = now
+        subscriber.last_heard = now
         match message:
-            case ["follow", int(place)]:
-                self.follow(follower, place)
-            case ["primary", bool(primary)]:
-                follower.primary = primary
-                self.catch_up(follower)
-            case ["heartbeat", int(), dict(work)]:
-                if not all(map(is_load_report, work.values())):
-                    raise FrameError("a heartbeat with a malformed rate")
-                follower.work = work
+            case ["follow", int(offset)]:
+                self._subscribe(subscriber, offset)
+            case ["primary", bool(is_primary)]:
+                subscriber.is_primary = is_primary
+                self._catch_up(subscriber)
+            case ["heartbeat", int(), dict(loads)]:
+                if not all(map(is_load_report, loads.values())):
+                    raise FrameError("a heartbeat with a malformed load report")
+                subscriber.loads = loads
             case _:
-                raise FrameError(f"a follower does not say {message[0]!r}")
+                raise FrameError(f"a subscriber does not send {message[0]!r}")
+
+    def _on_link_drained(self, link: FrameLink) -> None:
+        if subscriber := self.subscribers.get(link):
+            self._catch_up(subscriber)
 
     # Entries.
 
-    def follow(self, follower: Subscriber, place: int) -> None:
-        self.told_place = max(self.told_place, place)
-        if follower.place >= 0 and follower.link.busy and follower.primary:
+    def on_entry_committed(self, offset: int, change: list[Any] | None) -> None:
+        """Publishes the committed entry of this number; None: a whole state was installed in place of it."""
+        previous_offset, previous = self._last_configuration
+        if change is None:
+            self.buffer.reset(offset)
+        else:
+            is_next = previous_offset == offset - 1
+            self.buffer.append(offset, as_amend(previous, change) if is_next else change)
+        self._last_configuration = offset, self.chain.state.configuration
+        self._catch_up_all()
+
+    def _subscribe(self, subscriber: Subscriber, offset: int) -> None:
+        self.highest_subscriber_offset = max(self.highest_subscriber_offset, offset)
+        if subscriber.offset >= 0 and subscriber.link.busy and subscriber.is_primary:
             return  # what it asks for is on its way
-        follower.place = place
-        self.tell_topics(follower)
-        self.catch_up(follower)
+        subscriber.offset = offset
+        self._send_soft_state(subscriber)
+        self._catch_up(subscriber)
 
-    def tell_topics(self, follower: Subscriber) -> None:
-        """All soft topics, once, and not while this registrar may know old ones only."""
-        if follower.place < 0 or follower.has_topics or not self.may_feed():
+    def _send_soft_state(self, subscriber: Subscriber) -> None:
+        """All of it, once, and not while this registrar may have old values only."""
+        if subscriber.offset < 0 or subscriber.has_soft_state or not self.is_current():
             return
-        follower.has_topics = True
-        for each in self.topics.messages():
-            follower.link.send(each)
-
-    def catch_up(self, follower: Subscriber) -> None:
-        """A follower that is ahead gets nothing: its place is never taken back."""
-        if not follower.primary or follower.place < 0 or follower.link.busy or not self.may_feed():
+        subscriber.has_soft_state = True
+        for message in self.soft_state.messages():
+            subscriber.link.send(message)
+
+    def _catch_up(self, subscriber: Subscriber) -> None:
+        """Sends the entries that it lacks. One that is ahead gets nothing: offsets never go back."""
+        is_receiving = subscriber.is_primary and subscriber.offset >= 0 and not subscriber.link.busy
+        if not is_receiving or not self.is_current():
             return
-        if self.backlog.newest != self.chain.committed:
-            self.backlog.restart(self.chain.committed)
-        for each in self.backlog.messages(follower.place):
-            follower.link.send_packed(each.kind, each.data, ordered=True)
-            follower.place = each.number
-
-    def catch_all_up(self) -> None:
-        for follower in list(self.followers.values()):
-            self.tell_topics(follower)
-            self.catch_up(follower)
-
-    def applied(self, number: int, change: list[Any] | None) -> None:
-        """A committed entry, or with None a whole state."""
-        before, document = self.configuration
-        if change is None:
-            self.backlog.restart(number)
-        else:
-            self.backlog.add(number, as_amend(document, change) if before == number - 1 else change)
-        self.configuration = number, self.chain.state.configuration
-        self.catch_all_up()
-
-    # What all followers are told.
-
-    def tell_topic(self, name: str) -> None:
-        told = self.topics.told[name]
-        self.send_all(["topic", name, list(told.number), told.payload])
-
-    def send_all(self, message: list[Any]) -> None:
-        if self.followers:
+        if self.buffer.newest_offset != self.chain.committed:
+            self.buffer.reset(self.chain.committed)
+        for message in self.buffer.messages_after(subscriber.offset):
+            subscriber.link.send_packed(message.kind, message.data, ordered=True)
+            subscriber.offset = message.offset
+
+    def _catch_up_all(self) -> None:
+        for subscriber in list(self.subscribers.values()):
+            self._send_soft_state(subscriber)
+            self._catch_up(subscriber)
+
+    # Broadcasts.
+
+    def publish_soft_state(self, name: str) -> None:
+        """Sends the present value of this name to all subscribers."""
+        told = self.soft_state.told[name]
+        self.broadcast(["topic", name, list(told.number), told.payload])
+
+    def broadcast(self, message: list[Any]) -> None:
+        """Sends a message to every router that has subscribed."""
+        if self.subscribers:
             data = pack(message)
-            for follower in list(self.followers.values()):
-                if follower.place >= 0:
-                    follower.link.send_packed(message[0], data)
+            for subscriber in list(self.subscribers.values()):
+                if subscriber.offset >= 0:
+                    subscriber.link.send_packed(message[0], data)
 
-    def pass_news(self, message: list[Any], origin: FrameLink | None = None) -> None:
-        """What a router tells of its prompts, to those that take their news from here."""
+    def forward_prompt_events(self, message: list[Any], origin: FrameLink | None = None) -> None:
+        """Sends a router's or a store's prompt events to all whose primary this is, except their origin."""
         data = pack(message)
-        for follower in list(self.followers.values()):
-            if follower.primary and follower.link is not origin:
-                follower.link.send_packed("news", data)
+        for subscriber in list(self.subscribers.values()):
+            if subscriber.is_primary and subscriber.link is not origin:
+                subscriber.link.send_packed("news", data)
 
-    def beat(self, fresh: bool, registrars: list[list[str]], routers: dict[str, ServiceLoads]) -> None:
-        """`registrars`: [address, zone] of those that can be followed; `routers`: all that are alive."""
-        work: ServiceLoads = {}
+    def publish_heartbeat(
+        self, is_current: bool, registrars: list[list[str]], routers: dict[str, ServiceLoads]
+    ) -> None:
+        """`registrars`: [address, zone] of those that can be subscribed to; `routers`: all that are alive."""
+        loads: ServiceLoads = {}
         demands: dict[str, list[Any]] = {}
-        for each in routers.values():
-            for service, (short, long, *demand) in each.items():
-                known = work.setdefault(service, [0.0, 0.0])
-                work[service] = [round(known[0] + short, 1), round(known[1] + long, 1)]
+        for router_loads in routers.values():
+            for service, (short, long, *demand) in router_loads.items():
+                total = loads.setdefault(service, [0.0, 0.0])
+                loads[service] = [round(total[0] + short, 1), round(total[1] + long, 1)]
                 if demand:
                     demands.setdefault(service, []).append(demand[0])
-        for service, told in demands.items():
-            if (demand := summed(told)) is not None:
-                work[service].append(demand)
-        count = max(len(routers), 1)
-        self.send_all(["beat", fresh, self.chain.committed, registrars, count, work])
-        self.catch_all_up()
-
-    def alive(self, now: float) -> dict[str, ServiceLoads]:
-        """The work of each follower that was heard of late, by name."""
-        return {each.node: each.work for each in self.followers.values() if now - each.heard < self.patience}
+        for service, reported in demands.items():
+            if (demand := summed(reported)) is not None:
+                loads[service].append(demand)
+        router_count = max(len(routers), 1)
+        self.broadcast(["beat", is_current, self.chain.committed, registrars, router_count, loads])
+        self._catch_up_all()
+
+    # Failure detection.
+
+    def live_subscribers(self, now: float) -> dict[str, ServiceLoads]:
+        """The loads of each subscriber that was heard within its time-out, by node name."""
+        return {
+            subscriber.node: subscriber.loads
+            for subscriber in self.subscribers.values()
+            if now - subscriber.last_heard < self.subscriber_timeout_s
+        }
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -1,4 +1,4 @@
-"""The registrar's side of the feed: to whom entries go, in what form, and how much waits for a slow one."""
+"""The publisher of the feed: to whom entries go, in what form, and how much waits for a slow subscriber."""
 
 from typing import Any
 
@@ -8,22 +8,21 @@
 from plumline.configuration.document import Document
 from plumline.configuration.state import State
 from plumline.coordination.soft_state import SoftState
-from plumline.counters import Counters
 from plumline.registrar import publish_buffer
 from plumline.registrar.publisher import FeedPublisher
 from plumline.wire.frames import Unpacker
 
 
 class FakeChain:
-    """What a feed reads of a chain; a test commits to it."""
+    """What a publisher reads of a chain; a test commits to it."""
 
     def __init__(self) -> None:
         self.state, self.committed = State(), 0
 
-    def commit(self, feed: FeedPublisher, change: list[Any]) -> None:
+    def commit(self, publisher: FeedPublisher, change: list[Any]) -> None:
         self.state = self.state.apply(change)
         self.committed += 1
-        feed.applied(self.committed, change)
+        publisher.on_entry_committed(self.committed, change)
 
 
 class FakeLink:
@@ -91,34 +90,34 @@
 
 
 class Scene:
-    """A chain with a feed and some routers; the first follows it as its primary."""
+    """A chain with a publisher and some routers; the first follows it as its primary."""
 
     def __init__(self, routers: int = 1) -> None:
         self.chain, self.fresh = FakeChain(), True
-        self.feed = FeedPublisher(self.chain, SoftState(), Counters(), 1.2, lambda: self.fresh)  # type: ignore[arg-type]
+        self.publisher = FeedPublisher(self.chain, SoftState(), 1.2, lambda: self.fresh)  # type: ignore[arg-type]
         self.routers = [self.join(f"n{at}") for at in range(routers)]
 
     def join(self, node: str, place: int = 0, primary: bool = True) -> Router:
         link: Any = FakeLink(node)
-        self.feed.came(link, 0.0)
+        self.publisher.on_subscriber_connected(link, 0.0)
         self.say(link, ["follow", place])
         if primary:
             self.say(link, ["primary", True])
         return Router(link)
 
     def say(self, link: Any, message: list[Any]) -> None:  # noqa: ANN401
-        self.feed.heard(link, message, 0.0)
+        self.publisher.on_subscriber_message(link, message, 0.0)
 
     def commit(self, *changes: list[Any]) -> None:
         for change in changes:
-            self.chain.commit(self.feed, change)
+            self.chain.commit(self.publisher, change)
 
 
 def test_entries_go_to_those_whose_primary_this_is_and_to_no_other() -> None:
     scene = Scene()
     other = scene.join("other", primary=False)
     scene.commit(["replace", 0, document(1, 3)], amend(2, 0))
-    scene.feed.beat(True, [], {})
+    scene.publisher.publish_heartbeat(True, [], {})
     assert scene.routers[0].take() == ["entry", "entry"]
     assert other.link.take() == []
     scene.say(other.link, ["follow", 0])
@@ -130,15 +129,15 @@
     assert other.take() == []
 
 
-def test_a_registrar_that_may_not_know_the_newest_feeds_nobody() -> None:
+def test_a_registrar_that_may_lack_the_newest_entries_publishes_none() -> None:
     scene = Scene()
     scene.fresh = False
     scene.commit(["replace", 0, document(1, 3)])
     late = scene.join("late")
-    scene.feed.beat(False, [], {})
+    scene.publisher.publish_heartbeat(False, [], {})
     assert scene.routers[0].take() == late.take() == []
     scene.fresh = True
-    scene.feed.beat(True, [], {})
+    scene.publisher.publish_heartbeat(True, [], {})
     assert scene.routers[0].take() == late.take() == ["entry"]
 
 
@@ -149,7 +148,7 @@
     assert router.take() == ["entry"]
     router.link.busy = True
     scene.commit(*(amend(version, version % 50) for version in range(2, 400)))
-    scene.feed.beat(True, [], {})
+    scene.publisher.publish_heartbeat(True, [], {})
     assert router.take() == []
     router.link.drain()
     assert router.take() == ["state"]  # 398 entries are longer
@@ -197,7 +196,7 @@
         assert each.state.configuration == scene.chain.state.configuration
         assert each.bytes < size / 5
     assert packed == ["state"]  # one packed snapshot for all of them
-    assert scene.feed.backlog.bytes <= publish_buffer.MAX_BUFFERED_BYTES
+    assert scene.publisher.buffer.size_bytes <= publish_buffer.MAX_BUFFERED_BYTES
 
 
 def test_a_replaced_configuration_is_told_as_what_it_changes() -> None:
@@ -220,20 +219,20 @@
     scene.routers[0].take()
     scene.chain.state = State().apply(["replace", 0, document(9, 3)])
     scene.chain.committed = 12
-    scene.feed.applied(12, None)
+    scene.publisher.on_entry_committed(12, None)
     assert scene.routers[0].take() == ["state"]
     scene.commit(amend(10, 2))
     assert scene.routers[0].take() == ["entry"]
     assert scene.routers[0].state.version == 10
 
 
-def test_entries_kept_for_followers_are_bounded_by_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_buffered_entries_are_bounded_by_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(publish_buffer, "MAX_BUFFERED_BYTES", 2000)
     scene = Scene()
     scene.commit(["replace", 0, document(1, 20)])
     for version in range(2, 100):
         scene.commit(amend(version, version % 20))
-        assert scene.feed.backlog.bytes <= 2000
+        assert scene.publisher.buffer.size_bytes <= 2000
     router = scene.join("late", place=1)
     router.place = 1
     assert router.take()[0] == "state"
@@ -243,14 +242,14 @@
 def test_who_joins_a_registrar_that_may_be_cut_off_gets_no_old_topics() -> None:
     """They come with the first beat after it is fresh again, and once."""
     scene = Scene(routers=0)
-    scene.feed.topics.offer("roster", (3, 1), ["an endpoint"])
+    scene.publisher.soft_state.offer("roster", (3, 1), ["an endpoint"])
     scene.fresh = False
     link = scene.join("n").link
-    scene.feed.beat(False, [], {})
+    scene.publisher.publish_heartbeat(False, [], {})
     assert topics_in(link) == []
     scene.fresh = True
-    scene.feed.beat(True, [], {})
-    scene.feed.beat(True, [], {})
+    scene.publisher.publish_heartbeat(True, [], {})
+    scene.publisher.publish_heartbeat(True, [], {})
     assert topics_in(link) == ["roster"]
 
 
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -10,7 +10,6 @@
 
 from plumline.configuration import document as configurations
 from plumline.configuration.routes import RouteTable
-from plumline.counters import Counters
 from plumline.errors import ConfigurationInvalidError, FrameError
 from plumline.lab import Pace, flood
 from plumline.lab.clients import Tally
@@ -73,54 +72,54 @@
         self.peer = {"node": node}
 
 
-class Told(FeedPublisher):
-    """A feed whose beats a test reads."""
+class RecordingPublisher(FeedPublisher):
+    """A publisher whose heartbeats a test reads."""
 
     def __init__(self) -> None:
-        super().__init__(SimpleNamespace(committed=7), SimpleNamespace(), Counters(), 1.2)  # type: ignore[arg-type]
-        self.told: list[list[Any]] = []
+        super().__init__(SimpleNamespace(committed=7), SimpleNamespace(), 1.2)  # type: ignore[arg-type]
+        self.messages: list[list[Any]] = []
 
-    def send_all(self, message: list[Any]) -> None:
-        self.told.append(message)
+    def broadcast(self, message: list[Any]) -> None:
+        self.messages.append(message)
 
     def say(self, node: str, *heartbeat: Any) -> None:  # noqa: ANN401
         link: Any = Link(node)
-        self.followers[link] = Subscriber(link, node)
-        self.heard(link, ["heartbeat", 3, *heartbeat], 10.0)
+        self.subscribers[link] = Subscriber(link, node)
+        self.on_subscriber_message(link, ["heartbeat", 3, *heartbeat], 10.0)
 
-    def beaten(self) -> Any:  # noqa: ANN401
-        self.beat(True, [], self.alive(10.0))
-        return self.told.pop()
+    def published_heartbeat(self) -> Any:  # noqa: ANN401
+        self.publish_heartbeat(True, [], self.live_subscribers(10.0))
+        return self.messages.pop()
 
 
 def test_beats_carry_the_sum_of_what_all_routers_are_asked_for() -> None:
-    feed = Told()
-    feed.say("a", {"s": [1.0, 2.0, [{"x": 10.0, "y": 1.0}, 0.0, 0]]})
-    feed.say("b", {"s": [0.5, 0.5, [{"x": 5.0}, 2.0, 4]], "t": [1.0, 0.0]})
-    feed.say("c", {"s": [0.5, 0.0]})  # knows of no reserve yet
-    assert feed.beaten() == [
+    publisher = RecordingPublisher()
+    publisher.say("a", {"s": [1.0, 2.0, [{"x": 10.0, "y": 1.0}, 0.0, 0]]})
+    publisher.say("b", {"s": [0.5, 0.5, [{"x": 5.0}, 2.0, 4]], "t": [1.0, 0.0]})
+    publisher.say("c", {"s": [0.5, 0.0]})  # knows of no reserve yet
+    assert publisher.published_heartbeat() == [
         *("beat", True, 7, [], 3),
         {"s": [2.0, 2.5, [{"x": 15.0, "y": 1.0}, 2.0, 4]], "t": [1.0, 0.0]},
     ]
 
 
 def test_beats_are_as_ever_where_nothing_is_reserved() -> None:
-    feed = Told()
-    feed.say("a", {"s": [1.0, 2.0]})
-    assert feed.beaten() == ["beat", True, 7, [], 1, {"s": [1.0, 2.0]}]
+    publisher = RecordingPublisher()
+    publisher.say("a", {"s": [1.0, 2.0]})
+    assert publisher.published_heartbeat() == ["beat", True, 7, [], 1, {"s": [1.0, 2.0]}]
 
 
 @pytest.mark.parametrize("rates", [[1.0], "ab", [1.0, None], [1.0, float("nan")], [1.0, -2.0], [1, 2, [], 4]])
 def test_a_heartbeat_with_malformed_rates_is_no_frame_of_ours(rates: object) -> None:
     with pytest.raises(FrameError):
-        Told().say("a", {"s": rates})
+        RecordingPublisher().say("a", {"s": rates})
 
 
 def test_a_malformed_demand_of_one_router_leaves_the_others_sum() -> None:
-    feed = Told()
-    feed.say("a", {"s": [1.0, 2.0, [{"x": "much"}, 0.0, 0]]})
-    feed.say("b", {"s": [1.0, 2.0, [{"x": 5.0}, 0.0, 0]]})
-    assert feed.beaten()[-1] == {"s": [2.0, 4.0, [{"x": 5.0}, 0.0, 0]]}
+    publisher = RecordingPublisher()
+    publisher.say("a", {"s": [1.0, 2.0, [{"x": "much"}, 0.0, 0]]})
+    publisher.say("b", {"s": [1.0, 2.0, [{"x": 5.0}, 0.0, 0]]})
+    assert publisher.published_heartbeat()[-1] == {"s": [2.0, 4.0, [{"x": 5.0}, 0.0, 0]]}
 
 
 # --- the router
