--- a/plumline/registrar/forwarding.py
+++ b/plumline/registrar/forwarding.py
@@ -1,6 +1,6 @@
-"""Relays operators' requests to the head or the tail of the chain, from whichever registrar they reach.
+"""Forwards operators' requests to the head or the tail of the chain, from whichever registrar they reach.
 
-Pure: times and messages in, messages and answers out. A registrar's process, or a test by hand, drives it.
+Pure: times and messages in, messages and results out. A registrar's process, or a test by hand, drives it.
 
 Each request is answered once, and soon: a caller leaves after a second of silence. Where no majority is in
 touch, the answer is at once that another registrar should be asked.
@@ -11,6 +11,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from plumline.configuration.document import Document
+from plumline.configuration.state import State
 from plumline.coordination.core import Core
 from plumline.errors import (
     ConfigurationInvalidError,
@@ -18,31 +20,43 @@
     UnavailableError,
     VersionConflictError,
 )
+from plumline.registrar.forwarding_messages import (
+    ForwardedRead,
+    ForwardedRequest,
+    ForwardedWrite,
+    ForwardingResponse,
+    forwarding_message_from_wire,
+)
 
 #: s for the head or the tail to answer; with the ways to and from the caller well under its second.
 FORWARD_TIMEOUT_S = 0.75
 #: Callers wait longer for large bodies, and these take longer to read, to sync and to pass on.
 LARGE_BODY_BYTES_PER_S = 1_000_000
 ERROR_TYPES_BY_CODE = {
-    each.code: each for each in (ConfigurationInvalidError, VersionConflictError, UnavailableError)
+    error_type.code: error_type
+    for error_type in (ConfigurationInvalidError, VersionConflictError, UnavailableError)
 }
+#: The result of an acknowledged change, as it is sent and as the operator gets it.
+ACKNOWLEDGED = {"taken": True}
+KEY_BYTES = 8  # of a request's random key
 
+#: A change as the log holds it: its kind, then its operands.
 Change = list[Any]
-#: An error, or None and the result.
-ResultCallback = Callable[[PlumlineError | None, Any], None]
+#: Gets an error, or None and the result: ACKNOWLEDGED, or the configuration (None where there is none yet).
+ResultCallback = Callable[[PlumlineError | None, Document | None], None]
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A question that is out. Times are steady s."""
+    """A request that was forwarded and has no response yet. Times are steady s."""
 
-    to: str  # address of the registrar that was asked
+    address: str  # of the registrar that it was forwarded to
     deadline: float
-    outcome: ResultCallback
+    on_result: ResultCallback
 
 
 class RequestForwarder:
-    """Asks the head or the tail for the requests that arrived here, and answers those that others ask."""
+    """Forwards the requests that arrived here, and serves those that other registrars forward."""
 
     def __init__(self, core: Core, send: Callable[[str, list[Any]], None]) -> None:
         """`send(address, message)`: to a registrar, also to this one."""
@@ -51,100 +65,111 @@
 
     # Requests that arrived here.
 
-    def submit(self, now: float, change: Change, size: int, outcome: ResultCallback) -> None:
-        """A change, for the head. `size`: bytes of its body."""
-        self._ask(
-            now,
-            self.core.head(),
-            ["submit", change],
-            FORWARD_TIMEOUT_S + size / LARGE_BODY_BYTES_PER_S,
-            outcome,
-        )
-
-    def read(self, now: float, outcome: ResultCallback) -> None:
-        """The configuration, from the tail; the result is None where there is none yet."""
-        self._ask(now, self.core.tail(), ["read"], FORWARD_TIMEOUT_S, outcome)
-
-    def _ask(
-        self, now: float, to: str | None, question: list[Any], patience_s: float, outcome: ResultCallback
+    def submit(self, now: float, change: Change, body_bytes: int, on_result: ResultCallback) -> None:
+        """Forwards a change to the head. `body_bytes`: size of the operator's request."""
+        timeout_s = FORWARD_TIMEOUT_S + body_bytes / LARGE_BODY_BYTES_PER_S
+        request = ForwardedWrite(_new_key(), change)
+        self._forward(now, self.core.head(), request, timeout_s, on_result)
+
+    def read(self, now: float, on_result: ResultCallback) -> None:
+        """Asks the tail for the configuration; the result is None where there is none yet."""
+        self._forward(now, self.core.tail(), ForwardedRead(_new_key()), FORWARD_TIMEOUT_S, on_result)
+
+    def _forward(
+        self,
+        now: float,
+        address: str | None,
+        request: ForwardedRequest,
+        timeout_s: float,
+        on_result: ResultCallback,
     ) -> None:
-        if (error := self._out_of_reach(now, to)) is not None or to is None:
-            outcome(error, None)
+        error = self._unreachable_error(now, address)
+        if error is not None or address is None:
+            on_result(error, None)
             return
-        key = secrets.token_hex(8)
-        self.pending[key] = PendingRequest(to, now + patience_s, outcome)
-        self.send(to, ["ask", key, question])
+        self.pending[request.key] = PendingRequest(address, now + timeout_s, on_result)
+        self.send(address, request.to_wire())
 
-    def _out_of_reach(self, now: float, to: str | None) -> UnavailableError | None:
-        """Why no answer can be had from that registrar now; None if it may come."""
-        if to is None:
+    def _unreachable_error(self, now: float, address: str | None) -> UnavailableError | None:
+        """Why no response can be had from that registrar now; None if one may come."""
+        if address is None:
             return UnavailableError("no view of the core is known yet")
         if not self.core.has_majority(now):
             return UnavailableError("this registrar is cut off from the majority; ask another")
-        if to != self.core.me[0] and not self.core.contacts.alive(now, to):
-            return UnavailableError(f"{to} is silent; ask another")
+        if address != self.core.me[0] and not self.core.contacts.alive(now, address):
+            return UnavailableError(f"{address} is silent; ask another")
         return None
 
     def tick(self, now: float) -> None:
-        """Answers what has waited long enough, or waits for a registrar that can't be reached any more."""
-        for key, question in list(self.pending.items()):
-            error = self._out_of_reach(now, question.to)
-            if error is None and now >= question.deadline:
+        """Fails the requests that have timed out, or wait for a registrar that can't be reached any more."""
+        for key, request in list(self.pending.items()):
+            error = self._unreachable_error(now, request.address)
+            if error is None and now >= request.deadline:
                 error = UnavailableError("no answer within the core; whether it was taken is not known")
             if error is not None:
                 del self.pending[key]
-                question.outcome(error, None)
+                request.on_result(error, None)
 
     # Between registrars.
 
     def on_message(self, now: float, sender: str, message: list[Any]) -> bool:
-        """False if the message is none of the forwarder's."""
-        match message:
-            case ["ask", str(key), ["submit", list(change)]]:
-                self._on_submit(now, sender, key, change)
-            case ["ask", str(key), ["read"]]:
-                self._on_read(now, sender, key)
-            case ["answer", str(key), str() | None as code, str(text), result]:
-                self._on_answer(sender, key, code, text, result)
+        """False if the message is of no kind that belongs here."""
+        match forwarding_message_from_wire(message):
+            case ForwardedWrite() as write:
+                self._on_write(now, sender, write)
+            case ForwardedRead() as read:
+                self._on_read(now, sender, read)
+            case ForwardingResponse() as response:
+                self._on_response(sender, response)
             case _:
                 return False
         return True
 
-    def _on_submit(self, now: float, sender: str, key: str, change: Change) -> None:
-        if not self.core.has_majority(now):  # else the change would wait here, to be dropped or taken late
-            self._answer(sender, key, UnavailableError("the head is cut off from the majority"), None)
+    def _on_write(self, now: float, sender: str, write: ForwardedWrite) -> None:
+        if not self.core.has_majority(now):  # else the change would wait here, to be dropped or applied late
+            error = UnavailableError("the head is cut off from the majority")
+            self._respond(sender, write.key, error)
             return
 
-        def submitted(error: PlumlineError | None) -> None:
-            self._answer(sender, key, error, {"taken": True})
+        def on_committed(error: PlumlineError | None) -> None:
+            self._respond(sender, write.key, error, ACKNOWLEDGED)
 
-        self.core.chain.submit(change, submitted)
+        self.core.chain.submit(write.change, on_committed)
 
-    def _on_read(self, now: float, sender: str, key: str) -> None:
+    def _on_read(self, now: float, sender: str, read: ForwardedRead) -> None:
         if not self.core.has_majority(now):
-            self._answer(sender, key, UnavailableError("the tail is cut off from the majority"), None)
+            error = UnavailableError("the tail is cut off from the majority")
+            self._respond(sender, read.key, error)
             return
 
-        def found(state: Any) -> None:  # noqa: ANN401
+        def on_read(state: State | None) -> None:
             if state is None:
-                self._answer(sender, key, UnavailableError("not a tail that may answer"), None)
+                self._respond(sender, read.key, UnavailableError("not a tail that may answer"))
             else:
-                self._answer(sender, key, None, state.configuration)
+                self._respond(sender, read.key, None, state.configuration)
 
-        self.core.chain.read(found)
+        self.core.chain.read(on_read)
 
-    def _answer(self, to: str, key: str, error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
+    def _respond(
+        self, address: str, key: str, error: PlumlineError | None, result: Document | None = None
+    ) -> None:
         if error is None:
-            self.send(to, ["answer", key, None, "", result])
+            response = ForwardingResponse(key, None, "", result)
         else:
-            self.send(to, ["answer", key, error.code, error.text, None])
-
-    def _on_answer(self, sender: str, key: str, code: str | None, text: str, result: Any) -> None:  # noqa: ANN401
-        question = self.pending.get(key)
-        if question is None or question.to != sender:
-            return  # it came too late, or was not asked
-        del self.pending[key]
-        if code is None:
-            question.outcome(None, result)
+            response = ForwardingResponse(key, error.code, error.text, None)
+        self.send(address, response.to_wire())
+
+    def _on_response(self, sender: str, response: ForwardingResponse) -> None:
+        request = self.pending.get(response.key)
+        if request is None or request.address != sender:
+            return  # it came too late, or from a registrar that was not asked
+        del self.pending[response.key]
+        if response.error_code is None:
+            request.on_result(None, response.result)
         else:
-            question.outcome(ERROR_TYPES_BY_CODE.get(code, UnavailableError)(text), None)
+            error_type = ERROR_TYPES_BY_CODE.get(response.error_code, UnavailableError)
+            request.on_result(error_type(response.error_text), None)
+
+
+def _new_key() -> str:
+    return secrets.token_hex(KEY_BYTES)
--- /dev/null
+++ b/plumline/registrar/forwarding_messages.py
@@ -0,0 +1,63 @@
+"""The messages of request forwarding, from one registrar to another, and their form on the wire.
+
+    ["ask", key, ["submit", change]]      a change for the head
+    ["ask", key, ["read"]]                a read for the tail
+    ["answer", key, code, text, result]   the response; code is nil where there is no error
+
+The key is the request's own, chosen at random by the registrar that forwards it.
+"""
+
+from typing import Any, NamedTuple
+
+from plumline.configuration.document import Document
+
+
+class ForwardedWrite(NamedTuple):
+    """A change that the head is to submit to the chain."""
+
+    key: str
+    change: list[Any]  # as the log holds it
+
+    def to_wire(self) -> list[Any]:
+        """The message's plain values."""
+        return ["ask", self.key, ["submit", self.change]]
+
+
+class ForwardedRead(NamedTuple):
+    """A read of the configuration that the tail is to serve."""
+
+    key: str
+
+    def to_wire(self) -> list[Any]:
+        """The message's plain values."""
+        return ["ask", self.key, ["read"]]
+
+
+class ForwardingResponse(NamedTuple):
+    """The result of the request with this key, or its error."""
+
+    key: str
+    error_code: str | None  # of a PlumlineError; None: no error
+    error_text: str  # empty where there is no error
+    result: Document | None
+
+    def to_wire(self) -> list[Any]:
+        """The message's plain values."""
+        return ["answer", self.key, self.error_code, self.error_text, self.result]
+
+
+ForwardedRequest = ForwardedWrite | ForwardedRead
+ForwardingMessage = ForwardedWrite | ForwardedRead | ForwardingResponse
+
+
+def forwarding_message_from_wire(message: list[Any]) -> ForwardingMessage | None:
+    """The typed message; None if it is of no kind, or not of the form, given above."""
+    match message:
+        case ["ask", str(key), ["submit", list(change)]]:
+            return ForwardedWrite(key, change)
+        case ["ask", str(key), ["read"]]:
+            return ForwardedRead(key)
+        case ["answer", str(key), str() | None as code, str(text), result]:
+            return ForwardingResponse(key, code, text, result)
+        case _:
+            return None
