--- a/plumline/registrar/operator_api.py
+++ b/plumline/registrar/operator_api.py
@@ -1,20 +1,22 @@
-"""The operators' HTTP interface: the same answer from any registrar, whoever is head or tail of the chain."""
+"""The operators' HTTP API: the same response from any registrar, whichever is head or tail of the chain."""
 
 import asyncio
 import json
 from collections.abc import Callable
-from typing import Any
 
 from plumline.configuration.document import Document, parse
 from plumline.coordination.core import Core
+from plumline.coordination.effects import Message
 from plumline.counters import Counters
 from plumline.errors import ConfigurationInvalidError, PlumlineError, UnavailableError
 from plumline.registrar.forwarding import Change, RequestForwarder, ResultCallback
 from plumline.wire.calls import BASED_ON_VERSION, CALLS
 from plumline.wire.exchange import Exchange
 
-RETRY_AFTER = b"0.3"  # s, told with 503
-MAX_VERSION_DIGITS = 18  # digits
+RETRY_AFTER = b"0.3"  # s, value of the header of a 503
+MAX_VERSION_DIGITS = 18
+JSON_HEADER = (b"Content-Type", b"application/json")
+#: The calls that operators make, by method and path.
 CALL_NAMES = {
     (CALLS[name].method, CALLS[name].path): name
     for name in ("configuration_replace", "configuration_amend", "configuration_read", "version_put")
@@ -22,78 +24,72 @@
 
 
 class NotFoundError(PlumlineError):
-    """No such call."""
+    """No call has this method and path."""
 
     code, status = "not-found", 404
 
 
 class OperatorApi:
-    """Reads requests, hands them to the request forwarder and writes its answers."""
+    """Parses operators' requests, has them forwarded and writes the responses."""
 
-    def __init__(self, core: Core, send: Callable[[str, list[Any]], None], counters: Counters) -> None:
+    def __init__(self, core: Core, send: Callable[[str, Message], None], counters: Counters) -> None:
+        """`send(address, message)`: to a registrar, also to this one."""
         self.counters = counters
         self.forwarder = RequestForwarder(core, send)
         self.loop = asyncio.get_running_loop()
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.tasks: set[asyncio.Task[None]] = set()  # referenced here, so that they aren't collected
 
     def handle(self, exchange: Exchange) -> None:
-        """Serves a request that has been read whole."""
+        """Starts serving a request whose body is complete."""
         task = self.loop.create_task(self.serve(exchange))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def serve(self, exchange: Exchange) -> None:
-        """Answers a request, by the type of the error if there is one."""
+        """Responds with the result, or with the code, status and text of the typed error."""
         name = CALL_NAMES.get((exchange.method, exchange.path))
         try:
             if name is None:
                 raise NotFoundError("no such call")
             self.counters.add(f"operators.{name}")
-            document = await self.answer(name, exchange)
+            document = await self._call(name, exchange)
         except PlumlineError as error:
-            self.counters.add(f"operators.error.{error.code}")
-            body = json.dumps({"error": error.code, "text": error.text}).encode()
-            headers = [(b"Content-Type", b"application/json")]
-            if error.status == 503:
-                headers.append((b"Retry-After", RETRY_AFTER))
-            self.respond(exchange, error.status, headers, body)
+            self._respond_with_error(exchange, error)
             return
         body = json.dumps(document, separators=(",", ":")).encode()
-        self.respond(exchange, 200, [(b"Content-Type", b"application/json")], body)
-
-    def respond(
-        self, exchange: Exchange, status: int, headers: list[tuple[bytes, bytes]], body: bytes
-    ) -> None:
-        """Writes the answer, unless the caller has left."""
-        if not exchange.gone:
-            exchange.respond(status, headers, body)
-
-    async def answer(self, name: str, exchange: Exchange) -> Document:
-        """The document of a 200; raises the typed error of any other answer."""
+        _respond(exchange, 200, [JSON_HEADER], body)
+
+    def _respond_with_error(self, exchange: Exchange, error: PlumlineError) -> None:
+        self.counters.add(f"operators.error.{error.code}")
+        body = json.dumps({"error": error.code, "text": error.text}).encode()
+        headers = [JSON_HEADER]
+        if error.status == UnavailableError.status:
+            headers.append((b"Retry-After", RETRY_AFTER))
+        _respond(exchange, error.status, headers, body)
+
+    async def _call(self, name: str, exchange: Exchange) -> Document | None:
+        """The document of a 200; raises the typed error of any other response."""
         if name == "configuration_read":
-            return await self.read()
-        body = parse(exchange.body)
-        if name == "version_put":
-            change: Change = ["weights", body]
-        else:
-            kind = "replace" if name == "configuration_replace" else "amend"
-            change = [kind, self.based_on(exchange), body]
-        now, size = self.loop.time(), len(exchange.body)
-        return await self.result(lambda outcome: self.forwarder.submit(now, change, size, outcome))
-
-    async def read(self) -> Document:
-        """The configuration; UnavailableError where there is none yet."""
+            return await self._read()
+        change = _change_of(name, exchange)
+        now, body_bytes = self.loop.time(), len(exchange.body)
+        return await self._result_of(
+            lambda on_result: self.forwarder.submit(now, change, body_bytes, on_result)
+        )
+
+    async def _read(self) -> Document:
+        """The configuration; raises UnavailableError where there is none yet."""
         now = self.loop.time()
-        document = await self.result(lambda outcome: self.forwarder.read(now, outcome))
+        document = await self._result_of(lambda on_result: self.forwarder.read(now, on_result))
         if document is None:
             raise UnavailableError("there is no configuration yet")
         return document
 
-    async def result(self, ask: Callable[[ResultCallback], None]) -> Any:  # noqa: ANN401
-        """What `ask` brings, by its outcome: the result, or its error raised."""
-        future: asyncio.Future[Any] = self.loop.create_future()
+    async def _result_of(self, forward: Callable[[ResultCallback], None]) -> Document | None:
+        """Waits for what `forward` passes to its callback: returns the result, or raises the error."""
+        future: asyncio.Future[Document | None] = self.loop.create_future()
 
-        def outcome(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
+        def on_result(error: PlumlineError | None, result: Document | None) -> None:
             if future.done():  # the request was given up meanwhile
                 return
             if error is not None:
@@ -101,14 +97,29 @@
             else:
                 future.set_result(result)
 
-        ask(outcome)
+        forward(on_result)
         return await future
 
-    @staticmethod
-    def based_on(exchange: Exchange) -> int:
-        """The version that a change builds on; ConfigurationInvalidError unless the header names one."""
-        wanted = BASED_ON_VERSION.lower().encode()
-        found = [value for key, value in exchange.headers if key == wanted]
-        if len(found) != 1 or not found[0].isdigit() or len(found[0]) > MAX_VERSION_DIGITS:
-            raise ConfigurationInvalidError(f"{BASED_ON_VERSION}: one whole number is needed")
-        return int(found[0])
+
+def _change_of(name: str, exchange: Exchange) -> Change:
+    """The change that a request asks for, as the log holds it. Raises ConfigurationInvalidError."""
+    body = parse(exchange.body)
+    if name == "version_put":
+        return ["weights", body]
+    kind = "replace" if name == "configuration_replace" else "amend"
+    return [kind, _base_version(exchange), body]
+
+
+def _base_version(exchange: Exchange) -> int:
+    """The version that a change builds on; raises ConfigurationInvalidError unless one header names it."""
+    header_name = BASED_ON_VERSION.lower().encode()
+    values = [value for name, value in exchange.headers if name == header_name]
+    if len(values) != 1 or not values[0].isdigit() or len(values[0]) > MAX_VERSION_DIGITS:
+        raise ConfigurationInvalidError(f"{BASED_ON_VERSION}: one whole number is needed")
+    return int(values[0])
+
+
+def _respond(exchange: Exchange, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    """Writes the response, unless the caller has left."""
+    if not exchange.gone:
+        exchange.respond(status, headers, body)
