--- a/plumline/registrar/forwarding.py
+++ b/plumline/registrar/forwarding.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from plumline.configuration.document import Document
-from plumline.configuration.state import State
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.coordination.core import Core
 from plumline.errors import (
     ConfigurationInvalidError,
@@ -142,7 +142,7 @@
             self._respond(sender, read.key, error)
             return
 
-        def on_read(state: State | None) -> None:
+        def on_read(state: ReplicatedConfiguration | None) -> None:
             if state is None:
                 self._respond(sender, read.key, UnavailableError("not a tail that may answer"))
             else:
--- a/plumline/registrar/operator_api.py
+++ b/plumline/registrar/operator_api.py
@@ -6,7 +6,7 @@
 
 from plumline.configuration.document import Document, parse
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Message
+from plumline.coordination.environment import Message
 from plumline.counters import Counters
 from plumline.errors import ConfigurationInvalidError, PlumlineError, UnavailableError
 from plumline.registrar.forwarding import Change, RequestForwarder, ResultCallback
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from plumline import logs
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
-from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Member, Message, Record
+from plumline.coordination.environment import Member, Message, Record
+from plumline.coordination.lease import LeaseDurations
 from plumline.coordination.soft_state import SoftState
 from plumline.coordination.view import View
 from plumline.counters import Counters
@@ -21,7 +21,7 @@
 from plumline.registrar.discovery import EndpointDiscovery
 from plumline.registrar.operator_api import OperatorApi
 from plumline.registrar.publisher import FeedPublisher, ServiceLoads
-from plumline.registrar.rollout.plan import RolloutController
+from plumline.registrar.rollout.loop import RolloutController
 from plumline.settings import Settings, SettingsFile
 from plumline.store.log_writers import GroupCommitWriter, LogWriter, VolatileWriter
 from plumline.store.write_ahead_log import WriteAheadLog
@@ -45,7 +45,7 @@
 
 
 class RegistrarProcess:
-    """Effects of the core are this object's `send` and `persist`."""
+    """The environment of the core is this object, by its `send` and `persist`."""
 
     def __init__(self, settings: Settings, settings_file: SettingsFile | None = None) -> None:
         self.settings, self.settings_file = settings, settings_file or SettingsFile(None)
@@ -57,7 +57,7 @@
         self.known = asyncio.Event()  # the incarnation is on the disk, and so may be told
         records, incarnation = self.open_store()
         self.mesh = self._make_mesh()
-        self.core = self._make_core((self.address, incarnation))
+        self.core = self._make_core(Member(self.address, incarnation))
         self.publisher = FeedPublisher(
             self.core.chain,
             self.topics,
@@ -100,18 +100,18 @@
             seeds=settings.seeds,
             copies=settings.machine_losses + 1,
             first_start=settings.first_start,
-            effects=self,
-            empty=State(),
-            load=State.from_wire,
+            environment=self,
+            empty=ReplicatedConfiguration(),
+            load=ReplicatedConfiguration.from_wire,
             leases={
-                "discovery": Terms(DISCOVERY_LEASE_S, 0.0),
-                "weights": Terms(WEIGHTS_LEASE_S, rest),
+                "discovery": LeaseDurations(DISCOVERY_LEASE_S, 0.0),
+                "weights": LeaseDurations(WEIGHTS_LEASE_S, rest),
             },
             now=self.loop.time(),
             chance=random.Random(secrets.randbits(64)),
             applied=self.applied,
             changed=self.view_changed,
-            known_elsewhere=lambda: self.publisher.highest_subscriber_offset > 0,
+            known_elsewhere=lambda: self.publisher.highest_subscriber_index > 0,
         )
 
     def _make_jobs(self) -> None:
@@ -130,11 +130,11 @@
             self.caller,
             settings.node_name,
             lambda: self.held("weights"),
-            lambda: self.topics.payload("roster") or [],
-            lambda: self.core.chain.state.versions,
+            lambda: self.topics.get("roster") or [],
+            lambda: self.core.chain.state.weight_versions,
             self.publish_rollout,
             self.loop.time,
-            apply_s=settings.bounds.version_apply_ms / 1000,
+            apply_timeout_s=settings.bounds.version_apply_ms / 1000,
         )
 
     # The store.
@@ -154,7 +154,7 @@
         """All records that a rewritten file holds."""
         return [["incarnation", self.incarnation], *self.core.records()]
 
-    # Effects.
+    # The environment of the core.
 
     def send(self, to: str, message: Message) -> None:
         """Sends to a registrar by address; the core's effect."""
@@ -221,35 +221,35 @@
 
     def take_topic(self, name: str, number: tuple[int, int], payload: Any) -> None:  # noqa: ANN401
         """Takes a soft topic that another registrar tells, if it is newer, and tells the routers."""
-        if not self.topics.offer(name, number, payload):
+        if not self.topics.update(name, number, payload):
             return
         self.publisher.publish_soft_state(name)
         if name == "marks":
-            self.rollout.adopt(payload)
+            self.rollout.inherit(payload)
         self.rollout.wake()
 
     def tell_topic(self, name: str, term: int, payload: Any) -> None:  # noqa: ANN401
         """Publishes a soft topic as the holder of the lease of this term."""
-        number = self.topics.next_number(name, term)
+        number = self.topics.next_version(name, term)
         if number is None:
             self.counters.add("topics.term-over")
             return
-        self.topics.offer(name, number, payload)
+        self.topics.update(name, number, payload)
         self.publisher.publish_soft_state(name)
         self.mesh.send_all(["topic", name, list(number), payload])
 
     def may_discover(self) -> bool:
         """The lease's holder; and any registrar that knows no list at all, as after a loss of power: nobody
         can hold the lease for a while then, and routers can do nothing without a list."""
-        return self.held("discovery") is not None or self.topics.payload("roster") is None
+        return self.held("discovery") is not None or self.topics.get("roster") is None
 
     def publish_endpoints(self, roster: list[dict[str, Any]]) -> None:
         """Publishes a whole list of endpoints that this registrar has read."""
         if (term := self.held("discovery")) is not None:
             self.tell_topic("roster", term, roster)
-        elif self.topics.payload("roster") is None and roster:
+        elif self.topics.get("roster") is None and roster:
             # Below any lease's number, and for this registrar's followers only.
-            self.topics.offer("roster", (0, 0), roster)
+            self.topics.update("roster", (0, 0), roster)
             self.publisher.publish_soft_state("roster")
         self.rollout.wake()
 
@@ -289,7 +289,7 @@
 
     def held(self, lease: str) -> int | None:
         """The term of the lease if this registrar may act for it right now."""
-        return self.core.ballots.holds(lease, self.loop.time())
+        return self.core.lease_election.fencing_token(self.loop.time(), lease)
 
     def applied(self, number: int, change: list[Any] | None) -> None:
         """An entry, or with None a whole state, is committed here."""
@@ -333,7 +333,7 @@
     def note_leases(self, now: float) -> None:
         """Wakes the jobs of a lease that was won or lost."""
         for name in ("discovery", "weights"):
-            held = self.core.ballots.holds(name, now)
+            held = self.core.lease_election.fencing_token(now, name)
             if held != self.holding.get(name):
                 self.holding[name] = held
                 log.info(logs.words("lease", name=name, term=held))
@@ -373,7 +373,7 @@
         self.loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.hurry)
         for lease in ("discovery", "weights"):
-            self.core.wish(self.loop.time(), lease, True)
+            self.core.campaign(self.loop.time(), lease)
         log.info(logs.words("started", node=settings.node_name, incarnation=self.core.me[1]))
         work = [
             self.loop.create_task(each)
--- a/plumline/registrar/publisher.py
+++ b/plumline/registrar/publisher.py
@@ -1,4 +1,4 @@
-"""Publishes the configuration feed to routers: committed entries from an offset on, soft state, heartbeats.
+"""Publishes the configuration feed to routers: committed entries from an index on, soft state, heartbeats.
 
 Entries go only to the subscribers that have chosen this registrar as their primary. A subscriber that has not
 read yet what it was sent gets no more of them: once it has, it gets all that it lacks, as entries or as one
@@ -39,7 +39,7 @@
 
     link: FrameLink
     node: str
-    offset: int = -1  # number of the newest entry it has or was sent; -1: it has not subscribed yet
+    sent_index: int = -1  # number of the newest entry it has or was sent; -1: it has not subscribed yet
     last_heard: float = 0.0  # s, steady
     loads: ServiceLoads = field(default_factory=dict)  # of its last heartbeat
     is_primary: bool = False  # whether it takes entries and prompt events from this registrar
@@ -61,8 +61,8 @@
         self.chain, self.soft_state, self.is_current = chain, soft_state, is_current
         self.subscriber_timeout_s = MAX_MISSED_HEARTBEATS * heartbeat_s
         self.subscribers: dict[FrameLink, Subscriber] = {}
-        self.highest_subscriber_offset = 0  # that a subscriber has had from any registrar
-        self.buffer = PublishBuffer(lambda: (chain.committed, chain.state))
+        self.highest_subscriber_index = 0  # that a subscriber has had from any registrar
+        self.buffer = PublishBuffer(lambda: (chain.committed_index, chain.state))
         self._last_configuration: tuple[int, Document | None] = (-1, None)  # after the entry of that number
 
     # Connections.
@@ -84,8 +84,8 @@
             return
         subscriber.last_heard = now
         match message:
-            case ["follow", int(offset)]:
-                self._subscribe(subscriber, offset)
+            case ["follow", int(index)]:
+                self._subscribe(subscriber, index)
             case ["primary", bool(is_primary)]:
                 subscriber.is_primary = is_primary
                 self._catch_up(subscriber)
@@ -102,43 +102,43 @@
 
     # Entries.
 
-    def on_entry_committed(self, offset: int, change: list[Any] | None) -> None:
+    def on_entry_committed(self, index: int, change: list[Any] | None) -> None:
         """Publishes the committed entry of this number; None: a whole state was installed in place of it."""
-        previous_offset, previous = self._last_configuration
+        previous_index, previous = self._last_configuration
         if change is None:
-            self.buffer.reset(offset)
+            self.buffer.reset(index)
         else:
-            is_next = previous_offset == offset - 1
-            self.buffer.append(offset, as_amend(previous, change) if is_next else change)
-        self._last_configuration = offset, self.chain.state.configuration
+            is_next = previous_index == index - 1
+            self.buffer.append(index, as_amend(previous, change) if is_next else change)
+        self._last_configuration = index, self.chain.state.configuration
         self._catch_up_all()
 
-    def _subscribe(self, subscriber: Subscriber, offset: int) -> None:
-        self.highest_subscriber_offset = max(self.highest_subscriber_offset, offset)
-        if subscriber.offset >= 0 and subscriber.link.busy and subscriber.is_primary:
+    def _subscribe(self, subscriber: Subscriber, index: int) -> None:
+        self.highest_subscriber_index = max(self.highest_subscriber_index, index)
+        if subscriber.sent_index >= 0 and subscriber.link.busy and subscriber.is_primary:
             return  # what it asks for is on its way
-        subscriber.offset = offset
+        subscriber.sent_index = index
         self._send_soft_state(subscriber)
         self._catch_up(subscriber)
 
     def _send_soft_state(self, subscriber: Subscriber) -> None:
         """All of it, once, and not while this registrar may have old values only."""
-        if subscriber.offset < 0 or subscriber.has_soft_state or not self.is_current():
+        if subscriber.sent_index < 0 or subscriber.has_soft_state or not self.is_current():
             return
         subscriber.has_soft_state = True
         for message in self.soft_state.messages():
             subscriber.link.send(message)
 
     def _catch_up(self, subscriber: Subscriber) -> None:
-        """Sends the entries that it lacks. One that is ahead gets nothing: offsets never go back."""
-        is_receiving = subscriber.is_primary and subscriber.offset >= 0 and not subscriber.link.busy
+        """Sends the entries that it lacks. One that is ahead gets nothing: indexes never go back."""
+        is_receiving = subscriber.is_primary and subscriber.sent_index >= 0 and not subscriber.link.busy
         if not is_receiving or not self.is_current():
             return
-        if self.buffer.newest_offset != self.chain.committed:
-            self.buffer.reset(self.chain.committed)
-        for message in self.buffer.messages_after(subscriber.offset):
+        if self.buffer.newest_index != self.chain.committed_index:
+            self.buffer.reset(self.chain.committed_index)
+        for message in self.buffer.messages_after(subscriber.sent_index):
             subscriber.link.send_packed(message.kind, message.data, ordered=True)
-            subscriber.offset = message.offset
+            subscriber.sent_index = message.index
 
     def _catch_up_all(self) -> None:
         for subscriber in list(self.subscribers.values()):
@@ -149,15 +149,15 @@
 
     def publish_soft_state(self, name: str) -> None:
         """Sends the present value of this name to all subscribers."""
-        told = self.soft_state.told[name]
-        self.broadcast(["topic", name, list(told.number), told.payload])
+        current = self.soft_state.values[name]
+        self.broadcast(["topic", name, list(current.version), current.value])
 
     def broadcast(self, message: list[Any]) -> None:
         """Sends a message to every router that has subscribed."""
         if self.subscribers:
             data = pack(message)
             for subscriber in list(self.subscribers.values()):
-                if subscriber.offset >= 0:
+                if subscriber.sent_index >= 0:
                     subscriber.link.send_packed(message[0], data)
 
     def forward_prompt_events(self, message: list[Any], origin: FrameLink | None = None) -> None:
@@ -183,7 +183,7 @@
             if (demand := summed(reported)) is not None:
                 loads[service].append(demand)
         router_count = max(len(routers), 1)
-        self.broadcast(["beat", is_current, self.chain.committed, registrars, router_count, loads])
+        self.broadcast(["beat", is_current, self.chain.committed_index, registrars, router_count, loads])
         self._catch_up_all()
 
     # Failure detection.
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -6,7 +6,7 @@
 import pytest
 
 from plumline.configuration.document import Document
-from plumline.configuration.state import State
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.coordination.soft_state import SoftState
 from plumline.registrar import publish_buffer
 from plumline.registrar.publisher import FeedPublisher
@@ -17,12 +17,12 @@
     """What a publisher reads of a chain; a test commits to it."""
 
     def __init__(self) -> None:
-        self.state, self.committed = State(), 0
+        self.state, self.committed_index = ReplicatedConfiguration(), 0
 
     def commit(self, publisher: FeedPublisher, change: list[Any]) -> None:
         self.state = self.state.apply(change)
-        self.committed += 1
-        publisher.on_entry_committed(self.committed, change)
+        self.committed_index += 1
+        publisher.on_entry_committed(self.committed_index, change)
 
 
 class FakeLink:
@@ -55,7 +55,7 @@
     """Applies what it is sent as a router does."""
 
     def __init__(self, link: FakeLink) -> None:
-        self.link, self.place, self.state, self.bytes = link, 0, State(), 0
+        self.link, self.place, self.state, self.bytes = link, 0, ReplicatedConfiguration(), 0
 
     def take(self) -> list[str]:
         self.bytes += sum(map(len, self.link.frames))
@@ -64,7 +64,7 @@
             kinds.append(kind)
             if kind == "state":
                 assert number > self.place
-                self.state = State.from_wire(told)
+                self.state = ReplicatedConfiguration.from_wire(told)
             else:
                 assert number == self.place + 1
                 self.state = self.state.apply(told)
@@ -157,7 +157,7 @@
     scene.commit(amend(400, 1), amend(401, 1))
     router.link.drain()
     assert router.take() == ["entry", "entry"]
-    assert router.place == scene.chain.committed
+    assert router.place == scene.chain.committed_index
 
 
 def test_asking_again_while_a_transfer_is_under_way_changes_nothing() -> None:
@@ -190,9 +190,9 @@
     new = [scene.join(f"new{at}") for at in range(50)]
     for each in [*behind, *new]:
         if each in behind:
-            each.place, each.state = 1, State().apply(["replace", 0, document(1, 4000)])
+            each.place, each.state = 1, ReplicatedConfiguration().apply(["replace", 0, document(1, 4000)])
         each.take()
-        assert each.place == scene.chain.committed
+        assert each.place == scene.chain.committed_index
         assert each.state.configuration == scene.chain.state.configuration
         assert each.bytes < size / 5
     assert packed == ["state"]  # one packed snapshot for all of them
@@ -217,8 +217,8 @@
     scene = Scene()
     scene.commit(["replace", 0, document(1, 3)])
     scene.routers[0].take()
-    scene.chain.state = State().apply(["replace", 0, document(9, 3)])
-    scene.chain.committed = 12
+    scene.chain.state = ReplicatedConfiguration().apply(["replace", 0, document(9, 3)])
+    scene.chain.committed_index = 12
     scene.publisher.on_entry_committed(12, None)
     assert scene.routers[0].take() == ["state"]
     scene.commit(amend(10, 2))
@@ -236,13 +236,13 @@
     router = scene.join("late", place=1)
     router.place = 1
     assert router.take()[0] == "state"
-    assert router.place == scene.chain.committed
+    assert router.place == scene.chain.committed_index
 
 
 def test_who_joins_a_registrar_that_may_be_cut_off_gets_no_old_topics() -> None:
     """They come with the first beat after it is fresh again, and once."""
     scene = Scene(routers=0)
-    scene.publisher.soft_state.offer("roster", (3, 1), ["an endpoint"])
+    scene.publisher.soft_state.update("roster", (3, 1), ["an endpoint"])
     scene.fresh = False
     link = scene.join("n").link
     scene.publisher.publish_heartbeat(False, [], {})
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -76,7 +76,7 @@
     """A publisher whose heartbeats a test reads."""
 
     def __init__(self) -> None:
-        super().__init__(SimpleNamespace(committed=7), SimpleNamespace(), 1.2)  # type: ignore[arg-type]
+        super().__init__(SimpleNamespace(committed_index=7), SimpleNamespace(), 1.2)  # type: ignore[arg-type]
         self.messages: list[list[Any]] = []
 
     def broadcast(self, message: list[Any]) -> None:
