--- /dev/null
+++ b/plumline/registrar/peer_messages.py
@@ -0,0 +1,84 @@
+"""The messages between registrars besides those of the core and of forwarding, and their form on the wire.
+
+["topic", topic, [term, count], value]   a new version of a topic of soft state
+["followers", loads by router]           the routers that the sender holds for alive
+["news", origin, events]                 prompt events, which are forwarded to routers as they came
+["hurry"]                                a router asks for a new endpoint list
+["zone", zone]                           where the sender runs
+"""
+
+from typing import Any, NamedTuple
+
+from plumline.coordination.soft_state import Version
+from plumline.registrar.service_load import ServiceLoads
+
+
+class SoftStateUpdate(NamedTuple):
+    """A topic's value and its version."""
+
+    topic: str
+    version: Version
+    value: Any
+
+    def to_wire(self) -> list[Any]:
+        """The message's plain values; routers get them in the same form."""
+        return ["topic", self.topic, list(self.version), self.value]
+
+
+class SubscriberReport(NamedTuple):
+    """The live subscribers of the sender: their loads, by node name."""
+
+    routers: dict[str, ServiceLoads]
+
+    def to_wire(self) -> list[Any]:
+        """The message's plain values."""
+        return ["followers", self.routers]
+
+
+class PromptEvents(NamedTuple):
+    """What a router or a cache store tells of prompts (see plumline.prompts.news)."""
+
+    origin: str  # the router's node name, or the store's address
+    events: list[Any]
+
+    def to_wire(self) -> list[Any]:
+        """The message's plain values."""
+        return ["news", self.origin, self.events]
+
+
+class RefreshEndpoints(NamedTuple):
+    """The endpoint list is to be read again soon: a router has missed an endpoint."""
+
+    def to_wire(self) -> list[Any]:
+        """The message's plain values."""
+        return ["hurry"]
+
+
+class ZoneAnnouncement(NamedTuple):
+    """The zone that the sender runs in."""
+
+    zone: str
+
+    def to_wire(self) -> list[Any]:
+        """The message's plain values."""
+        return ["zone", self.zone]
+
+
+PeerMessage = SoftStateUpdate | SubscriberReport | PromptEvents | RefreshEndpoints | ZoneAnnouncement
+
+
+def peer_message_from_wire(message: list[Any]) -> PeerMessage | None:
+    """The typed message; None if it is of no kind, or not of the form, given above."""
+    match message:
+        case ["topic", str(topic), [int(term), int(count)], value]:
+            return SoftStateUpdate(topic, (term, count), value)
+        case ["followers", dict(routers)]:
+            return SubscriberReport(routers)
+        case ["news", str(origin), list(events)]:
+            return PromptEvents(origin, events)
+        case ["hurry"]:
+            return RefreshEndpoints()
+        case ["zone", str(zone)]:
+            return ZoneAnnouncement(zone)
+        case _:
+            return None
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -20,8 +20,9 @@
 from plumline.registrar.cache_stores import CacheStoreMonitor
 from plumline.registrar.discovery import EndpointDiscovery
 from plumline.registrar.operator_api import OperatorApi
-from plumline.registrar.publisher import FeedPublisher, ServiceLoads
+from plumline.registrar.publisher import FeedPublisher
 from plumline.registrar.rollout.loop import RolloutController
+from plumline.registrar.service_load import ServiceLoads
 from plumline.settings import Settings, SettingsFile
 from plumline.store.log_writers import GroupCommitWriter, LogWriter, VolatileWriter
 from plumline.store.write_ahead_log import WriteAheadLog
--- a/plumline/registrar/publish_buffer.py
+++ b/plumline/registrar/publish_buffer.py
@@ -9,6 +9,7 @@
 from typing import Any
 
 from plumline.configuration.replicated_state import ReplicatedConfiguration
+from plumline.registrar.subscriber_messages import ENTRY_KIND, SNAPSHOT_KIND
 from plumline.wire.frames import pack
 
 MAX_BUFFERED_BYTES = 1024 * 1024  # of packed entries; a subscriber that is further behind gets a snapshot
@@ -46,7 +47,7 @@
         if index != self.newest_index + 1:
             self.reset(index)
             return
-        entry = PackedMessage(index, "entry", pack(["entry", index, change]))
+        entry = PackedMessage(index, ENTRY_KIND, pack([ENTRY_KIND, index, change]))
         self.newest_index = index
         self.entries.append(entry)
         self.size_bytes += len(entry.data)
@@ -81,8 +82,8 @@
         index, state = self.committed_state()
         if index != self.newest_index:
             self.reset(index)
-        data = pack(["state", index, state.to_wire(history=False)])
-        self._cached_snapshot = PackedMessage(index, "state", data)
+        data = pack([SNAPSHOT_KIND, index, state.to_wire(history=False)])
+        self._cached_snapshot = PackedMessage(index, SNAPSHOT_KIND, data)
         return self._cached_snapshot
 
 
--- a/plumline/registrar/publisher.py
+++ b/plumline/registrar/publisher.py
@@ -5,7 +5,6 @@
 snapshot, whichever is shorter. Nothing is sent while this registrar may lack the newest entries.
 """
 
-import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import Any
@@ -14,24 +13,21 @@
 from plumline.configuration.document import Document
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.soft_state import SoftState
-from plumline.errors import FrameError
+from plumline.registrar.peer_messages import SoftStateUpdate
 from plumline.registrar.publish_buffer import PublishBuffer
-from plumline.routing.shares import summed
+from plumline.registrar.service_load import ServiceLoads, total_loads
+from plumline.registrar.subscriber_messages import (
+    PROMPT_EVENTS_KIND,
+    PublisherHeartbeat,
+    RouterHeartbeat,
+    SelectPrimary,
+    Subscribe,
+    subscriber_message_from_wire,
+)
 from plumline.wire.frames import FrameLink, pack
 
 MAX_MISSED_HEARTBEATS = 3  # a subscriber that is silent for so many of its intervals counts as dead
 
-#: By service: ms of endpoints' time a second for short and for long requests; then, where shares are
-#: reserved, what the tenants ask for (routing.shares.Told).
-ServiceLoads = dict[str, list[Any]]
-
-
-def is_load_report(report: Any) -> bool:  # noqa: ANN401
-    """Whether it has the shape of a value of `ServiceLoads`; the tenants' part is checked by the sum."""
-    if not isinstance(report, list) or not 2 <= len(report) <= 3:
-        return False
-    return all(type(load) in (int, float) and 0 <= load < math.inf for load in report[:2])
-
 
 @dataclass(slots=True)
 class Subscriber:
@@ -83,18 +79,14 @@
         if subscriber is None:
             return
         subscriber.last_heard = now
-        match message:
-            case ["follow", int(index)]:
+        match subscriber_message_from_wire(message):
+            case Subscribe(index):
                 self._subscribe(subscriber, index)
-            case ["primary", bool(is_primary)]:
+            case SelectPrimary(is_primary):
                 subscriber.is_primary = is_primary
                 self._catch_up(subscriber)
-            case ["heartbeat", int(), dict(loads)]:
-                if not all(map(is_load_report, loads.values())):
-                    raise FrameError("a heartbeat with a malformed load report")
+            case RouterHeartbeat(loads):
                 subscriber.loads = loads
-            case _:
-                raise FrameError(f"a subscriber does not send {message[0]!r}")
 
     def _on_link_drained(self, link: FrameLink) -> None:
         if subscriber := self.subscribers.get(link):
@@ -147,10 +139,10 @@
 
     # Broadcasts.
 
-    def publish_soft_state(self, name: str) -> None:
-        """Sends the present value of this name to all subscribers."""
-        current = self.soft_state.values[name]
-        self.broadcast(["topic", name, list(current.version), current.value])
+    def publish_soft_state(self, topic: str) -> None:
+        """Sends the present value of the topic to all subscribers."""
+        current = self.soft_state.values[topic]
+        self.broadcast(SoftStateUpdate(topic, current.version, current.value).to_wire())
 
     def broadcast(self, message: list[Any]) -> None:
         """Sends a message to every router that has subscribed."""
@@ -161,29 +153,27 @@
                     subscriber.link.send_packed(message[0], data)
 
     def forward_prompt_events(self, message: list[Any], origin: FrameLink | None = None) -> None:
-        """Sends a router's or a store's prompt events to all whose primary this is, except their origin."""
+        """Sends a router's or a store's prompt events to all whose primary this is, except their origin.
+
+        `message` is a `news` message as it came; of all messages these are the most, so it isn't parsed.
+        """
         data = pack(message)
         for subscriber in list(self.subscribers.values()):
             if subscriber.is_primary and subscriber.link is not origin:
-                subscriber.link.send_packed("news", data)
+                subscriber.link.send_packed(PROMPT_EVENTS_KIND, data)
 
     def publish_heartbeat(
         self, is_current: bool, registrars: list[list[str]], routers: dict[str, ServiceLoads]
     ) -> None:
         """`registrars`: [address, zone] of those that can be subscribed to; `routers`: all that are alive."""
-        loads: ServiceLoads = {}
-        demands: dict[str, list[Any]] = {}
-        for router_loads in routers.values():
-            for service, (short, long, *demand) in router_loads.items():
-                total = loads.setdefault(service, [0.0, 0.0])
-                loads[service] = [round(total[0] + short, 1), round(total[1] + long, 1)]
-                if demand:
-                    demands.setdefault(service, []).append(demand[0])
-        for service, reported in demands.items():
-            if (demand := summed(reported)) is not None:
-                loads[service].append(demand)
-        router_count = max(len(routers), 1)
-        self.broadcast(["beat", is_current, self.chain.committed_index, registrars, router_count, loads])
+        heartbeat = PublisherHeartbeat(
+            is_current,
+            self.chain.committed_index,
+            registrars,
+            max(len(routers), 1),
+            total_loads(routers.values()),
+        )
+        self.broadcast(heartbeat.to_wire())
         self._catch_up_all()
 
     # Failure detection.
--- /dev/null
+++ b/plumline/registrar/service_load.py
@@ -0,0 +1,39 @@
+"""The load that routers report in heartbeats, and its sum over the fleet that registrars publish."""
+
+import math
+from collections.abc import Iterable
+from typing import Any
+
+from plumline.routing.shares import summed
+
+#: By service: ms of endpoints' time a second for short and for long requests; then, where shares are
+#: reserved, what the tenants ask for (routing.shares.Told).
+ServiceLoads = dict[str, list[Any]]
+
+ROUNDED_DIGITS = 1  # of ms a second
+
+
+def is_load_report(report: Any) -> bool:  # noqa: ANN401
+    """Whether it has the shape of a value of `ServiceLoads`; the tenants' part is checked by the sum."""
+    if not isinstance(report, list) or not 2 <= len(report) <= 3:
+        return False
+    return all(type(load) in (int, float) and 0 <= load < math.inf for load in report[:2])
+
+
+def total_loads(reports: Iterable[ServiceLoads]) -> ServiceLoads:
+    """The sum of several routers' loads; a malformed part of a tenants' demand counts as nothing."""
+    totals: ServiceLoads = {}
+    demands: dict[str, list[Any]] = {}
+    for report in reports:
+        for service, (short, long, *demand) in report.items():
+            total = totals.setdefault(service, [0.0, 0.0])
+            totals[service] = [
+                round(total[0] + short, ROUNDED_DIGITS),
+                round(total[1] + long, ROUNDED_DIGITS),
+            ]
+            if demand:
+                demands.setdefault(service, []).append(demand[0])
+    for service, reported in demands.items():
+        if (demand := summed(reported)) is not None:
+            totals[service].append(demand)
+    return totals
