--- a/plumline/router/state.py
+++ b/plumline/router/state.py
@@ -17,7 +17,8 @@
 from plumline.prompts.parts import Part
 from plumline.router.relay import Headers, value_of
 from plumline.router.upstream import Pool
-from plumline.routing.fleet import Address, Endpoint, Fleet, StoreStatus
+from plumline.routing.fleet import Address, Endpoint, Fleet
+from plumline.routing.fleet_state import StoreStatus
 from plumline.routing.lanes import Lanes
 from plumline.routing.loads import Affinity, Load
 from plumline.routing.outcomes import Outcomes, store_key
--- a/plumline/routing/fleet.py
+++ b/plumline/routing/fleet.py
@@ -1,20 +1,15 @@
 """What a router knows of the fleet: pure data, kept by the feed's follower, read by the decisions.
 
-Endpoints and stores come from soft topics that travel as plain lists and dicts:
-
-- `roster`: what the platform's list says, one dict an endpoint:
-  {"id", "service", "address" ("ip:port"), "zone", "slots", "draining" (bool), "cold_ms", "models" ({name:
-  version})}
-- `stores`: the cache stores, by name: {"up": bool, "epoch": int}
-- `marks`: what the holder of the `weights` lease knows better than the list, by endpoint id:
-  {"moving": bool, "models": {name: version}}; `moving`: an order is under way or about to be sent, so a new
-  request would be turned away with `Not-Executed`.
+Endpoints and stores come from soft state that travels as plain lists and dicts: plumline.routing.fleet_state
+describes it.
 """
 
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 from typing import Any
 
+from plumline.routing.fleet_state import ListedEndpoint, RolloutState, StoreStatus
+
 Address = tuple[str, int]
 
 
@@ -33,14 +28,6 @@
     moving: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class StoreStatus:
-    """What the core tells of a store. `epoch`: changes when it has begun anew, with nothing."""
-
-    up: bool
-    epoch: int
-
-
 def address_of(text: str) -> Address:
     """The address that "ip:port" is. Raises ValueError for another text."""
     host, _, port = text.rpartition(":")
@@ -53,20 +40,21 @@
     """The endpoints by id. A mark never takes a version back that the list already shows."""
     found: dict[str, Endpoint] = {}
     for each in roster:
-        mark = marks.get(each["id"], {})
-        models = dict(each["models"])
-        for model, version in mark.get("models", {}).items():
+        listed = ListedEndpoint.from_wire(each)
+        state = RolloutState.from_wire(marks.get(listed.id, {}))
+        models = dict(listed.models)
+        for model, version in state.models.items():
             models[model] = max(version, models.get(model, 0))
-        found[each["id"]] = Endpoint(
-            id=each["id"],
-            service=each["service"],
-            address=address_of(each["address"]),
-            zone=each["zone"],
-            slots=each["slots"],
-            draining=each["draining"],
-            cold_ms=each["cold_ms"],
+        found[listed.id] = Endpoint(
+            id=listed.id,
+            service=listed.service,
+            address=address_of(listed.address),
+            zone=listed.zone,
+            slots=listed.slots,
+            draining=listed.draining,
+            cold_ms=listed.cold_ms,
             models=models,
-            moving=bool(mark.get("moving", False)),
+            moving=state.updating,
         )
     return found
 
@@ -99,18 +87,18 @@
             each(topic)
 
     def take_roster(self, roster: list[dict[str, Any]]) -> None:
-        """The platform's list has come, as the module says."""
+        """The platform's list has come, as plumline.routing.fleet_state says."""
         self.roster = roster
         self.endpoints = endpoints_from(self.roster, self.marks)
         self.tell("endpoints")
 
     def take_stores(self, stores: Mapping[str, Mapping[str, Any]]) -> None:
-        """What is known of the stores has come, as the module says. Raises KeyError for what is not so."""
-        self.stores = {name: StoreStatus(each["up"], each["epoch"]) for name, each in stores.items()}
+        """What is known of the stores has come (see plumline.routing.fleet_state). Raises KeyError."""
+        self.stores = {name: StoreStatus.from_wire(each) for name, each in stores.items()}
         self.tell("stores")
 
     def take_marks(self, marks: dict[str, dict[str, Any]]) -> None:
-        """The marks have come, as the module says."""
+        """The marks have come, as plumline.routing.fleet_state says."""
         self.marks = marks
         self.endpoints = endpoints_from(self.roster, self.marks)
         self.tell("endpoints")
--- /dev/null
+++ b/plumline/routing/fleet_state.py
@@ -0,0 +1,85 @@
+"""State of the fleet that registrars publish to routers: a type for each kind, with its codec.
+
+The three kinds travel complete, in plain lists and dicts, as soft state (plumline.coordination.soft_state):
+
+- `roster`: a list of `ListedEndpoint`, what the platform's API lists
+- `marks`: `RolloutState` by endpoint id, what the holder of the `weights` lease knows better than that list
+- `stores`: `StoreStatus` by the store's name
+"""
+
+from collections.abc import Mapping
+from typing import Any, NamedTuple
+
+
+class ListedEndpoint(NamedTuple):
+    """One incarnation of an endpoint as the platform lists it."""
+
+    id: str  # the platform's `Identifier`, another one after each restart
+    service: str
+    address: str  # "host:port", as listed
+    zone: str
+    slots: int  # concurrent requests
+    draining: bool
+    cold_ms: float  # left until it is warm, at the time of the read
+    models: dict[str, int]  # version of the weights by model
+
+    def to_wire(self) -> dict[str, Any]:
+        """The endpoint as an item of `roster`."""
+        return {
+            "id": self.id,
+            "service": self.service,
+            "address": self.address,
+            "zone": self.zone,
+            "slots": self.slots,
+            "draining": self.draining,
+            "cold_ms": self.cold_ms,
+            "models": self.models,
+        }
+
+    @classmethod
+    def from_wire(cls, item: Mapping[str, Any]) -> "ListedEndpoint":
+        """The endpoint of an item of `roster`. Raises KeyError if a field is missing."""
+        return cls(
+            item["id"],
+            item["service"],
+            item["address"],
+            item["zone"],
+            item["slots"],
+            item["draining"],
+            item["cold_ms"],
+            item["models"],
+        )
+
+
+class RolloutState(NamedTuple):
+    """Where an endpoint stands in the roll-out of versions, beyond what the platform lists."""
+
+    #: An order to change the version is in flight or about to be sent: a new request would be rejected with
+    #: `Not-Executed`.
+    updating: bool
+    models: Mapping[str, int]  # versions that the endpoint has reported and the platform doesn't list yet
+
+    def to_wire(self) -> dict[str, Any]:
+        """The state as a value of `marks`."""
+        return {"moving": self.updating, "models": dict(self.models)}
+
+    @classmethod
+    def from_wire(cls, value: Mapping[str, Any]) -> "RolloutState":
+        """The state of a value of `marks`; a field that is missing says nothing."""
+        return cls(bool(value.get("moving", False)), value.get("models", {}))
+
+
+class StoreStatus(NamedTuple):
+    """What the holder of the `discovery` lease knows of a cache store."""
+
+    up: bool
+    epoch: int  # another one once the store has restarted empty; 0 if it isn't known
+
+    def to_wire(self) -> dict[str, Any]:
+        """The status as a value of `stores`."""
+        return {"up": self.up, "epoch": self.epoch}
+
+    @classmethod
+    def from_wire(cls, value: Mapping[str, Any]) -> "StoreStatus":
+        """The status of a value of `stores`. Raises KeyError if a field is missing."""
+        return cls(value["up"], value["epoch"])
