--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumline.coordination.ballot import Ballots
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.keeper import Duty, Keeper
+from plumline.coordination.lease import LeaseElection
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View, Views
 
@@ -63,8 +63,8 @@
         return True
 
 
-class GrantsAfterAccepting(Ballots):
-    def suspend_grants(self, view: int) -> None:
+class GrantsAfterAccepting(LeaseElection):
+    def stop_granting(self, view: int) -> None:
         pass
 
 
@@ -83,20 +83,20 @@
 class TakesEntriesOfAnyView(ChainReplica):
     def on_message(self, sender: str, message: Message) -> bool:
         if message[0] in ("chain-entry", "chain-state"):
-            message = [message[0], self.number(), *message[2:]]
+            message = [message[0], self.view_number(), *message[2:]]
         return super().on_message(sender, message)
 
 
 class TakesReportsOfAnyView(ChainReplica):
     def on_message(self, sender: str, message: Message) -> bool:
         if message[0] in ("chain-floor", "chain-report", "chain-commit"):
-            message = [message[0], self.number(), *message[2:]]
+            message = [message[0], self.view_number(), *message[2:]]
         return super().on_message(sender, message)
 
 
 def mutation(name: str) -> dict[str, Any]:
     """Keywords of a schedule whose cores are without that guard."""
     kind = globals()[name]
-    parts = {Keeper: "keeper", Ballots: "ballots", Views: "views", ChainReplica: "chain"}
+    parts = {Keeper: "keeper", LeaseElection: "lease_election", Views: "views", ChainReplica: "chain"}
     part = next(part for base, part in parts.items() if issubclass(kind, base))
     return {"mutate": exchange(part, kind)}
--- a/tests/frozen_adapter.py
+++ b/tests/frozen_adapter.py
@@ -28,6 +28,7 @@
 import ormsgpack
 from click.testing import CliRunner
 from frozen_story import Day, Program, Told
+from plumline.store.writer import ImmediateWriter
 
 import plumline
 from plumline import logs, settings
@@ -36,7 +37,6 @@
 from plumline.registrar import app as registrar
 from plumline.router import app as router
 from plumline.settings import from_environment
-from plumline.store.writer import ImmediateWriter
 
 ROOT = Path(__file__).parent.parent
 PROGRAMS = ("plumline", "elmglade")
--- a/tests/frozen_story.py
+++ b/tests/frozen_story.py
@@ -534,7 +534,9 @@
         kind, view, number, digest, size, offset, data = value
         whole = (digest, size) == (hashlib.sha256(data).hexdigest(), len(data))
         state = ormsgpack.unpackb(zlib.decompress(data)) if whole else "a part"
-        return {"value": [kind, view, number, whole or [type(digest).__name__, size > 0], offset, shown(state)]}
+        return {
+            "value": [kind, view, number, whole or [type(digest).__name__, size > 0], offset, shown(state)]
+        }
     if len(body) > SHORT:
         return {"bytes": len(body), "sha256": hashlib.sha256(body).hexdigest()}
     return {"value": shown(value), "hex": body.hex()}
