--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -14,15 +14,15 @@
 
 from plumline.configuration.history import History, HistoryMatch
 from plumline.configuration.replicated_state import ReplicatedConfiguration
-from plumline.coordination.chain import Answer, Chain
 from plumline.coordination.core import Core
+from plumline.coordination.replication import ChainReplica, SubmitCallback
 from plumline.errors import (
     ConfigurationInvalidError,
     PlumlineError,
     UnavailableError,
     VersionConflictError,
 )
-from plumline.registrar import relay as relay_module
+from plumline.registrar import forwarding
 from tests.control_world import ControlWorld, explore_control, short_memory
 from tests.core_register import ViolationError
 
@@ -72,10 +72,10 @@
 # Guards taken out.
 
 
-class RefusesAtOnce(Chain):
+class RefusesAtOnce(ChainReplica):
     """Does not wait until what a refusal rests on is committed."""
 
-    def submit(self, change: list[Any], answer: Answer) -> None:
+    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         if self.is_head() and self.can_commit():
             try:
                 self.newest.check(change)
@@ -85,20 +85,20 @@
         super().submit(change, answer)
 
 
-class ReadsWithoutAsking(Chain):
+class ReadsWithoutAsking(ChainReplica):
     def read(self, answer: Callable[[Any], None]) -> None:
         answer(self.state if self.is_tail() and self.caught_up else None)
 
 
-class AcknowledgesBeforeCommit(Chain):
-    def submit(self, change: list[Any], answer: Answer) -> None:
+class AcknowledgesBeforeCommit(ChainReplica):
+    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         super().submit(change, lambda error: None)
         if self.is_head() and self.can_commit() and self.newest is not self.state:
             answer(None)
 
 
-class AcknowledgesAnUncommittedRepeat(Chain):
-    def submit(self, change: list[Any], answer: Answer) -> None:
+class AcknowledgesAnUncommittedRepeat(ChainReplica):
+    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         try:
             known = self.is_head() and self.can_commit() and self.newest.check(change)
         except PlumlineError:
@@ -179,7 +179,7 @@
     yield pytest.param({"cuts": True, "seconds": 22.0}, unknown, id="RefusesUnknownModels")
     yield pytest.param({}, patch.object(History, "match", knows_no_repeat), id="KnowsNoRepeat")
     yield pytest.param(few, patch.object(History, "match", knows_no_content), id="TakesAnyBodyForTheRepeat")
-    yield pytest.param({}, patch.object(relay_module, "PATIENCE_S", 3.0), id="WaitsLongerThanItsCallers")
+    yield pytest.param({}, patch.object(forwarding, "PATIENCE_S", 3.0), id="WaitsLongerThanItsCallers")
 
 
 @pytest.mark.parametrize(("how", "without"), list(guards()))
