--- a/plumline/configuration/routes.py
+++ b/plumline/configuration/route_table.py
@@ -19,26 +19,26 @@
     prefix: str
     kind: str  # one of KINDS; what is not known may run at most once
     timeout_ms: float
-    aim_ms: float  # the time-out where no TargetLatencyMs is given
+    latency_target_ms: float  # the time-out where no TargetLatencyMs is given
     priority: int = 5  # 0 is highest
-    splits: tuple[tuple[str, float], ...] = ()  # (service, weight); a service may come twice
+    traffic_split: tuple[tuple[str, float], ...] = ()  # (service, weight); a service may come twice
     attempt_limit: int = 1
     public: bool = False
     sticky: bool = False
     resumable: bool = False
-    gap_aim_ms: float = 0.0  # 0: none is given
+    gap_target_ms: float = 0.0  # 0: none is given
 
     @property
     def idempotent(self) -> bool:
         """A second endpoint may be asked although the first may have run it."""
         return self.kind == IDEMPOTENT or (self.kind == STREAMING and self.resumable)
 
-    def pick(self, chance: random.Random) -> str:
+    def choose_service(self, rng: random.Random) -> str:
         """A service, by weight; one of weight 0 never."""
-        splits = self.splits
+        splits = self.traffic_split
         if len(splits) == 1:
             return splits[0][0]
-        left = chance.random() * sum(weight for _, weight in splits)
+        left = rng.random() * sum(weight for _, weight in splits)
         last = ""
         for service, weight in splits:
             if weight > 0:
@@ -63,13 +63,13 @@
     health_path: str = "/health"
     connection_limit: int = 1 << 30  # of all callers together; where none is given, in effect none
     slots: int = 1
-    kv_tokens: int = 0
-    kv_token_bytes: int = 0
-    link_mbps: float = 0.0
+    cache_token_capacity: int = 0
+    cache_token_bytes: int = 0
+    link_speed_mbps: float = 0.0
     concurrency_limit: int = 1  # calls of /kv-events at a time
     models: tuple[str, ...] = ()
-    store_address: tuple[str, int] | None = None
-    store_zone: str = ""
+    cache_store_address: tuple[str, int] | None = None
+    cache_store_zone: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,7 +80,7 @@
     idle_ms: float = 15000
 
 
-class _Made:
+class _LazyRoute:
     """A route's item, and the route made from it when it is first asked for: most of thousands never are.
     Shared by the tables of successive documents."""
 
@@ -101,21 +101,21 @@
 
 
 @dataclass(slots=True)
-class _Host:
-    prefixes: dict[str, _Made] = field(default_factory=dict)
+class _HostRoutes:
+    prefixes: dict[str, _LazyRoute] = field(default_factory=dict)
     longest: int = 0
 
 
-class _Aims:
+class _LatencyTargetCounts:
     """How many routes to each service have which aim, so that the shortest is known without a look at all."""
 
-    def __init__(self, earlier: "_Aims | None" = None) -> None:
+    def __init__(self, earlier: "_LatencyTargetCounts | None" = None) -> None:
         known = earlier.counts if earlier else {}
         self.counts = {service: dict(aims) for service, aims in known.items()}
 
     def count(self, item: Document, change: int) -> None:
-        aim = aim_of(item)
-        for service, _ in splits_of(item):
+        aim = latency_target_of(item)
+        for service, _ in traffic_split_of(item):
             aims = self.counts.setdefault(service, {})
             aims[aim] = aims.get(aim, 0) + change
             if not aims[aim]:
@@ -129,47 +129,47 @@
     """Look-ups in one document. `earlier`, the table before it, lends the routes whose items are the same."""
 
     def __init__(self, document: Document, earlier: "RouteTable | None" = None) -> None:
-        self._made: dict[str, _Made] = {}
-        self._hosts: dict[str, _Host] = {}
-        self._aims = _Aims()
-        old = earlier._made if earlier else {}
+        self._routes_by_name: dict[str, _LazyRoute] = {}
+        self._hosts: dict[str, _HostRoutes] = {}
+        self._latency_targets = _LatencyTargetCounts()
+        old = earlier._routes_by_name if earlier else {}
         for item in document.get("Routes", ()):
             made = old.get(item["Name"])
             if made is None or made.item is not item:
-                made = _Made(item)
-            self._made[item["Name"]] = made
+                made = _LazyRoute(item)
+            self._routes_by_name[item["Name"]] = made
             name, prefix = made.place()
             host = self._hosts.get(name)
             if host is None:
-                host = self._hosts[name] = _Host()
+                host = self._hosts[name] = _HostRoutes()
             host.prefixes[prefix] = made
             host.longest = max(host.longest, len(prefix))
-            self._aims.count(item, 1)
+            self._latency_targets.count(item, 1)
         self._take_rest(document)
 
-    def amended(self, document: Document, body: Document) -> "RouteTable":
+    def with_amendment(self, document: Document, body: Document) -> "RouteTable":
         """The table of `document`, which an Amend with this body has made of this table's document.
 
         What is left of the routes is shared, so that one changed route of thousands costs little.
         """
         table = RouteTable.__new__(RouteTable)
-        table._made, table._hosts = dict(self._made), dict(self._hosts)
-        table._aims = _Aims(self._aims)
+        table._routes_by_name, table._hosts = dict(self._routes_by_name), dict(self._hosts)
+        table._latency_targets = _LatencyTargetCounts(self._latency_targets)
         items: list[Document] = body.get("Upserts", {}).get("Routes", [])
         gone = body.get("Removals", {}).get("Routes", [])
-        touched: dict[str, _Host] = {}  # hosts as the new table's own
+        touched: dict[str, _HostRoutes] = {}  # hosts as the new table's own
         for name in dict.fromkeys([*gone, *(item["Name"] for item in items)]):
-            if (made := self._made.get(name)) is not None:
+            if (made := self._routes_by_name.get(name)) is not None:
                 host, prefix = made.place()
                 table._own_host(host, touched).prefixes.pop(prefix, None)
-                table._aims.count(made.item, -1)
+                table._latency_targets.count(made.item, -1)
         for name in gone:
-            table._made.pop(name, None)
+            table._routes_by_name.pop(name, None)
         for item in items:
-            made = table._made[item["Name"]] = _Made(item)
+            made = table._routes_by_name[item["Name"]] = _LazyRoute(item)
             host, prefix = made.place()
             table._own_host(host, touched).prefixes[prefix] = made
-            table._aims.count(item, 1)
+            table._latency_targets.count(item, 1)
         for name, changed in touched.items():
             changed.longest = max(map(len, changed.prefixes), default=0)
             if not changed.prefixes:
@@ -177,12 +177,12 @@
         table._take_rest(document)
         return table
 
-    def _own_host(self, name: str, touched: dict[str, _Host]) -> _Host:
+    def _own_host(self, name: str, touched: dict[str, _HostRoutes]) -> _HostRoutes:
         """The host, copied when it is first touched."""
         host = touched.get(name)
         if host is None:
             shared = self._hosts.get(name)
-            host = touched[name] = self._hosts[name] = _Host(dict(shared.prefixes) if shared else {})
+            host = touched[name] = self._hosts[name] = _HostRoutes(dict(shared.prefixes) if shared else {})
         return host
 
     def _take_rest(self, document: Document) -> None:
@@ -192,27 +192,27 @@
         self.services = {item["Name"]: service_from(item) for item in document.get("Services", ())}
         self._keys: dict[str, Tenant] = {}
         self.has_tenants = bool(document.get("Tenants"))
-        self.reserved: dict[str, float] = {}  # shares by tenant, of those that have one
+        self.reserved_shares: dict[str, float] = {}  # shares by tenant, of those that have one
         for item in document.get("Tenants", ()):
             share = _or(item, "ReservedShare", 0.0)
             tenant = Tenant(item["Name"], item.get("Priority"), bool(item.get("Isolated")), share)
             if share:
-                self.reserved[tenant.name] = share
+                self.reserved_shares[tenant.name] = share
             for key in item.get("ApiKeys") or ():
                 self._keys[key] = tenant
 
     @property
     def routes(self) -> list[Route]:
-        return [made.route() for made in self._made.values()]
+        return [made.route() for made in self._routes_by_name.values()]
 
-    def shortest_aims(self) -> dict[str, float]:
+    def shortest_latency_targets(self) -> dict[str, float]:
         """The shortest aim in ms among the routes to each service."""
-        return self._aims.shortest()
+        return self._latency_targets.shortest()
 
     @property
-    def stores(self) -> dict[str, Service]:
+    def cache_stores(self) -> dict[str, Service]:
         """The services that are stores, by name."""
-        return {name: each for name, each in self.services.items() if each.store_address is not None}
+        return {name: each for name, each in self.services.items() if each.cache_store_address is not None}
 
     def match(self, host: str, path: str) -> Route | None:
         """The route of the longest prefix that begins the path (its query aside); None if there is none."""
@@ -232,13 +232,13 @@
         return self._keys.get(key)
 
 
-def splits_of(item: Document) -> tuple[tuple[str, float], ...]:
+def traffic_split_of(item: Document) -> tuple[tuple[str, float], ...]:
     """The services that a route's item names, with their weights."""
     splits = item.get("TrafficSplit")
     return tuple((each["Service"], each["Weight"]) for each in splits) if splits else ((item["Service"], 1),)
 
 
-def aim_of(item: Document) -> float:
+def latency_target_of(item: Document) -> float:
     return _or(item, "TargetLatencyMs", item["TimeoutMs"])
 
 
@@ -250,14 +250,14 @@
         prefix=item["PathPrefix"],
         kind=kind if kind in KINDS else NON_IDEMPOTENT,
         timeout_ms=item["TimeoutMs"],
-        aim_ms=aim_of(item),
+        latency_target_ms=latency_target_of(item),
         priority=_or(item, "Priority", 5),
-        splits=splits_of(item),
+        traffic_split=traffic_split_of(item),
         attempt_limit=_or(item, "AttemptLimit", 1),
         public=bool(item.get("PublicAccess")),
         sticky=bool(item.get("StickySessions")),
         resumable=bool(item.get("Resumable")),
-        gap_aim_ms=_or(item, "gap_aim_ms", 0.0),
+        gap_target_ms=_or(item, "gap_aim_ms", 0.0),
     )
 
 
@@ -269,13 +269,13 @@
         health_path=_or(item, "HealthPath", "/health"),
         connection_limit=_or(item, "ConnectionLimit", 1 << 30),
         slots=_or(engine, "CapacitySlots", 1),
-        kv_tokens=_or(engine, "CacheTokenCapacity", 0),
-        kv_token_bytes=_or(engine, "CacheTokenBytes", 0),
-        link_mbps=_or(engine, "LinkSpeedMbps", 0.0),
+        cache_token_capacity=_or(engine, "CacheTokenCapacity", 0),
+        cache_token_bytes=_or(engine, "CacheTokenBytes", 0),
+        link_speed_mbps=_or(engine, "LinkSpeedMbps", 0.0),
         concurrency_limit=_or(engine, "ConcurrencyLimit", 1),
         models=tuple(each["Name"] for each in engine.get("Models") or ()),
-        store_address=address(item.get("CacheStoreAddress")),
-        store_zone=_or(item, "Zone", ""),
+        cache_store_address=address(item.get("CacheStoreAddress")),
+        cache_store_zone=_or(item, "Zone", ""),
     )
 
 
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -9,7 +9,7 @@
 
 from plumline import logs
 from plumline.configuration.replicated_state import ReplicatedConfiguration
-from plumline.configuration.routes import RouteTable
+from plumline.configuration.route_table import RouteTable
 from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
 from plumline.coordination.effects import Member, Message, Record
@@ -259,8 +259,10 @@
         document = self.core.chain.state.configuration
         if document is not self.addresses_of:
             self.addresses_of = document
-            stores = RouteTable(document).stores if document else {}
-            self.addresses = {name: each.store_address for name, each in stores.items() if each.store_address}
+            stores = RouteTable(document).cache_stores if document else {}
+            self.addresses = {
+                name: each.cache_store_address for name, each in stores.items() if each.cache_store_address
+            }
         return self.addresses
 
     def publish_cache_stores(self, stores: dict[str, dict[str, Any]]) -> None:
--- a/plumline/router/admission.py
+++ b/plumline/router/admission.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from plumline.configuration.routes import Route, RouteTable, Tenant
+from plumline.configuration.route_table import Route, RouteTable, Tenant
 from plumline.prompts.parts import Part, output_tokens, parse_parts, prompt_tokens, size_of
 from plumline.router.relay import Headers, request_headers, value_of
 from plumline.router.state import RouterState
@@ -79,9 +79,11 @@
     if table.has_tenants and tenant is None and not route.public:
         return denied(router, 401, "no-tenant")
     now = router.clock()
-    service = route.pick(router.chance)
+    service = route.choose_service(router.chance)
     router.budget.request(now, service)
-    prompt = read_prompt(exchange.headers, router.shortest_aims.get(service, route.aim_ms))
+    prompt = read_prompt(
+        exchange.headers, router.shortest_latency_targets.get(service, route.latency_target_ms)
+    )
     ms = prompt.tokens / READ_RATE, prompt.work_ms
     standing = router.shares.ask(now, service, owner_of(tenant), ms, fleet.routers)
     if standing.refused:
--- a/plumline/router/following.py
+++ b/plumline/router/following.py
@@ -18,7 +18,7 @@
 from plumline import logs
 from plumline.configuration.document import Document
 from plumline.configuration.replicated_state import ReplicatedConfiguration
-from plumline.configuration.routes import RouteTable
+from plumline.configuration.route_table import RouteTable
 from plumline.coordination.ring import Candidate, watchers
 from plumline.coordination.soft_state import SoftState
 from plumline.counters import Counters
@@ -298,7 +298,7 @@
     def table_of(self, document: Document, change: list[Any] | None) -> RouteTable:
         table: RouteTable | None = self.fleet.table
         if table is not None and change is not None and change[0] == "amend":
-            return table.amended(document, change[2])
+            return table.with_amendment(document, change[2])
         return RouteTable(document, table)
 
     def take_topic(self, name: str, number: tuple[int, int], payload: Any) -> None:  # noqa: ANN401
--- a/plumline/router/job.py
+++ b/plumline/router/job.py
@@ -88,7 +88,9 @@
                 break
             picked, wait = selection.pick(now)
             if picked is None:
-                if held or wait > min(route.aim_ms / 1000 * WAIT_SHARE, request.until - now - MARGIN):
+                if held or wait > min(
+                    route.latency_target_ms / 1000 * WAIT_SHARE, request.until - now - MARGIN
+                ):
                     progress.come_back = wait if wait < float("inf") else progress.come_back
                     break
                 held = True
--- a/plumline/router/selection.py
+++ b/plumline/router/selection.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass, field
 
-from plumline.configuration.routes import Service
+from plumline.configuration.route_table import Service
 from plumline.prompts.parts import size_of
 from plumline.router.admission import Request
 from plumline.router.progress import COME_BACK, Progress
@@ -103,10 +103,12 @@
     def memory_is_full(self, endpoint: Endpoint) -> bool:
         """Whether a long prompt finds no room beside those that the endpoint has; an idle one takes any."""
         prompt = self.request.prompt
-        if not prompt.long or not self.service or not self.service.kv_tokens:
+        if not prompt.long or not self.service or not self.service.cache_token_capacity:
             return False
         occupied = self.router.index.occupied(endpoint.id)
-        full = bool(occupied) and prompt.tokens > self.service.kv_tokens * RESIDENT_SHARE - occupied
+        full = (
+            bool(occupied) and prompt.tokens > self.service.cache_token_capacity * RESIDENT_SHARE - occupied
+        )
         if full:
             self.router.counters.add("request-memory-full")
         return full
@@ -165,8 +167,8 @@
             endpoint.address,
             endpoint.zone,
             kept,
-            service.kv_token_bytes,
-            service.link_mbps,
+            service.cache_token_bytes,
+            service.link_speed_mbps,
             READ_RATE,
             self.router.regions,
         )
@@ -185,10 +187,12 @@
         if self.request.prompt.long:
             for each in self.router.by_service.get(self.request.service, ()):
                 if held := self.router.index.kept(each.id, salt.text, self.shared):
-                    found.append(Holder(each.address, each.zone, held, service.link_mbps))
+                    found.append(Holder(each.address, each.zone, held, service.link_speed_mbps))
         store = look.store
-        if store and store.store_address and (held := self.held_by(store.store_address, salt)):
-            found.append(Holder(store.store_address, store.store_zone, held, store.link_mbps))
+        if store and store.cache_store_address and (held := self.held_by(store.cache_store_address, salt)):
+            found.append(
+                Holder(store.cache_store_address, store.cache_store_zone, held, store.link_speed_mbps)
+            )
         return found
 
     def held_by(self, store: Address, salt: Salt) -> int:
@@ -219,7 +223,11 @@
     def is_over_share(self, best: Candidate) -> bool:
         """Whether its tenant is over its share in a surge and it would be late even where it costs least."""
         request = self.request
-        over = request.standing.over and expected_ms(best) > request.route.aim_ms and not self.progress.sends
+        over = (
+            request.standing.over
+            and expected_ms(best) > request.route.latency_target_ms
+            and not self.progress.sends
+        )
         if over:
             self.progress.over_share = True
         return over
@@ -239,5 +247,5 @@
     def patience_ms(self, now: float) -> float:
         """How long the client waits for the first piece: PROTOCOL's bound on silence, or what is left."""
         route = self.request.route
-        silence = max(2000.0, 4 * route.aim_ms, 8 * route.gap_aim_ms)
+        silence = max(2000.0, 4 * route.latency_target_ms, 8 * route.gap_target_ms)
         return min(silence * SILENCE_SHARE, (self.request.until - now) * 1000)
--- a/plumline/router/send.py
+++ b/plumline/router/send.py
@@ -204,7 +204,7 @@
                 headers.append((b"expect-version", b"%d" % self.salt.version))
                 store = self.router.store_for(prompt.parts) if prompt.parts else None
                 # A short request's parts are read faster than they wait for the store's link.
-                address = store.store_address if store and prompt.long else None
+                address = store.cache_store_address if store and prompt.long else None
                 if source := self.candidate.source or address:
                     headers.append((b"kv-fetch", address_text(source).encode()))
                 if address and self.worth_saving(address_text(address)):
@@ -378,7 +378,7 @@
         now = self.router.clock()
         excess_ms = (now - self.began) * 1000 - expected_ms(self.candidate)
         self.load.first_piece(now, excess_ms)
-        self.router.shares.ended(self.request.service, excess_ms > self.request.route.aim_ms / 2)
+        self.router.shares.ended(self.request.service, excess_ms > self.request.route.latency_target_ms / 2)
 
     def keep(self, connection: UpstreamConnection, headers: Headers) -> None:
         """Gives the connection back for as long as the answer allows."""
--- a/plumline/router/state.py
+++ b/plumline/router/state.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from plumline import logs
-from plumline.configuration.routes import Service
+from plumline.configuration.route_table import Service
 from plumline.coordination import ring
 from plumline.coordination.budget import RetryBudget
 from plumline.counters import Counters
@@ -88,7 +88,7 @@
         self.stores: dict[str, StoreStatus] = {}  # what the core tells of stores, by name
         self.versions = NamedVersions(self.told_versions, bounds.version_apply_ms / 1000)
         self.shares = Shares(self.surge)
-        self.shortest_aims: dict[str, float] = {}  # ms, by service
+        self.shortest_latency_targets: dict[str, float] = {}  # ms, by service
         self.by_service: dict[str, list[Endpoint]] = {}
         self.lanes: dict[str, Lanes] = {}  # by service
         # By endpoint id:
@@ -118,8 +118,8 @@
         """Another configuration is in force."""
         table = self.fleet.table
         self.versions.look(self.clock())
-        self.shares.set_reserved(table.reserved if table else {})
-        self.shortest_aims = table.shortest_aims() if table else {}
+        self.shares.set_reserved(table.reserved_shares if table else {})
+        self.shortest_latency_targets = table.shortest_latency_targets() if table else {}
 
     def told_endpoints(self, listed: dict[str, Endpoint]) -> None:
         """The endpoints have changed: what is known of those that are gone is forgotten."""
@@ -179,8 +179,8 @@
             known = self.stores.get(name)
             service = self.fleet.table.services.get(name) if self.fleet.table else None
             began_anew = known is not None and (not status.up or status.epoch != known.epoch)
-            if began_anew and service and service.store_address:
-                self.index.store(address_text(service.store_address)).clear()
+            if began_anew and service and service.cache_store_address:
+                self.index.store(address_text(service.cache_store_address)).clear()
         self.stores = stores
 
     def memory_of(self, endpoint: str) -> float:
@@ -188,7 +188,7 @@
         listed = self.fleet.endpoints.get(endpoint)
         table = self.fleet.table
         service = table.services.get(listed.service) if listed and table else None
-        return service.kv_tokens if service else 0.0
+        return service.cache_token_capacity if service else 0.0
 
     def told_news(self, node: str, events: list[Any]) -> None:
         """What another router tells of its prompts, or a registrar of the store at the address `node`. Raises
@@ -235,13 +235,13 @@
 
     def store_for(self, parts: list[Part]) -> Service | None:
         """The store that holds a prompt's shared parts: the same for all routers, of those that are up."""
-        stores = self.fleet.table.stores
+        stores = self.fleet.table.cache_stores
         up = [
             name
             for name, each in stores.items()
-            if each.store_address
+            if each.cache_store_address
             and self.stores.get(name, UNTOLD_STORE).up
-            and not self.outcomes.is_open(store_key(each.store_address))
+            and not self.outcomes.is_open(store_key(each.cache_store_address))
         ]
         if len(up) > 1:
             name = ring.choose(parts[-2][0] if len(parts) > 1 else "", up)
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from plumline.configuration.replicated_state import ReplicatedConfiguration
-from plumline.configuration.routes import RouteTable
+from plumline.configuration.route_table import RouteTable
 from plumline.counters import Counters
 from plumline.router.dispatch import Dispatcher
 from plumline.routing.fleet import Fleet
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -14,7 +14,7 @@
 from plumline.configuration.document import amended, check, digest, parse, replaced
 from plumline.configuration.history import MIN_REMEMBERED_CHANGES, SEGMENT_CHANGES, History
 from plumline.configuration.replicated_state import ReplicatedConfiguration, ReplicatedStateInvalidError
-from plumline.configuration.routes import RouteTable, Tenant
+from plumline.configuration.route_table import RouteTable, Tenant
 from plumline.errors import ConfigurationInvalidError, UnavailableError, VersionConflictError
 
 Document = dict[str, Any]
@@ -568,11 +568,25 @@
     table = RouteTable(document(Routes=[full, bare, route("later", Kind="later")]))
     found = table.match("h.example", "/f/x")
     assert found is not None and found.idempotent and found.public and found.sticky and found.resumable
-    assert (found.host, found.timeout_ms, found.aim_ms, found.priority) == ("h.example", 6000, 600, 0)
-    assert (found.splits, found.attempt_limit, found.gap_aim_ms) == ((("s1", 90), ("s1", 10)), 3, 250)
+    assert (found.host, found.timeout_ms, found.latency_target_ms, found.priority) == (
+        "h.example",
+        6000,
+        600,
+        0,
+    )
+    assert (found.traffic_split, found.attempt_limit, found.gap_target_ms) == (
+        (("s1", 90), ("s1", 10)),
+        3,
+        250,
+    )
     usual = table.match("h", "/")
     assert usual is not None and not (usual.idempotent or usual.public or usual.sticky or usual.resumable)
-    assert (usual.kind, usual.aim_ms, usual.attempt_limit, usual.gap_aim_ms) == ("non_idempotent", 10, 1, 0)
+    assert (usual.kind, usual.latency_target_ms, usual.attempt_limit, usual.gap_target_ms) == (
+        "non_idempotent",
+        10,
+        1,
+        0,
+    )
     later = table.match("a.example", "/later/")
     assert later is not None and later.kind == "non_idempotent"
 
@@ -588,7 +602,7 @@
     weights = [{"Service": s, "Weight": w} for s, w in (("x", 0), ("a", 1), ("b", 2), ("a", 1), ("y", 0))]
     services = [{"Name": name} for name in ("x", "a", "b", "y")]
     table = RouteTable({"Version": 1, "Routes": [route(TrafficSplit=weights)], "Services": services})
-    picked = Counter(table.routes[0].pick(random.Random(seed)) for seed in range(4000))
+    picked = Counter(table.routes[0].choose_service(random.Random(seed)) for seed in range(4000))
     assert picked.keys() == {"a", "b"} and abs(picked["a"] - 2000) < 200
 
 
@@ -607,7 +621,7 @@
     services = [{"Name": f"s{i}"} for i in range(len(weights))]
     found = RouteTable({"Version": 1, "Routes": [route(TrafficSplit=splits)], "Services": services}).routes[0]
     for value in (0.0, 0.5, 1 - 2**-53):
-        assert weights[int(found.pick(Edge(value))[1:])] > 0
+        assert weights[int(found.choose_service(Edge(value))[1:])] > 0
 
 
 def test_tenants_services_stores_and_limits() -> None:
@@ -618,12 +632,15 @@
         {"Version": 1, "Tenants": [{"Name": "t", "ApiKeys": ["k"], "Isolated": True}]}
     ).tenant_of("k") == Tenant("t", isolated=True)
     assert (table.services["s1"].slots, table.services["s1"].models) == (12, ("m1",))
-    assert table.services["s1"].store_address is None and list(table.stores) == ["store"]
-    assert (table.stores["store"].store_address, table.stores["store"].store_zone) == (
+    assert table.services["s1"].cache_store_address is None and list(table.cache_stores) == ["store"]
+    assert (
+        table.cache_stores["store"].cache_store_address,
+        table.cache_stores["store"].cache_store_zone,
+    ) == (
         ("172.20.0.2", 8165),
         "z1",
     )
-    assert table.stores["store"].link_mbps == 390000.0
+    assert table.cache_stores["store"].link_speed_mbps == 390000.0
     limits = table.limits
     assert (limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms) == (
         100,
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -8,7 +8,7 @@
 from plumline.configuration.difference import as_amend
 from plumline.configuration.document import Document
 from plumline.configuration.replicated_state import ReplicatedConfiguration
-from plumline.configuration.routes import RouteTable
+from plumline.configuration.route_table import RouteTable
 
 NAMES = st.sampled_from("abcdef")
 
@@ -62,10 +62,10 @@
     keys = [table.tenant_of(f"key-{name}") for name in "abcdef"]
     aims: dict[str, float] = {}
     for each in table.routes:
-        for service, _ in each.splits:
-            aims[service] = min(aims.get(service, each.aim_ms), each.aim_ms)
-    assert table.shortest_aims() == aims
-    return found, keys, table.routes, table.services, table.limits, table.version, table.reserved
+        for service, _ in each.traffic_split:
+            aims[service] = min(aims.get(service, each.latency_target_ms), each.latency_target_ms)
+    assert table.shortest_latency_targets() == aims
+    return found, keys, table.routes, table.services, table.limits, table.version, table.reserved_shares
 
 
 @given(documents(1), documents(2))
@@ -75,7 +75,7 @@
     change = as_amend(first, ["replace", 1, second])
     state = ReplicatedConfiguration().apply(["replace", 0, first]).apply(change)
     if change[0] == "amend" and state.configuration is not None:
-        assert looks(earlier.amended(state.configuration, change[2])) == looks(
+        assert looks(earlier.with_amendment(state.configuration, change[2])) == looks(
             RouteTable(state.configuration)
         )
     assert looks(earlier) == before
@@ -96,7 +96,7 @@
         {"Version": 2, "Upserts": {"Routes": [route("r70", 70, 2)]}, "Removals": {"Routes": []}},
     ]
     table = RouteTable(first)
-    again = table.amended(
+    again = table.with_amendment(
         ReplicatedConfiguration().apply(["replace", 0, first]).apply(change).configuration or {}, change[2]
     )
     same = sum(mine is other for mine, other in zip(table.routes, again.routes, strict=True))
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -6,7 +6,7 @@
 import pytest
 
 from plumline.configuration.replicated_state import ReplicatedConfiguration
-from plumline.configuration.routes import RouteTable
+from plumline.configuration.route_table import RouteTable
 from plumline.wire.exchange import Exchange
 from tests.dispatch_world import (
     FULL,
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -20,7 +20,7 @@
     pieces,
 )
 
-from plumline.configuration.routes import RouteTable
+from plumline.configuration.route_table import RouteTable
 from plumline.router.admission import told_time
 from plumline.router.app import UNTOLD_LIMITS
 from plumline.wire.server import FixedLimits, Server
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -9,7 +9,7 @@
 import pytest
 
 from plumline.configuration import document as configurations
-from plumline.configuration.routes import RouteTable
+from plumline.configuration.route_table import RouteTable
 from plumline.counters import Counters
 from plumline.errors import ConfigurationInvalidError, FrameError
 from plumline.lab import Pace, flood
@@ -60,7 +60,7 @@
 
 def test_the_table_holds_the_shares_by_tenant() -> None:
     table = RouteTable(with_tenants(*TENANTS, {"Name": "c", "ReservedShare": 0}))
-    assert table.reserved == {"library": 0.3}
+    assert table.reserved_shares == {"library": 0.3}
     tenant = table.tenant_of("key-l")
     assert tenant is not None and tenant.reserved_share == 0.3
 
--- a/tests/wire_world.py
+++ b/tests/wire_world.py
@@ -14,7 +14,7 @@
 from virtual_net import MemoryTransport, VirtualLoop
 
 from plumline.configuration.replicated_state import ReplicatedConfiguration
-from plumline.configuration.routes import RouteTable
+from plumline.configuration.route_table import RouteTable
 from plumline.counters import Counters
 from plumline.router.dispatch import Dispatcher
 from plumline.routing.fleet import Fleet
