--- a/plumline/checks.py
+++ b/plumline/checks.py
@@ -4,7 +4,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumline.configuration import document
+from plumline.configuration.document import parse_document
+from plumline.configuration.validation import validate
 from plumline.errors import PlumlineError
 
 
@@ -16,8 +17,8 @@
 
 def whole_document(path: str) -> dict[str, Any]:
     """The valid configuration in the file; ConfigurationInvalidError names every fault."""
-    found = document.parse(read_file(path))
-    document.check(found)
+    found = parse_document(read_file(path))
+    validate(found)
     return found
 
 
--- a/plumline/cli.py
+++ b/plumline/cli.py
@@ -140,9 +140,9 @@
         ctx: click.Context | None,
     ) -> Address:
         """The address as a pair; a fault of usage for another text."""
-        from plumline.configuration import ADDRESS, address
+        from plumline.configuration.rules import ADDRESS, parse_address
 
-        found = value if isinstance(value, tuple) else address(value)
+        found = value if isinstance(value, tuple) else parse_address(value)
         return found or self.fail(f"{value!r} is not allowed; allowed: {ADDRESS.allowed}", param, ctx)
 
 
@@ -214,10 +214,10 @@
 ) -> None:
     """Changes items by name: Version, Upserts and Removals. The core checks what comes of it."""
     from plumline import checks
-    from plumline.configuration import document
+    from plumline.configuration.document import parse_document
 
     def parsed(path: str) -> dict[str, Any]:
-        return document.parse(checks.read_file(path))
+        return parse_document(checks.read_file(path))
 
     change("configuration_amend", parsed, path, addresses, based_on, patience, as_json)
 
--- a/plumline/configuration/difference.py
+++ b/plumline/configuration/difference.py
@@ -1,31 +1,32 @@
-"""A whole configuration told by what it changes, for those that hold the one before it."""
+"""A Replace turned into the Amend that makes the same document, for replicas that hold the one before it."""
 
 from typing import Any
 
-from plumline.configuration.document import Document, merged
+from plumline.configuration.amendment import merge_amendment
+from plumline.configuration.document import Document
 
-AMENDED_APART = ("Upserts", "Removals")  # keys that an Amend's body keeps for itself
-Change = list[Any]
+AMENDMENT_KEYS = ("Upserts", "Removals")  # keys that the body of an Amend reserves
+Change = list[Any]  # as replicated_state has it
 
 
-def as_amend(current: Document | None, change: Change) -> Change:
-    """A change that turns `current` into the same document as `change` does, by what differs where it can.
+def replace_as_amend(current: Document | None, change: Change) -> Change:
+    """A change that turns `current` into the same document as `change` does, shorter where that can be.
 
-    Only a Replace can be told shorter, and only if an Amend can do the same: it takes no field of the top
-    away, and leaves the items in their order.
+    Only a Replace can be shortened, and only if an Amend can do the same: it takes no field of the top level
+    away, and leaves the items in their order. Any other change is returned as it is.
     """
     if change[0] != "replace" or current is None:
         return change
     _, based_on, new = change
-    body = difference(current, new)
-    if body is None or merged(current, body) != new:
+    body = amendment_between(current, new)
+    if body is None or merge_amendment(current, body) != new:
         return change
     return ["amend", based_on, body]
 
 
-def difference(current: Document, new: Document) -> Document | None:
-    """The body of an Amend from `current` to `new`, up to the order of items; None where there is none."""
-    if any(key not in new for key in current) or any(key in new for key in AMENDED_APART):
+def amendment_between(current: Document, new: Document) -> Document | None:
+    """The body of an Amend from `current` to `new`, up to the order of items; None if no Amend can do it."""
+    if any(key not in new for key in current) or any(key in new for key in AMENDMENT_KEYS):
         return None
     upserts: dict[str, list[Document]] = {}
     removals: dict[str, list[str]] = {}
@@ -34,7 +35,7 @@
         old = current.get(key)
         if key == "Version" or (key in current and old == value):
             continue
-        before, after = named(old), named(value)
+        before, after = items_by_name(old), items_by_name(value)
         if before is None or after is None:
             body[key] = value
             continue
@@ -43,8 +44,8 @@
     return body
 
 
-def named(items: Any) -> dict[str, Document] | None:  # noqa: ANN401
-    """The items of a section by name; None if it is no list of items with a name each."""
+def items_by_name(items: object) -> dict[str, Document] | None:
+    """The items of a section by name; None if it is no list of items with a name of its own each."""
     if not isinstance(items, list):
         return None
     found = {
--- a/plumline/configuration/history.py
+++ b/plumline/configuration/history.py
@@ -1,6 +1,6 @@
 """The recent changes of the configuration, by which a repeat is told from a change that conflicts.
 
-Each change names the version that it builds on, and one change at the most is taken on top of a version. So
+Each change names the version that it builds on, and at most one change is applied on top of a version. So
 the history holds one digest by base version. Bases rise, and a base below the oldest one that is remembered
 may have been changed by anything: nothing is refused on its account.
 """
@@ -11,13 +11,13 @@
 
 from plumline.errors import PlumlineError
 
-#: Changes whose repeat is known. The aim is 7,600 changes a day: more than a day of them.
+#: Changes whose repeat is recognised. The capacity target is 7,600 changes a day: more than a day.
 MIN_REMEMBERED_CHANGES = 8192
-#: Changes in a segment. Whole segments are shared between states, and are forgotten whole.
+#: Changes in a segment. Full segments are shared between states, and are forgotten whole.
 SEGMENT_CHANGES = 256
-DIGEST_BYTES = 16
+DIGEST_BYTES = 16  # kept of each digest
 
-Segment = dict[int, bytes]  # base version -> digest of the change that was taken on top of it
+Segment = dict[int, bytes]  # base version -> digest of the change that was applied on top of it
 
 
 class HistoryInvalidError(PlumlineError):
@@ -29,13 +29,12 @@
 class HistoryMatch(Enum):
     """What the history says of a change."""
 
-    APPLIED = auto()  # this very change was taken
-    DIFFERENT = auto()  # another one was taken on top of the same version, or none
+    APPLIED = auto()  # this very change was applied
+    DIFFERENT = auto()  # another one was applied on top of the same version, or none
     FORGOTTEN = auto()  # it builds on a version that is older than what is remembered
 
 
-def shortened(digest: str) -> bytes:
-    """What is kept of a digest in hex."""
+def _truncated(digest: str) -> bytes:
     return bytes.fromhex(digest)[:DIGEST_BYTES]
 
 
@@ -48,63 +47,66 @@
     open_segment: Segment = field(default_factory=dict)
 
     def match(self, base: int, digest: str) -> HistoryMatch:
-        """Compares a change, by its digest in hex, with the one that was taken on top of `base`."""
+        """Compare a change, by its digest in hex, with the one that was applied on top of `base`."""
         if base < self.horizon:
             return HistoryMatch.FORGOTTEN
         for segment in (self.open_segment, *reversed(self.full_segments)):
             if base in segment:
-                return HistoryMatch.APPLIED if segment[base] == shortened(digest) else HistoryMatch.DIFFERENT
+                same = segment[base] == _truncated(digest)
+                return HistoryMatch.APPLIED if same else HistoryMatch.DIFFERENT
         return HistoryMatch.DIFFERENT
 
     def with_change(self, base: int, digest: str) -> "History":
-        """The history after one more change; `base` is above all others."""
-        recent = {**self.open_segment, base: shortened(digest)}
-        if len(recent) < SEGMENT_CHANGES:
-            return History(self.horizon, self.full_segments, recent)
-        return History(self.horizon, (*self.full_segments, recent), {}).trimmed()
-
-    def trimmed(self) -> "History":
-        """Without the oldest segments that are not needed for MIN_REMEMBERED_CHANGES changes."""
+        """The history after one more change; `base` is above all others, `digest` in hex."""
+        segment = {**self.open_segment, base: _truncated(digest)}
+        if len(segment) < SEGMENT_CHANGES:
+            return History(self.horizon, self.full_segments, segment)
+        return History(self.horizon, (*self.full_segments, segment), {})._trimmed()
+
+    def _trimmed(self) -> "History":
+        """Without the oldest segments that are not needed for MIN_REMEMBERED_CHANGES."""
         surplus = len(self.full_segments) - max(1, MIN_REMEMBERED_CHANGES // SEGMENT_CHANGES)
         if surplus <= 0:
             return self
-        kept = self.full_segments[surplus:]
-        return History(next(iter(kept[0])), kept, self.open_segment)
+        remaining = self.full_segments[surplus:]
+        return History(next(iter(remaining[0])), remaining, self.open_segment)
 
     def __len__(self) -> int:
+        """How many changes are remembered."""
         return sum(map(len, self.full_segments)) + len(self.open_segment)
 
     def to_wire(self) -> list[Any]:
         """[horizon, base versions, digests in one run of bytes]."""
-        entries = [entry for segment in (*self.full_segments, self.open_segment) for entry in segment.items()]
+        segments = (*self.full_segments, self.open_segment)
+        entries = [entry for segment in segments for entry in segment.items()]
         return [self.horizon, [base for base, _ in entries], b"".join(digest for _, digest in entries)]
 
     @classmethod
-    def from_wire(cls, wire: Any) -> "History":  # noqa: ANN401
-        """The history that `to_wire` gave; HistoryInvalidError if it is none."""
+    def from_wire(cls, wire: object) -> "History":
+        """The history that `to_wire` gave. Raises HistoryInvalidError if it is none."""
         match wire:
             case [int(horizon), list(bases), bytes(digests)] if len(digests) == DIGEST_BYTES * len(bases):
                 entries = [
-                    (base, digests[place * DIGEST_BYTES : (place + 1) * DIGEST_BYTES])
-                    for place, base in enumerate(bases)
+                    (base, digests[index * DIGEST_BYTES : (index + 1) * DIGEST_BYTES])
+                    for index, base in enumerate(bases)
                 ]
-                whole = len(entries) - len(entries) % SEGMENT_CHANGES
-                full = tuple(
+                in_full = len(entries) - len(entries) % SEGMENT_CHANGES
+                full_segments = tuple(
                     dict(entries[start : start + SEGMENT_CHANGES])
-                    for start in range(0, whole, SEGMENT_CHANGES)
+                    for start in range(0, in_full, SEGMENT_CHANGES)
                 )
-                return cls(horizon, full, dict(entries[whole:]))
+                return cls(horizon, full_segments, dict(entries[in_full:]))
         raise HistoryInvalidError("not a history: horizon, base versions and digests are needed")
 
     @classmethod
-    def from_versions(cls, taken: dict[str, int]) -> "History":
-        """From what earlier releases kept: digest in hex -> the Version it made, oldest first.
+    def from_versions(cls, versions_by_digest: dict[str, int]) -> "History":
+        """From what earlier releases stored: digest in hex -> the Version it made, oldest first.
 
         A change builds on the version that the one before it made; what the oldest built on is not known.
         """
         history: History | None = None
         previous = 0
-        for digest, version in taken.items():
+        for digest, version in versions_by_digest.items():
             history = cls(horizon=version) if history is None else history.with_change(previous, digest)
             previous = version
         return history or cls()
--- a/plumline/configuration/route_table.py
+++ b/plumline/configuration/route_table.py
@@ -1,88 +1,26 @@
 """What a router looks up for each request, made from a valid document: route, tenant, limits, services."""
 
-import random
-from collections.abc import Mapping
 from dataclasses import dataclass, field
-from typing import Any
-
-from plumline.configuration import address
-from plumline.configuration.document import Document, host_key
-
-IDEMPOTENT, NON_IDEMPOTENT, STREAMING = "idempotent", "non_idempotent", "streaming"
-KINDS = (IDEMPOTENT, NON_IDEMPOTENT, STREAMING)
-
-
-@dataclass(frozen=True, slots=True)
-class Route:
-    name: str
-    host: str  # lower case, without port
-    prefix: str
-    kind: str  # one of KINDS; what is not known may run at most once
-    timeout_ms: float
-    latency_target_ms: float  # the time-out where no TargetLatencyMs is given
-    priority: int = 5  # 0 is highest
-    traffic_split: tuple[tuple[str, float], ...] = ()  # (service, weight); a service may come twice
-    attempt_limit: int = 1
-    public: bool = False
-    sticky: bool = False
-    resumable: bool = False
-    gap_target_ms: float = 0.0  # 0: none is given
 
-    @property
-    def idempotent(self) -> bool:
-        """A second endpoint may be asked although the first may have run it."""
-        return self.kind == IDEMPOTENT or (self.kind == STREAMING and self.resumable)
-
-    def choose_service(self, rng: random.Random) -> str:
-        """A service, by weight; one of weight 0 never."""
-        splits = self.traffic_split
-        if len(splits) == 1:
-            return splits[0][0]
-        left = rng.random() * sum(weight for _, weight in splits)
-        last = ""
-        for service, weight in splits:
-            if weight > 0:
-                if left < weight:
-                    return service
-                left -= weight
-                last = service
-        return last
-
-
-@dataclass(frozen=True, slots=True)
-class Tenant:
-    name: str
-    priority: int | None = None  # goes before the route's
-    isolated: bool = False
-    reserved_share: float = 0.0  # of the work of each service, kept for it in a surge
-
-
-@dataclass(frozen=True, slots=True)
-class Service:
-    name: str
-    health_path: str = "/health"
-    connection_limit: int = 1 << 30  # of all callers together; where none is given, in effect none
-    slots: int = 1
-    cache_token_capacity: int = 0
-    cache_token_bytes: int = 0
-    link_speed_mbps: float = 0.0
-    concurrency_limit: int = 1  # calls of /kv-events at a time
-    models: tuple[str, ...] = ()
-    cache_store_address: tuple[str, int] | None = None
-    cache_store_zone: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class ClientLimits:
-    header_bytes: int = 16384
-    body_bytes: int = 4 * 1024 * 1024
-    header_ms: float = 3000
-    idle_ms: float = 15000
+from plumline.configuration.document import Document, normalized_host
+from plumline.configuration.entities import (
+    Route,
+    Service,
+    Tenant,
+    latency_target_of,
+    limits_from,
+    route_from,
+    service_from,
+    tenant_from,
+    traffic_split_of,
+)
 
 
 class _LazyRoute:
     """A route's item, and the route made from it when it is first asked for: most of thousands never are.
-    Shared by the tables of successive documents."""
+
+    Shared by the tables of successive documents.
+    """
 
     __slots__ = ("_route", "item")
 
@@ -95,200 +33,157 @@
             self._route = route_from(self.item)
         return self._route
 
-    def place(self) -> tuple[str, str]:
-        """Host and prefix."""
-        return host_key(self.item["Host"]), self.item["PathPrefix"]
+    def host_and_prefix(self) -> tuple[str, str]:
+        return normalized_host(self.item["Host"]), self.item["PathPrefix"]
 
 
 @dataclass(slots=True)
 class _HostRoutes:
-    prefixes: dict[str, _LazyRoute] = field(default_factory=dict)
-    longest: int = 0
+    """The routes of one host."""
+
+    by_prefix: dict[str, _LazyRoute] = field(default_factory=dict)
+    longest_prefix: int = 0  # characters
 
 
 class _LatencyTargetCounts:
-    """How many routes to each service have which aim, so that the shortest is known without a look at all."""
+    """How many routes to each service have which latency target: the shortest is known without a scan."""
 
     def __init__(self, earlier: "_LatencyTargetCounts | None" = None) -> None:
-        known = earlier.counts if earlier else {}
-        self.counts = {service: dict(aims) for service, aims in known.items()}
+        counts = earlier.counts if earlier else {}
+        self.counts = {service: dict(of_service) for service, of_service in counts.items()}
 
-    def count(self, item: Document, change: int) -> None:
-        aim = latency_target_of(item)
+    def add(self, item: Document, change: int) -> None:
+        """Count a route's item in (1) or out (-1)."""
+        target_ms = latency_target_of(item)
         for service, _ in traffic_split_of(item):
-            aims = self.counts.setdefault(service, {})
-            aims[aim] = aims.get(aim, 0) + change
-            if not aims[aim]:
-                del aims[aim]
+            of_service = self.counts.setdefault(service, {})
+            of_service[target_ms] = of_service.get(target_ms, 0) + change
+            if not of_service[target_ms]:
+                del of_service[target_ms]
 
     def shortest(self) -> dict[str, float]:
-        return {service: min(aims) for service, aims in self.counts.items() if aims}
+        """The shortest target in ms of each service that has a route."""
+        return {service: min(of_service) for service, of_service in self.counts.items() if of_service}
 
 
 class RouteTable:
-    """Look-ups in one document. `earlier`, the table before it, lends the routes whose items are the same."""
+    """Look-ups in one document; never changed once made.
+
+    Public fields: `version` of the document; `limits` for clients; `services` by name; `has_tenants`;
+    `reserved_shares`, fractions by the name of the tenant, of those that have one.
+    """
 
     def __init__(self, document: Document, earlier: "RouteTable | None" = None) -> None:
+        """`earlier`: the table before it, which lends the routes whose items are the same."""
         self._routes_by_name: dict[str, _LazyRoute] = {}
         self._hosts: dict[str, _HostRoutes] = {}
         self._latency_targets = _LatencyTargetCounts()
-        old = earlier._routes_by_name if earlier else {}
+        known = earlier._routes_by_name if earlier else {}
         for item in document.get("Routes", ()):
-            made = old.get(item["Name"])
-            if made is None or made.item is not item:
-                made = _LazyRoute(item)
-            self._routes_by_name[item["Name"]] = made
-            name, prefix = made.place()
+            route = known.get(item["Name"])
+            if route is None or route.item is not item:
+                route = _LazyRoute(item)
+            self._routes_by_name[item["Name"]] = route
+            name, prefix = route.host_and_prefix()
             host = self._hosts.get(name)
             if host is None:
                 host = self._hosts[name] = _HostRoutes()
-            host.prefixes[prefix] = made
-            host.longest = max(host.longest, len(prefix))
-            self._latency_targets.count(item, 1)
-        self._take_rest(document)
+            host.by_prefix[prefix] = route
+            host.longest_prefix = max(host.longest_prefix, len(prefix))
+            self._latency_targets.add(item, 1)
+        self._build_small_indexes(document)
 
     def with_amendment(self, document: Document, body: Document) -> "RouteTable":
         """The table of `document`, which an Amend with this body has made of this table's document.
 
-        What is left of the routes is shared, so that one changed route of thousands costs little.
+        Untouched routes are shared, so that one changed route of thousands costs little.
         """
         table = RouteTable.__new__(RouteTable)
         table._routes_by_name, table._hosts = dict(self._routes_by_name), dict(self._hosts)
         table._latency_targets = _LatencyTargetCounts(self._latency_targets)
-        items: list[Document] = body.get("Upserts", {}).get("Routes", [])
-        gone = body.get("Removals", {}).get("Routes", [])
-        touched: dict[str, _HostRoutes] = {}  # hosts as the new table's own
-        for name in dict.fromkeys([*gone, *(item["Name"] for item in items)]):
-            if (made := self._routes_by_name.get(name)) is not None:
-                host, prefix = made.place()
-                table._own_host(host, touched).prefixes.pop(prefix, None)
-                table._latency_targets.count(made.item, -1)
-        for name in gone:
+        upserts: list[Document] = body.get("Upserts", {}).get("Routes", [])
+        removals: list[str] = body.get("Removals", {}).get("Routes", [])
+        copied: dict[str, _HostRoutes] = {}  # hosts that the new table no longer shares
+        for name in dict.fromkeys([*removals, *(item["Name"] for item in upserts)]):
+            if (route := self._routes_by_name.get(name)) is not None:
+                table._remove_from_host(route, copied)
+        for name in removals:
             table._routes_by_name.pop(name, None)
-        for item in items:
-            made = table._routes_by_name[item["Name"]] = _LazyRoute(item)
-            host, prefix = made.place()
-            table._own_host(host, touched).prefixes[prefix] = made
-            table._latency_targets.count(item, 1)
-        for name, changed in touched.items():
-            changed.longest = max(map(len, changed.prefixes), default=0)
-            if not changed.prefixes:
+        for item in upserts:
+            route = table._routes_by_name[item["Name"]] = _LazyRoute(item)
+            table._add_to_host(route, copied)
+        for name, host in copied.items():
+            host.longest_prefix = max(map(len, host.by_prefix), default=0)
+            if not host.by_prefix:
                 del table._hosts[name]
-        table._take_rest(document)
+        table._build_small_indexes(document)
         return table
 
-    def _own_host(self, name: str, touched: dict[str, _HostRoutes]) -> _HostRoutes:
-        """The host, copied when it is first touched."""
-        host = touched.get(name)
+    def _remove_from_host(self, route: _LazyRoute, copied: dict[str, _HostRoutes]) -> None:
+        name, prefix = route.host_and_prefix()
+        self._copy_host(name, copied).by_prefix.pop(prefix, None)
+        self._latency_targets.add(route.item, -1)
+
+    def _add_to_host(self, route: _LazyRoute, copied: dict[str, _HostRoutes]) -> None:
+        name, prefix = route.host_and_prefix()
+        self._copy_host(name, copied).by_prefix[prefix] = route
+        self._latency_targets.add(route.item, 1)
+
+    def _copy_host(self, name: str, copied: dict[str, _HostRoutes]) -> _HostRoutes:
+        """The host, copied when it is first changed."""
+        host = copied.get(name)
         if host is None:
             shared = self._hosts.get(name)
-            host = touched[name] = self._hosts[name] = _HostRoutes(dict(shared.prefixes) if shared else {})
+            host = copied[name] = self._hosts[name] = _HostRoutes(dict(shared.by_prefix) if shared else {})
         return host
 
-    def _take_rest(self, document: Document) -> None:
-        """All that is small, made anew for each document."""
+    def _build_small_indexes(self, document: Document) -> None:
+        """Everything but the routes: small, and made anew for each document."""
         self.version: int = document["Version"]
         self.limits = limits_from(document.get("Limits") or {})
         self.services = {item["Name"]: service_from(item) for item in document.get("Services", ())}
-        self._keys: dict[str, Tenant] = {}
         self.has_tenants = bool(document.get("Tenants"))
-        self.reserved_shares: dict[str, float] = {}  # shares by tenant, of those that have one
+        self.reserved_shares: dict[str, float] = {}
+        self._tenants_by_key: dict[str, Tenant] = {}
         for item in document.get("Tenants", ()):
-            share = _or(item, "ReservedShare", 0.0)
-            tenant = Tenant(item["Name"], item.get("Priority"), bool(item.get("Isolated")), share)
-            if share:
-                self.reserved_shares[tenant.name] = share
-            for key in item.get("ApiKeys") or ():
-                self._keys[key] = tenant
+            tenant = tenant_from(item)
+            if tenant.reserved_share:
+                self.reserved_shares[tenant.name] = tenant.reserved_share
+            for api_key in item.get("ApiKeys") or ():
+                self._tenants_by_key[api_key] = tenant
 
     @property
     def routes(self) -> list[Route]:
-        return [made.route() for made in self._routes_by_name.values()]
+        """All routes, in the order of the document; makes each that no request has asked for yet."""
+        return [route.route() for route in self._routes_by_name.values()]
 
     def shortest_latency_targets(self) -> dict[str, float]:
-        """The shortest aim in ms among the routes to each service."""
+        """The shortest latency target, in ms, among the routes to each service."""
         return self._latency_targets.shortest()
 
     @property
     def cache_stores(self) -> dict[str, Service]:
-        """The services that are stores, by name."""
-        return {name: each for name, each in self.services.items() if each.cache_store_address is not None}
+        """The services that are cache stores, by name."""
+        return {
+            name: service
+            for name, service in self.services.items()
+            if service.cache_store_address is not None
+        }
 
     def match(self, host: str, path: str) -> Route | None:
         """The route of the longest prefix that begins the path (its query aside); None if there is none."""
-        found = self._hosts.get(host) or self._hosts.get(host_key(host))
+        found = self._hosts.get(host) or self._hosts.get(normalized_host(host))
         if found is None:
             return None
         query = path.find("?")
-        end = path.rfind("/", 0, found.longest if query < 0 else min(query, found.longest))
+        end = path.rfind("/", 0, found.longest_prefix if query < 0 else min(query, found.longest_prefix))
         while end >= 0:
-            made = found.prefixes.get(path[: end + 1])
-            if made is not None:
-                return made.route()
+            route = found.by_prefix.get(path[: end + 1])
+            if route is not None:
+                return route.route()
             end = path.rfind("/", 0, end)
         return None
 
-    def tenant_of(self, key: str) -> Tenant | None:
-        return self._keys.get(key)
-
-
-def traffic_split_of(item: Document) -> tuple[tuple[str, float], ...]:
-    """The services that a route's item names, with their weights."""
-    splits = item.get("TrafficSplit")
-    return tuple((each["Service"], each["Weight"]) for each in splits) if splits else ((item["Service"], 1),)
-
-
-def latency_target_of(item: Document) -> float:
-    return _or(item, "TargetLatencyMs", item["TimeoutMs"])
-
-
-def route_from(item: Document) -> Route:
-    kind = item.get("Kind")
-    return Route(
-        name=item["Name"],
-        host=host_key(item["Host"]),
-        prefix=item["PathPrefix"],
-        kind=kind if kind in KINDS else NON_IDEMPOTENT,
-        timeout_ms=item["TimeoutMs"],
-        latency_target_ms=latency_target_of(item),
-        priority=_or(item, "Priority", 5),
-        traffic_split=traffic_split_of(item),
-        attempt_limit=_or(item, "AttemptLimit", 1),
-        public=bool(item.get("PublicAccess")),
-        sticky=bool(item.get("StickySessions")),
-        resumable=bool(item.get("Resumable")),
-        gap_target_ms=_or(item, "gap_aim_ms", 0.0),
-    )
-
-
-def service_from(item: Document) -> Service:
-    """An endpoint service has its figures under Engine, a store beside its name."""
-    engine = item.get("Engine") or item
-    return Service(
-        name=item["Name"],
-        health_path=_or(item, "HealthPath", "/health"),
-        connection_limit=_or(item, "ConnectionLimit", 1 << 30),
-        slots=_or(engine, "CapacitySlots", 1),
-        cache_token_capacity=_or(engine, "CacheTokenCapacity", 0),
-        cache_token_bytes=_or(engine, "CacheTokenBytes", 0),
-        link_speed_mbps=_or(engine, "LinkSpeedMbps", 0.0),
-        concurrency_limit=_or(engine, "ConcurrencyLimit", 1),
-        models=tuple(each["Name"] for each in engine.get("Models") or ()),
-        cache_store_address=address(item.get("CacheStoreAddress")),
-        cache_store_zone=_or(item, "Zone", ""),
-    )
-
-
-def limits_from(item: Document) -> ClientLimits:
-    usual = ClientLimits()
-    return ClientLimits(
-        header_bytes=_or(item, "HeaderLimitBytes", usual.header_bytes),
-        body_bytes=_or(item, "BodyLimitBytes", usual.body_bytes),
-        header_ms=_or(item, "HeaderTimeoutMs", usual.header_ms),
-        idle_ms=_or(item, "IdleTimeoutMs", usual.idle_ms),
-    )
-
-
-def _or(item: Mapping[str, Any], key: str, usual: Any) -> Any:  # noqa: ANN401
-    value = item.get(key)
-    return usual if value is None else value
+    def tenant_of(self, api_key: str) -> Tenant | None:
+        """The tenant with this API key; None if no tenant has it."""
+        return self._tenants_by_key.get(api_key)
--- a/plumline/deploy_file.py
+++ b/plumline/deploy_file.py
@@ -6,7 +6,16 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-from plumline.configuration import FLAG, NAME, TABLE, Rule, Shape, every, fault, whole
+from plumline.configuration.rules import (
+    BOOLEAN,
+    NAME,
+    OBJECT,
+    ObjectSchema,
+    Rule,
+    fault_line,
+    integer,
+    list_of,
+)
 
 MACHINE_CLASSES = ("edge", "core")
 CALLERS = ("edge", "control_plane")
@@ -28,8 +37,8 @@
     "the name of a Debian package",
     lambda value: isinstance(value, str) and re.fullmatch(r"[a-z0-9][a-z0-9+.-]+", value) is not None,
 )
-DEPLOY_FILE = Shape({"build": NAME, "packages": every(PACKAGE_NAME), "roles": TABLE}, {})
-ROLE = Shape(
+DEPLOY_FILE = ObjectSchema({"build": NAME, "packages": list_of(PACKAGE_NAME), "roles": OBJECT}, {})
+ROLE = ObjectSchema(
     {
         "run": Rule(
             "a program and its arguments", lambda value: isinstance(value, str) and bool(value.split())
@@ -40,9 +49,9 @@
         "share": Rule(
             "a number above 0, at most 1", lambda value: type(value) in (int, float) and 0 < value <= 1
         ),
-        "count": whole(1),
-        "apart": FLAG,
-        "serves": every(Rule("'edge' or 'control_plane'", lambda value: value in CALLERS)),
+        "count": integer(1),
+        "apart": BOOLEAN,
+        "serves": list_of(Rule("'edge' or 'control_plane'", lambda value: value in CALLERS)),
     },
 )
 
@@ -75,20 +84,20 @@
     """A fault for each program of the build line that no listed package brings, and for each repetition."""
     faults = []
     if len(set(packages)) < len(packages):
-        faults.append(fault("packages", packages, "a list that names each package once"))
+        faults.append(fault_line("packages", packages, "a list that names each package once"))
     try:
         programs = dict.fromkeys(programs_called(build))
     except ValueError as error:
-        return [*faults, fault("build", build, f"a line that a shell can read ({error})")]
+        return [*faults, fault_line("build", build, f"a line that a shell can read ({error})")]
     for program in programs:
         if program not in PROGRAM_PACKAGES:
             known = ", ".join(PROGRAM_PACKAGES)
-            faults.append(fault("build", program, f"a program whose package is declared: {known}"))
+            faults.append(fault_line("build", program, f"a program whose package is declared: {known}"))
             continue
         for package in PROGRAM_PACKAGES[program]:
             if package not in packages:
                 faults.append(
-                    fault("packages", packages, f"a list with {package!r}, for {program!r} of build")
+                    fault_line("packages", packages, f"a list with {package!r}, for {program!r} of build")
                 )
     return faults
 
@@ -130,10 +139,10 @@
 def role_faults(key: str, role: object) -> list[str]:
     """The faults of one role's table, which stands under the key."""
     if not isinstance(role, dict):
-        return [fault(key, role, TABLE.allowed)]
+        return [fault_line(key, role, OBJECT.allowed)]
     faults = ROLE.faults(role, key)
     if not faults and ("share" in role) == ("count" in role):
-        faults.append(fault(f"{key}.share", role.get("share"), "one of share and count"))
+        faults.append(fault_line(f"{key}.share", role.get("share"), "one of share and count"))
     return faults
 
 
@@ -144,7 +153,7 @@
     for caller in CALLERS:
         serving = [name for name, role in roles.items() if caller in role.get("serves", ())]
         if len(serving) > 1:
-            faults.append(fault(key, serving, f"one role that serves {caller!r}"))
+            faults.append(fault_line(key, serving, f"one role that serves {caller!r}"))
     for apart in (False, True):  # the first and the last machine of a zone
         crowd = [
             name
@@ -152,6 +161,6 @@
             if role.get("apart", False) is apart or role.get("share") == 1
         ]
         if len(crowd) > ROLES_ON_A_MACHINE:
-            faults.append(fault(key, crowd, "up to two roles on a machine"))
+            faults.append(fault_line(key, crowd, "up to two roles on a machine"))
             break
     return faults
--- a/plumline/operator_calls.py
+++ b/plumline/operator_calls.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from plumline.configuration import address as as_address
+from plumline.configuration.rules import parse_address
 from plumline.errors import UnavailableError
 from plumline.wire.calls import Answer, Caller, CallFailedError
 
@@ -83,7 +83,7 @@
 def redirected(answer: Answer) -> tuple[Address, str] | None:
     """Address and path that a 307 names."""
     found = re.fullmatch(r"http://([^/]+)(/.*)", answer.headers.get("location", ""))
-    place = as_address(found[1]) if found and answer.status == 307 else None
+    place = parse_address(found[1]) if found and answer.status == 307 else None
     return (place, found[2]) if found and place else None
 
 
--- a/plumline/registrar/operator_api.py
+++ b/plumline/registrar/operator_api.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumline.configuration.document import Document, parse
+from plumline.configuration.document import Document, parse_document
 from plumline.coordination.core import Core
 from plumline.counters import Counters
 from plumline.errors import ConfigurationInvalidError, PlumlineError, UnavailableError
@@ -72,7 +72,7 @@
         """The document of a 200; raises the typed error of any other answer."""
         if name == "configuration_read":
             return await self.read()
-        body = parse(exchange.body)
+        body = parse_document(exchange.body)
         if name == "version_put":
             change: Change = ["weights", body]
         else:
--- a/plumline/registrar/publisher.py
+++ b/plumline/registrar/publisher.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumline.configuration.difference import as_amend
+from plumline.configuration.difference import replace_as_amend
 from plumline.configuration.document import Document
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.soft_state import SoftState
@@ -135,7 +135,7 @@
         if change is None:
             self.backlog.restart(number)
         else:
-            self.backlog.add(number, as_amend(document, change) if before == number - 1 else change)
+            self.backlog.add(number, replace_as_amend(document, change) if before == number - 1 else change)
         self.configuration = number, self.chain.state.configuration
         self.catch_all_up()
 
--- a/plumline/router/admission.py
+++ b/plumline/router/admission.py
@@ -2,7 +2,8 @@
 
 from dataclasses import dataclass
 
-from plumline.configuration.route_table import Route, RouteTable, Tenant
+from plumline.configuration.entities import Route, Tenant
+from plumline.configuration.route_table import RouteTable
 from plumline.prompts.parts import Part, output_tokens, parse_parts, prompt_tokens, size_of
 from plumline.router.relay import Headers, request_headers, value_of
 from plumline.router.state import RouterState
--- a/plumline/router/progress.py
+++ b/plumline/router/progress.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from plumline.configuration.route_table import Route
+from plumline.configuration.entities import Route
 from plumline.router.relay import EventJoiner
 from plumline.router.upstream import UpstreamConnection
 
--- a/plumline/router/selection.py
+++ b/plumline/router/selection.py
@@ -3,7 +3,7 @@
 import math
 from dataclasses import dataclass, field
 
-from plumline.configuration.route_table import Service
+from plumline.configuration.entities import Service
 from plumline.prompts.parts import size_of
 from plumline.router.admission import Request
 from plumline.router.progress import COME_BACK, Progress
--- a/plumline/router/state.py
+++ b/plumline/router/state.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from plumline import logs
-from plumline.configuration.route_table import Service
+from plumline.configuration.entities import Service
 from plumline.coordination import ring
 from plumline.coordination.budget import RetryBudget
 from plumline.counters import Counters
--- a/plumline/settings.py
+++ b/plumline/settings.py
@@ -10,21 +10,21 @@
 
 import voluptuous
 
-from plumline.configuration import (
+from plumline.configuration.rules import (
     ADDRESS,
-    FLAG,
+    BOOLEAN,
     NAME,
     POSITIVE,
     TEXT,
     Rule,
-    address,
-    every,
-    faults_of,
-    is_ip,
-    joined,
-    number,
-    required,
-    whole,
+    integer,
+    is_ipv4_address,
+    join_faults,
+    list_of,
+    number_from,
+    parse_address,
+    required_field,
+    schema_faults,
 )
 from plumline.errors import SettingsInvalidError
 
@@ -146,7 +146,9 @@
     """The fields of a dataclass of figures as keys of a section, by either way of writing them."""
     rules: dict[str, Rule] = {}
     for each in fields(kind):
-        rule = FLAG if isinstance(each.default, bool) else whole(0) if each.type is int else number(0)
+        rule = (
+            BOOLEAN if isinstance(each.default, bool) else integer(0) if each.type is int else number_from(0)
+        )
         rules[_camel(each.name)] = rules[each.name] = rule
     return rules
 
@@ -166,28 +168,33 @@
 )
 SCHEMA = voluptuous.Schema(
     {
-        **required("NodeName", NAME),
-        **required("IpAddress", Rule("an IPv4 address", is_ip)),
-        **required("InternalPortRange", PORTS),
+        **required_field("NodeName", NAME),
+        **required_field("IpAddress", Rule("an IPv4 address", is_ipv4_address)),
+        **required_field("InternalPortRange", PORTS),
         "Role": TEXT,
         "MachineClass": TEXT,
-        "Serves": every(TEXT),
+        "Serves": list_of(TEXT),
         "Zone": TEXT,
         "Region": TEXT,
-        "SeedAddresses": every(ADDRESS),
-        "FirstStart": FLAG,
-        "LossCounted": FLAG,
+        "SeedAddresses": list_of(ADDRESS),
+        "FirstStart": BOOLEAN,
+        "LossCounted": BOOLEAN,
         "DataDirectory": TEXT,
         "DiscoverySource": TEXT,
         "EntryKind": TEXT,
         "HeartbeatIntervalMs": POSITIVE,
-        "Contracts": every(TEXT),
+        "Contracts": list_of(TEXT),
         "Zones": REGIONS,
         "ListenAddresses": {"FrontHttp": ADDRESS, "Readiness": ADDRESS, "ControlPlane": ADDRESS},
         "Limits": _figures(MachineLimits),
-        "FaultTolerance": {"MachineLosses": whole(0), "Zones": whole(0), "RegionLosses": whole(0)},
+        "FaultTolerance": {"MachineLosses": integer(0), "Zones": integer(0), "RegionLosses": integer(0)},
         "Bounds": _figures(Bounds),
-        "CloudApi": {"Address": ADDRESS, "RatePerS": POSITIVE, "LagMs": number(0), "Duties": every(TEXT)},
+        "CloudApi": {
+            "Address": ADDRESS,
+            "RatePerS": POSITIVE,
+            "LagMs": number_from(0),
+            "Duties": list_of(TEXT),
+        },
     },
     extra=voluptuous.ALLOW_EXTRA,
 )
@@ -199,9 +206,9 @@
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise SettingsInvalidError(f"{path}: can't be read as TOML: {error}") from error
-    faults = faults_of(SCHEMA, raw)
+    faults = schema_faults(SCHEMA, raw)
     if faults:
-        raise SettingsInvalidError(joined(faults))
+        raise SettingsInvalidError(join_faults(faults))
     return _settings(raw)
 
 
@@ -229,18 +236,20 @@
         **plain,
         internal_ports=(raw["InternalPortRange"][0], raw["InternalPortRange"][1]),
         serves=tuple(raw.get("Serves", ())),
-        seed_addresses=tuple(found for text in raw.get("SeedAddresses", ()) if (found := address(text))),
+        seed_addresses=tuple(
+            found for text in raw.get("SeedAddresses", ()) if (found := parse_address(text))
+        ),
         contracts=frozenset(raw.get("Contracts", ())),
         zones=zones,
-        front_http=address(listen.get("FrontHttp")),
-        readiness=address(listen.get("Readiness")),
-        control_plane=address(listen.get("ControlPlane")),
+        front_http=parse_address(listen.get("FrontHttp")),
+        readiness=parse_address(listen.get("Readiness")),
+        control_plane=parse_address(listen.get("ControlPlane")),
         limits=MachineLimits(**_known(MachineLimits, raw.get("Limits", {}))),
         machine_losses=losses.get("MachineLosses", 0),
         zone_losses=losses.get("Zones", 0),
         region_losses=losses.get("RegionLosses", 0),
         bounds=Bounds(**_known(Bounds, raw.get("Bounds", {}))),
-        cloud_api=address(cloud.get("Address")),
+        cloud_api=parse_address(cloud.get("Address")),
         cloud_rate_per_s=cloud.get("RatePerS", 10.0),
         cloud_lag_ms=cloud.get("LagMs", 0),
         cloud_duties=tuple(cloud.get("Duties", ())),
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -12,8 +12,8 @@
 from unittest.mock import patch
 
 from plumline.configuration import history as history_module
-from plumline.configuration.document import check
 from plumline.configuration.replicated_state import ReplicatedConfiguration, model_names
+from plumline.configuration.validation import validate
 from plumline.coordination import replication as replication_module
 from plumline.coordination.effects import Message
 from plumline.errors import ConfigurationInvalidError, PlumlineError, VersionConflictError
@@ -287,7 +287,7 @@
             raise ViolationError(f"{result['Id']}, which is not in force, is read")
         if self.by_version.get(result["Version"], result["Id"]) != result["Id"]:
             raise ViolationError(f"{result['Id']} is read under the number of another change")
-        check(result)
+        validate(result)
 
     def on_taken(self, change: list[Any]) -> None:
         if change[0] == "weights":
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -11,10 +11,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plumline.configuration.document import amended, check, digest, parse, replaced
+from plumline.configuration.amendment import amend_document, replace_document
+from plumline.configuration.document import change_digest, parse_document
+from plumline.configuration.entities import Tenant
 from plumline.configuration.history import MIN_REMEMBERED_CHANGES, SEGMENT_CHANGES, History
 from plumline.configuration.replicated_state import ReplicatedConfiguration, ReplicatedStateInvalidError
-from plumline.configuration.route_table import RouteTable, Tenant
+from plumline.configuration.route_table import RouteTable
+from plumline.configuration.validation import validate
 from plumline.errors import ConfigurationInvalidError, UnavailableError, VersionConflictError
 
 Document = dict[str, Any]
@@ -77,13 +80,13 @@
 @pytest.mark.parametrize("raw", UNREADABLE.values(), ids=UNREADABLE.keys())
 def test_unreadable_bodies_are_refused(raw: bytes) -> None:
     with pytest.raises(ConfigurationInvalidError):
-        parse(raw)
+        parse_document(raw)
 
 
 def test_parse_gives_back_what_was_sent() -> None:
     sent = document(Deep=json.loads("[" * 60 + "]" * 60))
-    assert parse(json.dumps(sent).encode()) == sent
-    assert parse(json.dumps(sent, ensure_ascii=False).encode()) == sent
+    assert parse_document(json.dumps(sent).encode()) == sent
+    assert parse_document(json.dumps(sent, ensure_ascii=False).encode()) == sent
 
 
 def routes(*items: Document) -> Document:
@@ -151,7 +154,7 @@
 def test_invalid_documents_are_refused_without_effect(fields: Document, word: str) -> None:
     body = document(3) | fields
     with pytest.raises(ConfigurationInvalidError) as error:
-        check(body)
+        validate(body)
     assert word in error.value.text and "allowed" in error.value.text
     for state, based_on in (
         (ReplicatedConfiguration(), 0),
@@ -186,7 +189,7 @@
 
 def test_missing_version_is_refused() -> None:
     with pytest.raises(ConfigurationInvalidError, match="Version"):
-        check({"Routes": []})
+        validate({"Routes": []})
 
 
 def test_every_fault_is_told_and_no_key() -> None:
@@ -195,31 +198,33 @@
         Tenants=[{"Name": "t1", "ApiKeys": ["secret"]}, {"Name": "t2", "ApiKeys": ["secret"]}],
     )
     with pytest.raises(ConfigurationInvalidError) as error:
-        check(body)
+        validate(body)
     text = error.value.text
     assert all(word in text for word in ("Routes[r1].TimeoutMs: 0", "PathPrefix: 'x'", "s9", "Tenants[t2]"))
     assert "secret" not in text
 
 
 def test_bare_documents_are_valid() -> None:
-    check({"Version": 1})
+    validate({"Version": 1})
     bare = {"Name": "r", "Host": "h", "PathPrefix": "/", "TimeoutMs": 0.5}
-    check({"Version": 1, "Routes": [bare | {"TrafficSplit": split(0, 2)}], "Services": [{"Name": "s1"}]})
-    check({"Version": 1, "Routes": [bare | {"Service": "s1", "Kind": "later"}], "Services": [{"Name": "s1"}]})
+    validate({"Version": 1, "Routes": [bare | {"TrafficSplit": split(0, 2)}], "Services": [{"Name": "s1"}]})
+    validate(
+        {"Version": 1, "Routes": [bare | {"Service": "s1", "Kind": "later"}], "Services": [{"Name": "s1"}]}
+    )
 
 
 @pytest.mark.parametrize("based_on", [0, 1, 3, -1, True, "2", None])
 def test_a_change_on_another_version_conflicts(based_on: object) -> None:
     present = document(2)
-    for change in (replaced, amended):
+    for change in (replace_document, amend_document):
         with pytest.raises(VersionConflictError):
-            change(present, based_on, document(5) if change is replaced else {"Version": 5})  # type: ignore[arg-type]
+            change(present, based_on, document(5) if change is replace_document else {"Version": 5})  # type: ignore[arg-type]
 
 
 def test_the_first_configuration() -> None:
     first = document(4)
-    assert replaced(None, 0, first) == first
-    for change, based_on in ((replaced, 1), (amended, 0), (amended, 1)):
+    assert replace_document(None, 0, first) == first
+    for change, based_on in ((replace_document, 1), (amend_document, 0), (amend_document, 1)):
         with pytest.raises(VersionConflictError):
             change(None, based_on, document(4))
 
@@ -272,14 +277,14 @@
         "Flag": True,
     }
     sent = copy.deepcopy(body)
-    new = amended(present, 2, body)
+    new = amend_document(present, 2, body)
     assert (present, body) == (before, sent)
     assert new["Routes"] == [route("r1", TimeoutMs=5), route("r2"), route("r3")]
     assert new["Routes"][1] is present["Routes"][1]
     assert new["Tenants"] == before["Tenants"][1:] and new["Later2"] == [{"Name": "n"}]
     assert (new["Version"], new["Limits"], new["Flag"]) == (9, {"IdleTimeoutMs": 7}, True)
     assert new["Later"] is present["Later"] and new.keys().isdisjoint({"Upserts", "Removals", "Later3"})
-    check(new)
+    validate(new)
 
 
 names = st.sampled_from([f"r{i}" for i in range(8)])
@@ -310,9 +315,9 @@
             model.pop(name, None)
         assert new.configuration is not None
         assert [(r["Name"], r["TimeoutMs"]) for r in new.configuration["Routes"]] == list(model.items())
-        assert new.configuration == amended(state.configuration, version - 1, body)
+        assert new.configuration == amend_document(state.configuration, version - 1, body)
         assert new.check(change) is True and new.apply(change) is new
-        check(new.configuration)
+        validate(new.configuration)
         state = new
 
 
@@ -327,12 +332,12 @@
 @given(st.randoms(use_true_random=False))
 def test_the_digest_ignores_the_order_of_keys_alone(chance: random.Random) -> None:
     body = document()
-    assert digest("replace", 0, shuffled(body, chance)) == digest("replace", 0, body)
+    assert change_digest("replace", 0, shuffled(body, chance)) == change_digest("replace", 0, body)
 
 
 def test_the_digest_tells_changes_apart() -> None:
     marks = [
-        digest(kind, based_on, body)
+        change_digest(kind, based_on, body)
         for kind in ("replace", "amend")
         for based_on in (0, 1)
         for body in ({"a": 1}, {"a": 1.0}, {"a": True}, {"a": "1"}, {"a": [1]}, {"a": None}, {})
@@ -516,7 +521,7 @@
     state = ReplicatedConfiguration()
     for change in changes:
         state = state.apply(change)
-    taken = {digest(*change): change[2]["Version"] for change in changes}
+    taken = {change_digest(*change): change[2]["Version"] for change in changes}
     old = {key: value for key, value in state.to_wire().items() if key != "history"} | {"taken": taken}
     again = ReplicatedConfiguration.from_wire(old)
     assert again.check(changes[1]) is True and again.check(changes[2]) is True
@@ -655,9 +660,9 @@
     present = document(1)
     table = RouteTable(present)
     new = RouteTable(
-        amended(present, 1, {"Version": 2, "Upserts": {"Routes": [route("r1", TimeoutMs=9)]}}), table
+        amend_document(present, 1, {"Version": 2, "Upserts": {"Routes": [route("r1", TimeoutMs=9)]}}), table
     )
     one, two = new.match("a.example", "/r1/"), new.match("a.example", "/r2/")
     assert one is not None and one.timeout_ms == 9 and two is table.match("a.example", "/r2/")
-    gone = RouteTable(amended(present, 1, {"Version": 2, "Removals": {"Routes": ["r2"]}}), table)
+    gone = RouteTable(amend_document(present, 1, {"Version": 2, "Removals": {"Routes": ["r2"]}}), table)
     assert gone.match("a.example", "/r2/") is None
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plumline.configuration.difference import as_amend
+from plumline.configuration.difference import replace_as_amend
 from plumline.configuration.document import Document
 from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.route_table import RouteTable
@@ -46,7 +46,7 @@
 def test_the_difference_leads_to_the_same_state(first: Document, second: Document) -> None:
     state = ReplicatedConfiguration().apply(["replace", 0, first])
     change = ["replace", 1, second]
-    whole, told = state.apply(change), state.apply(as_amend(first, change))
+    whole, told = state.apply(change), state.apply(replace_as_amend(first, change))
     assert told.configuration == whole.configuration
     assert (told.shared_cache_generation, told.departed_tenants, told.version) == (
         whole.shared_cache_generation,
@@ -72,7 +72,7 @@
 def test_a_table_made_by_the_difference_is_as_one_made_anew(first: Document, second: Document) -> None:
     earlier = RouteTable(first)
     before = looks(earlier)
-    change = as_amend(first, ["replace", 1, second])
+    change = replace_as_amend(first, ["replace", 1, second])
     state = ReplicatedConfiguration().apply(["replace", 0, first]).apply(change)
     if change[0] == "amend" and state.configuration is not None:
         assert looks(earlier.with_amendment(state.configuration, change[2])) == looks(
@@ -89,7 +89,7 @@
     }
     second = {**first, "Version": 2, "Routes": [dict(each) for each in first["Routes"]]}
     second["Routes"][70] = route("r70", 70, 2)
-    change = as_amend(first, ["replace", 1, second])
+    change = replace_as_amend(first, ["replace", 1, second])
     assert change == [
         "amend",
         1,
@@ -106,9 +106,9 @@
 def test_what_an_amend_can_not_do_is_told_whole() -> None:
     first = {"Version": 1, "Routes": [], "Services": [{"Name": "s"}], "Limits": {}}
     without = ["replace", 1, {"Version": 2, "Routes": [], "Services": [{"Name": "s"}]}]
-    assert as_amend(first, without) is without
+    assert replace_as_amend(first, without) is without
     reserved = ["replace", 1, {**first, "Version": 2, "Upserts": {}}]
-    assert as_amend(first, reserved) is reserved
+    assert replace_as_amend(first, reserved) is reserved
     named = ["weights", {"Model": "m", "Version": 2}]
-    assert as_amend(first, named) is named
-    assert as_amend(None, without) is without
+    assert replace_as_amend(first, named) is named
+    assert replace_as_amend(None, without) is without
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -19,7 +19,7 @@
 
 from plumline import settings
 from plumline.cli import main
-from plumline.configuration import document
+from plumline.configuration import schema
 
 ROOT = Path(__file__).parent.parent
 OPERATING, CONFIGURATION, README = (
@@ -29,15 +29,15 @@
 )
 PAGES = [README, OPERATING, CONFIGURATION]
 BLOCK = re.compile(r"^```(\w+) ?(\S*)\n(.*?)^```$", re.M | re.S)
-SHAPES = {
-    "Document": document.TOP,
-    "Route": document.ROUTE,
-    "Split": document.SPLIT,
-    "Service": document.SERVICE,
-    "Engine": document.ENGINE,
-    "Tenant": document.TENANT,
-    "Limits": document.LIMITS,
-    "Amendment": document.AMENDMENT,
+SCHEMAS = {
+    "Document": schema.DOCUMENT_SCHEMA,
+    "Route": schema.ROUTE_SCHEMA,
+    "Split": schema.TRAFFIC_SPLIT_SCHEMA,
+    "Service": schema.SERVICE_SCHEMA,
+    "Engine": schema.ENGINE_SCHEMA,
+    "Tenant": schema.TENANT_SCHEMA,
+    "Limits": schema.LIMITS_SCHEMA,
+    "Amendment": schema.AMENDMENT_SCHEMA,
 }
 
 
@@ -180,11 +180,11 @@
     assert compared > 5
 
 
-@pytest.mark.parametrize("name", SHAPES)
+@pytest.mark.parametrize("name", SCHEMAS)
 def test_every_key_of_a_configuration_is_documented_as_it_is_checked(name: str) -> None:
     found = documented(section(CONFIGURATION, name))
     assert {key: (each[0], each[1]) for key, each in found.items()} == {
-        key: (allowed, needed) for key, allowed, needed in keys_of(SHAPES[name]._schema.schema)
+        key: (allowed, needed) for key, allowed, needed in keys_of(SCHEMAS[name]._schema.schema)
     }
 
 
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from plumline.configuration import document as configurations
+from plumline.configuration.amendment import amend_document
 from plumline.configuration.route_table import RouteTable
+from plumline.configuration.validation import validate
 from plumline.counters import Counters
 from plumline.errors import ConfigurationInvalidError, FrameError
 from plumline.lab import Pace, flood
@@ -36,26 +37,26 @@
 @pytest.mark.parametrize("share", [-0.1, 1.01, "0.3", True, float("nan")])
 def test_a_share_is_a_number_from_0_to_1(share: object) -> None:
     with pytest.raises(ConfigurationInvalidError, match=r"Tenants\[a\].ReservedShare: .* from 0 to 1"):
-        configurations.check(with_tenants({"Name": "a", "ReservedShare": share}))
+        validate(with_tenants({"Name": "a", "ReservedShare": share}))
 
 
 @pytest.mark.parametrize("share", [0, 1, 0.25, None])
 def test_a_share_may_be_left_out_or_be_null(share: object) -> None:
-    configurations.check(with_tenants({"Name": "a", "ReservedShare": share}, {"Name": "b"}))
+    validate(with_tenants({"Name": "a", "ReservedShare": share}, {"Name": "b"}))
 
 
 def test_shares_add_up_to_the_whole_at_the_most() -> None:
     tenths = [{"Name": str(n), "ReservedShare": 0.1} for n in range(10)]
-    configurations.check(with_tenants(*tenths))
+    validate(with_tenants(*tenths))
     with pytest.raises(ConfigurationInvalidError, match=r"Tenants.ReservedShare: 1.05 is not allowed"):
-        configurations.check(with_tenants(*tenths, {"Name": "a", "ReservedShare": 0.05}))
+        validate(with_tenants(*tenths, {"Name": "a", "ReservedShare": 0.05}))
 
 
 def test_an_amendment_may_not_reserve_more_than_there_is() -> None:
     before = with_tenants({"Name": "a", "ReservedShare": 0.6}, {"Name": "b"})
     change = {"Version": 2, "Upserts": {"Tenants": [{"Name": "b", "ReservedShare": 0.5}]}}
     with pytest.raises(ConfigurationInvalidError, match="add up to 1"):
-        configurations.amended(before, 1, change)
+        amend_document(before, 1, change)
 
 
 def test_the_table_holds_the_shares_by_tenant() -> None:
