--- a/plumline/configuration/entities.py
+++ b/plumline/configuration/entities.py
@@ -123,7 +123,7 @@
 
 
 def service_from(item: Document) -> Service:
-    """The service of a valid item of Services; endpoints have their figures under Engine, stores at the top."""
+    """The service of a valid item of Services; endpoints have their figures under Engine, stores at top."""
     engine = item.get("Engine") or item
     return Service(
         name=item["Name"],
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -10,18 +10,18 @@
 from plumline import logs
 from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.route_table import RouteTable
-from plumline.coordination.ballot import Terms
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Member, Message, Record
+from plumline.coordination.environment import Member, Message, Record
+from plumline.coordination.lease import LeaseDurations
 from plumline.coordination.soft_state import SoftState
 from plumline.coordination.view import View
 from plumline.counters import Counters
 from plumline.prompts.index import TOLD_PART
 from plumline.registrar.cache_stores import CacheStoreMonitor
 from plumline.registrar.discovery import EndpointDiscovery
-from plumline.registrar.operator_api import Operators
-from plumline.registrar.publisher import Feed, Work
-from plumline.registrar.rollout.plan import RolloutController
+from plumline.registrar.operator_api import OperatorApi
+from plumline.registrar.publisher import FeedPublisher, ServiceLoads
+from plumline.registrar.rollout.loop import RolloutController
 from plumline.settings import Settings, SettingsFile
 from plumline.store.log_writers import GroupCommitWriter, LogWriter, VolatileWriter
 from plumline.store.write_ahead_log import WriteAheadLog
@@ -30,22 +30,22 @@
 from plumline.wire.mesh import Mesh
 from plumline.wire.server import Server
 
-STEP = 0.05  # s between steps of the core
-BEAT = 0.4  # s between beats to routers
-SICK_AFTER = 0.6  # s that a write may wait for the disk before the machine says so
-DEAD_LINK = 1.5  # s without an echo after which a link is opened anew
-DISCOVERY_LEASE = 1.2  # s; with no rest: the calls of two holders do no harm but their price
-WEIGHTS_LEASE = 1.0  # s
-MARGIN = 0.4  # s added to the rest that the deployment asks for
-SUMMARY = 10.0  # s between summaries of the counters
-MOST_TOLD = 500  # parts in one message
-CLOSE_S = 1.5  # s of the grace period kept for answers under way and the last writes
+STEP_INTERVAL_S = 0.05  # s between steps of the core
+HEARTBEAT_INTERVAL_S = 0.4  # s between beats to routers
+STALLED_WRITE_S = 0.6  # s that a write may wait for the disk before the machine says so
+LINK_TIMEOUT_S = 1.5  # s without an echo after which a link is opened anew
+DISCOVERY_LEASE_S = 1.2  # s; with no rest: the calls of two holders do no harm but their price
+WEIGHTS_LEASE_S = 1.0  # s
+LEASE_REST_MARGIN_S = 0.4  # s added to the rest that the deployment asks for
+COUNTERS_LOG_INTERVAL_S = 10.0  # s between summaries of the counters
+MAX_EVENTS_PER_MESSAGE = 500  # parts in one message
+SHUTDOWN_RESERVE_S = 1.5  # s of the grace period kept for answers under way and the last writes
 
 log = logs.logger("registrar")
 
 
-class Registrar:
-    """Effects of the core are this object's `send` and `persist`."""
+class RegistrarProcess:
+    """The environment of the core is this object, by its `send` and `persist`."""
 
     def __init__(self, settings: Settings, settings_file: SettingsFile | None = None) -> None:
         self.settings, self.settings_file = settings, settings_file or SettingsFile(None)
@@ -57,8 +57,8 @@
         self.known = asyncio.Event()  # the incarnation is on the disk, and so may be told
         records, incarnation = self.open_store()
         self.mesh = self._make_mesh()
-        self.core = self._make_core((self.address, incarnation))
-        self.feed = Feed(
+        self.core = self._make_core(Member(self.address, incarnation))
+        self.feed = FeedPublisher(
             self.core.chain,
             self.topics,
             self.counters,
@@ -68,9 +68,9 @@
         if settings.data_directory is not None:
             self.writer = GroupCommitWriter(self.file, self.loop, self.image)
             self.persist(["incarnation", incarnation], self.known.set)
-        self.operators = Operators(self.core, self.send, self.counters)
+        self.operators = OperatorApi(self.core, self.send, self.counters)
         self.zones: dict[str, str] = {self.address: settings.zone}  # of registrars, by address
-        self.elsewhere: dict[str, tuple[float, dict[str, Work]]] = {}  # followers of other registrars
+        self.elsewhere: dict[str, tuple[float, dict[str, ServiceLoads]]] = {}  # followers of other registrars
         self.caller = Caller(self.loop.time)
         self._make_jobs()
         self.server: Server | None = None
@@ -95,18 +95,18 @@
 
     def _make_core(self, me: Member) -> Core:
         settings = self.settings
-        rest = settings.bounds.lease_duration_ms / 1000 + MARGIN
+        rest = settings.bounds.lease_duration_ms / 1000 + LEASE_REST_MARGIN_S
         return Core(
             me=me,
             seeds=settings.seeds,
             copies=settings.machine_losses + 1,
             first_start=settings.first_start,
-            effects=self,
+            environment=self,
             empty=ReplicatedConfiguration(),
             load=ReplicatedConfiguration.from_wire,
             leases={
-                "discovery": Terms(DISCOVERY_LEASE, 0.0),
-                "weights": Terms(WEIGHTS_LEASE, rest),
+                "discovery": LeaseDurations(DISCOVERY_LEASE_S, 0.0),
+                "weights": LeaseDurations(WEIGHTS_LEASE_S, rest),
             },
             now=self.loop.time(),
             chance=random.Random(secrets.randbits(64)),
@@ -131,11 +131,11 @@
             self.caller,
             settings.node_name,
             lambda: self.held("weights"),
-            lambda: self.topics.payload("roster") or [],
+            lambda: self.topics.get("roster") or [],
             lambda: self.core.chain.state.weight_versions,
             self.publish_rollout,
             self.loop.time,
-            apply_s=settings.bounds.version_apply_ms / 1000,
+            apply_timeout_s=settings.bounds.version_apply_ms / 1000,
         )
 
     # The store.
@@ -155,7 +155,7 @@
         """All records that a rewritten file holds."""
         return [["incarnation", self.incarnation], *self.core.records()]
 
-    # Effects.
+    # The environment of the core.
 
     def send(self, to: str, message: Message) -> None:
         """Sends to a registrar by address; the core's effect."""
@@ -173,7 +173,7 @@
         try:
             if self.core.on_message(now, sender, message):
                 return
-            if self.operators.relay.on_message(now, sender, message):
+            if self.operators.forwarder.on_message(now, sender, message):
                 return
             match message:
                 case ["topic", str(name), [int(term), int(count)], payload]:
@@ -222,35 +222,35 @@
 
     def take_topic(self, name: str, number: tuple[int, int], payload: Any) -> None:  # noqa: ANN401
         """Takes a soft topic that another registrar tells, if it is newer, and tells the routers."""
-        if not self.topics.offer(name, number, payload):
+        if not self.topics.update(name, number, payload):
             return
         self.feed.tell_topic(name)
         if name == "marks":
-            self.rollout.adopt(payload)
+            self.rollout.inherit(payload)
         self.rollout.wake()
 
     def tell_topic(self, name: str, term: int, payload: Any) -> None:  # noqa: ANN401
         """Publishes a soft topic as the holder of the lease of this term."""
-        number = self.topics.next_number(name, term)
+        number = self.topics.next_version(name, term)
         if number is None:
             self.counters.add("topics.term-over")
             return
-        self.topics.offer(name, number, payload)
+        self.topics.update(name, number, payload)
         self.feed.tell_topic(name)
         self.mesh.send_all(["topic", name, list(number), payload])
 
     def may_discover(self) -> bool:
         """The lease's holder; and any registrar that knows no list at all, as after a loss of power: nobody
         can hold the lease for a while then, and routers can do nothing without a list."""
-        return self.held("discovery") is not None or self.topics.payload("roster") is None
+        return self.held("discovery") is not None or self.topics.get("roster") is None
 
     def publish_endpoints(self, roster: list[dict[str, Any]]) -> None:
         """Publishes a whole list of endpoints that this registrar has read."""
         if (term := self.held("discovery")) is not None:
             self.tell_topic("roster", term, roster)
-        elif self.topics.payload("roster") is None and roster:
+        elif self.topics.get("roster") is None and roster:
             # Below any lease's number, and for this registrar's followers only.
-            self.topics.offer("roster", (0, 0), roster)
+            self.topics.update("roster", (0, 0), roster)
             self.feed.tell_topic("roster")
         self.rollout.wake()
 
@@ -277,8 +277,8 @@
         if lost:
             self.counters.add("stores.events-lost")
         told = [each for each in changes if each[3] >= TOLD_PART or each[0] == "-"]
-        for start in range(0, max(len(told), 1), MOST_TOLD):
-            stored = ["stored", epoch, told[start : start + MOST_TOLD]]
+        for start in range(0, max(len(told), 1), MAX_EVENTS_PER_MESSAGE):
+            stored = ["stored", epoch, told[start : start + MAX_EVENTS_PER_MESSAGE]]
             news = ["news", f"{address[0]}:{address[1]}", [stored]]
             self.feed.pass_news(news)
             self.mesh.send_all(news)
@@ -292,7 +292,7 @@
 
     def held(self, lease: str) -> int | None:
         """The term of the lease if this registrar may act for it right now."""
-        return self.core.ballots.holds(lease, self.loop.time())
+        return self.core.lease_election.fencing_token(self.loop.time(), lease)
 
     def applied(self, number: int, change: list[Any] | None) -> None:
         """An entry, or with None a whole state, is committed here."""
@@ -313,30 +313,30 @@
         while True:
             now = self.loop.time()
             self.core.sick = self.writer.failure is not None or (
-                self.writer.oldest_pending_age_s(now) > SICK_AFTER
+                self.writer.oldest_pending_age_s(now) > STALLED_WRITE_S
             )
             if (changed := self.settings_file.changed(now)) is not None:
                 self.core.set_seeds(changed.seeds)
             self.core.tick(now)
-            self.operators.relay.tick(now)
+            self.operators.forwarder.tick(now)
             self.note_leases(now)
             if now >= beat_at:
-                beat_at = now + BEAT
+                beat_at = now + HEARTBEAT_INTERVAL_S
                 self.beat(now)
             if now >= told_at:
                 told_at = now + 1.0
                 self.mesh.send_all(["followers", self.feed.alive(now)])
                 self.mesh.want(set(self.core.contacts.peers))
             if now >= summary_at:
-                summary_at = now + SUMMARY
+                summary_at = now + COUNTERS_LOG_INTERVAL_S
                 for line in self.counters.lines():
                     log.info(line)
-            await asyncio.sleep(STEP)
+            await asyncio.sleep(STEP_INTERVAL_S)
 
     def note_leases(self, now: float) -> None:
         """Wakes the jobs of a lease that was won or lost."""
         for name in ("discovery", "weights"):
-            held = self.core.ballots.holds(name, now)
+            held = self.core.lease_election.fencing_token(now, name)
             if held != self.holding.get(name):
                 self.holding[name] = held
                 log.info(logs.words("lease", name=name, term=held))
@@ -347,7 +347,7 @@
     def beat(self, now: float) -> None:
         """Beats to the routers, and opens dead links anew."""
         for address in list(self.mesh.links):
-            if self.core.contacts.unheard_for(now, address) > DEAD_LINK:
+            if self.core.contacts.unheard_for(now, address) > LINK_TIMEOUT_S:
                 self.core.contacts.know(now, address)
                 self.mesh.renew(address)
         view = self.core.views.view
@@ -355,10 +355,10 @@
         followed = [[address, self.zones.get(address, "")] for address in known]
         self.feed.beat(self.core.fresh(now), followed, self.routers(now))
 
-    def routers(self, now: float) -> dict[str, Work]:
+    def routers(self, now: float) -> dict[str, ServiceLoads]:
         """Routers alive anywhere, as far as told, and their work."""
         patience = self.feed.patience + 1.0
-        found: dict[str, Work] = {}
+        found: dict[str, ServiceLoads] = {}
         for at, routers in self.elsewhere.values():
             if now - at < patience:
                 found.update(routers)
@@ -376,7 +376,7 @@
         self.loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.hurry)
         for lease in ("discovery", "weights"):
-            self.core.wish(self.loop.time(), lease, True)
+            self.core.campaign(self.loop.time(), lease)
         log.info(logs.words("started", node=settings.node_name, incarnation=self.core.me[1]))
         work = [
             self.loop.create_task(each)
@@ -412,10 +412,10 @@
     async def hand_over(self) -> None:
         """Until the others need nothing more of this registrar, or the grace period is nearly over."""
         began = now = self.loop.time()
-        deadline = began + max(0.0, self.settings.bounds.grace_period_s - CLOSE_S)
+        deadline = began + max(0.0, self.settings.bounds.grace_period_s - SHUTDOWN_RESERVE_S)
         self.core.leave(now)
         while (duty := self.core.remaining_duty(now)) is not None and now < deadline:
-            await asyncio.sleep(STEP)
+            await asyncio.sleep(STEP_INTERVAL_S)
             now = self.loop.time()
         if duty is None:
             log.info(logs.words("handed-over", seconds=round(now - began, 2)))
@@ -433,4 +433,4 @@
 
 async def run(settings: Settings, settings_file: SettingsFile | None = None) -> None:
     """Runs a registrar until SIGTERM."""
-    await Registrar(settings, settings_file).run()
+    await RegistrarProcess(settings, settings_file).run()
--- a/tests/test_core_explorer.py
+++ b/tests/test_core_explorer.py
@@ -11,7 +11,7 @@
 import pytest
 
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Member
+from plumline.coordination.environment import Member
 from plumline.coordination.formation import ASK_EVERY, Formation
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import Ballot, View, Views
@@ -41,7 +41,7 @@
 class CommitsAnywhere(ChainReplica):
     def commit_if_tail(self) -> None:
         if self.can_commit():
-            self.advance(self.synced)
+            self.advance(self.synced_index)
 
 
 class CaughtUpAtOnce(ChainReplica):
@@ -103,12 +103,14 @@
         if self.views.knows_any() or now < self.asked_at + ASK_EVERY or self.me[0] not in self.seeds[:2]:
             return
         if 2 * len(self.told) > len(self.seeds):
-            members: tuple[Member, ...] = tuple(sorted(self.told.items()))
+            members: tuple[Member, ...] = tuple(Member(*each) for each in sorted(self.told.items()))
             for each in self.seeds:
-                self.effects.send(each, ["found-view", self.question, View(1, members, members).to_wire()])
+                self.environment.send(
+                    each, ["found-view", self.question, View(1, members, members).to_wire()]
+                )
         self.question, self.told, self.asked_at = secrets.token_hex(8), {}, now
         for each in self.seeds:
-            self.effects.send(each, ["found-ask", self.question])
+            self.environment.send(each, ["found-ask", self.question])
 
 
 def exchange(part: str, kind: type) -> Callable[[Core], None]:
