--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -112,7 +112,7 @@
             chance=random.Random(secrets.randbits(64)),
             applied=self.applied,
             changed=self.view_changed,
-            known_elsewhere=lambda: self.feed.told_place > 0,
+            is_configuration_known=lambda: self.feed.told_place > 0,
         )
 
     def _make_jobs(self) -> None:
@@ -312,7 +312,7 @@
         beat_at = told_at = summary_at = 0.0
         while True:
             now = self.loop.time()
-            self.core.sick = self.writer.failure is not None or (
+            self.core.disk_unhealthy = self.writer.failure is not None or (
                 self.writer.oldest_pending_age_s(now) > STALLED_WRITE_S
             )
             if (changed := self.settings_file.changed(now)) is not None:
@@ -326,7 +326,7 @@
             if now >= told_at:
                 told_at = now + 1.0
                 self.mesh.send_all(["followers", self.feed.alive(now)])
-                self.mesh.want(set(self.core.contacts.peers))
+                self.mesh.want(set(self.core.failure_detector.peers))
             if now >= summary_at:
                 summary_at = now + COUNTERS_LOG_INTERVAL_S
                 for line in self.counters.lines():
@@ -347,8 +347,8 @@
     def beat(self, now: float) -> None:
         """Beats to the routers, and opens dead links anew."""
         for address in list(self.mesh.links):
-            if self.core.contacts.unheard_for(now, address) > LINK_TIMEOUT_S:
-                self.core.contacts.know(now, address)
+            if self.core.failure_detector.time_since_contact(now, address) > LINK_TIMEOUT_S:
+                self.core.failure_detector.add_peer(now, address)
                 self.mesh.renew(address)
         view = self.core.views.view
         known = [address for address, _ in view.chain] if view else []
@@ -427,7 +427,7 @@
         """How many acceptors of the view this registrar reaches, and of how many."""
         view = self.core.views.view
         members = view.acceptors if view else ()
-        heard = sum(self.core.contacts.alive(now, address) for address, _ in members)
+        heard = sum(self.core.failure_detector.is_alive(now, address) for address, _ in members)
         return f"{heard}/{len(members)}"
 
 
