--- a/plumline/registrar/publisher.py
+++ b/plumline/registrar/publisher.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumline.configuration.difference import as_amend
+from plumline.configuration.difference import replace_as_amend
 from plumline.configuration.document import Document
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.soft_state import SoftState
@@ -101,7 +101,7 @@
             self.buffer.reset(index)
         else:
             is_next = previous_index == index - 1
-            self.buffer.append(index, as_amend(previous, change) if is_next else change)
+            self.buffer.append(index, replace_as_amend(previous, change) if is_next else change)
         self._last_configuration = index, self.chain.state.configuration
         self._catch_up_all()
 
