--- a/plumline/coordination/bootstrap.py
+++ b/plumline/coordination/bootstrap.py
@@ -13,7 +13,9 @@
 from typing import Any
 
 from plumline.coordination.environment import Environment, Member, Message
-from plumline.coordination.view import View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
+from plumline.coordination.view_messages import Decided
 
 QUERY_INTERVAL_S = 0.1  # between queries at the first start of the system
 LATER_QUERY_INTERVALS = 3  # of these between queries at a later start
@@ -31,14 +33,14 @@
         seeds: list[str],
         first_start: bool,
         environment: Environment,
-        views: Views,
+        view_agreement: ViewAgreement,
         is_configuration_known: Callable[[], bool],
     ) -> None:
         """`seeds`: addresses, the local one may be among them. `first_start`: the system never ran before.
         `is_configuration_known`: whether a router has reported a configuration that this core should know, so
         that there was a view and no second first one may be created."""
         self.local_member, self.seeds, self.first_start = local_member, sorted(seeds), first_start
-        self.environment, self.views = environment, views
+        self.environment, self.view_agreement = environment, view_agreement
         self.is_configuration_known = is_configuration_known
         self.took_part = False  # this life of the process installed a view 1 created now
         # As the founder.
@@ -83,7 +85,7 @@
         return True
 
     def _is_founder(self) -> bool:
-        if self.views.knows_any() or not self.seeds:
+        if self.view_agreement.knows_any_view() or not self.seeds:
             return False
         return self.local_member.address == self.seeds[0]
 
@@ -102,18 +104,18 @@
             self.environment.send(address, ["found-ask", self.query_id])
 
     def _on_query(self, sender: str, query_id: str) -> None:
-        if self.views.view is not None:
-            self.environment.send(sender, ["view-decided", self.views.view.to_wire()])
-        elif not self.views.knows_any() and query_id not in self.superseded_queries:
+        if self.view_agreement.view is not None:
+            self.environment.send(sender, Decided(self.view_agreement.view).to_wire())
+        elif not self.view_agreement.knows_any_view() and query_id not in self.superseded_queries:
             if self.last_answered and self.last_answered != (sender, query_id):
                 self.superseded_queries.add(self.last_answered[1])
             self.last_answered = sender, query_id
             self.environment.send(sender, ["found-tell", query_id, self.local_member.incarnation])
 
     def _on_first_view(self, sender: str, query_id: str, wire: list[Any]) -> None:
-        if self.last_answered != (sender, query_id) or self.views.knows_any():
+        if self.last_answered != (sender, query_id) or self.view_agreement.knows_any_view():
             return
         view = View.from_wire(wire)
         if self.local_member in view.acceptors:
             self.took_part = True
-            self.views.on_decided(view)
+            self.view_agreement.on_decided(view)
--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -14,7 +14,9 @@
 from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
 from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
-from plumline.coordination.view import View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
+from plumline.coordination.view_messages import RECORD_KINDS as VIEW_RECORD_KINDS
 
 
 class Core:
@@ -38,11 +40,13 @@
     ) -> None:
         self.me, self.seeds, self.environment, self.now = me, seeds, environment, now
         self.changed, self.leases = changed, tuple(leases)
-        self.views = Views(me, environment, self.installed)
+        self.view_agreement = ViewAgreement(me, environment, self.installed)
         self.chain = Chain(me, copies, environment, empty, load, applied)
         self.failure_detector = FailureDetector(me, environment)
-        self.keeper = Keeper(me, self.views, self.failure_detector, chance, copies)
-        self.bootstrap = Bootstrap(me, seeds, first_start, environment, self.views, is_configuration_known)
+        self.keeper = Keeper(me, self.view_agreement, self.failure_detector, chance, copies)
+        self.bootstrap = Bootstrap(
+            me, seeds, first_start, environment, self.view_agreement, is_configuration_known
+        )
         self.ballots = Ballots(me[0], leases, now, chance)
         self.disk_unhealthy = False
 
@@ -57,19 +61,19 @@
         """From a file's records, before the first step."""
         ballots = []
         for record in records:
-            if record[0] in ("view", "promise", "accept"):
-                self.views.restore(record)
+            if record[0] in VIEW_RECORD_KINDS:
+                self.view_agreement.restore(record)
             elif record[0] == "ballot":
                 ballots.append(record)
             else:
                 self.chain.restore(record)
         self.ballots.restore(ballots)
-        if self.views.view is not None:
-            self.installed(self.views.view)
+        if self.view_agreement.view is not None:
+            self.installed(self.view_agreement.view)
             self.suspend_grants()
 
     def records(self) -> list[Record]:
-        return [*self.views.records(), *self.chain.records(), *self.ballots.records()]
+        return [*self.view_agreement.records(), *self.chain.records(), *self.ballots.records()]
 
     # Steps.
 
@@ -87,7 +91,7 @@
         for address in self.seeds:
             self.failure_detector.add_peer(now, address)
         self.bootstrap.tick(now)
-        view = self.views.view
+        view = self.view_agreement.view
         present = self.chain.position is not None
         synced = self.chain.synced if present else min(self.chain.synced, self.chain.committed)
         local_status = LocalStatus(
@@ -112,14 +116,14 @@
         self.now = now
         if self.failure_detector.on_message(now, sender, message):
             if message[0] == "ping":
-                self.views.heard_number(sender, message[3])
+                self.view_agreement.on_peer_view_number(sender, message[3])
             return True
         if message[0] == "view-check":
             _, nonce, number = message
-            if self.views.is_present(number) and self.views.may_accept():
+            if self.view_agreement.knows_no_successor(number) and self.view_agreement.is_acceptor():
                 self.environment.send(sender, ["view-checked", nonce, number])
             return True
-        if self.views.on_message(sender, message):
+        if self.view_agreement.on_message(sender, message):
             self.suspend_grants()
             return True
         if self.chain.on_message(sender, message):
@@ -134,8 +138,8 @@
 
     def suspend_grants(self) -> None:
         """Whoever has accepted the next view votes for no lease in the present one."""
-        if self.views.view is not None and self.views.accepted is not None:
-            self.ballots.suspend_grants(self.views.view.number)
+        if self.view_agreement.view is not None and self.view_agreement.accepted is not None:
+            self.ballots.suspend_grants(self.view_agreement.view.number)
 
     def flush_ballots(self) -> None:
         for action in self.ballots.take_actions():
@@ -170,7 +174,7 @@
 
     def fresh(self, now: float) -> bool:
         """Whether what this registrar has is the newest, as far as a majority in touch shows."""
-        view = self.views.view
+        view = self.view_agreement.view
         if view is None or self.chain.position is None:
             return False
         if not self.failure_detector.has_quorum_of_reported_views(now, view.acceptors):
@@ -183,13 +187,13 @@
 
     def has_quorum_contact(self, now: float) -> bool:
         """Whether a majority of the acceptors answered this registrar lately."""
-        view = self.views.view
+        view = self.view_agreement.view
         return view is not None and self.failure_detector.has_quorum_contact(now, view.acceptors)
 
     def head(self) -> str | None:
-        view = self.views.view
+        view = self.view_agreement.view
         return view.chain[0][0] if view and view.chain else None
 
     def tail(self) -> str | None:
-        view = self.views.view
+        view = self.view_agreement.view
         return view.chain[-1][0] if view and view.chain else None
--- a/plumline/coordination/keeper.py
+++ b/plumline/coordination/keeper.py
@@ -11,7 +11,8 @@
 from plumline.coordination.environment import Member
 from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
 from plumline.coordination.replica_status import ReplicaStatus
-from plumline.coordination.view import View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
 
 STAGGER = 0.12  # s between the registrars that could propose the same
 AWAY_AFTER = 3.0  # s of silence after which a member is not waited for
@@ -28,7 +29,7 @@
 
 class Keeper:
     def __init__(
-        self, me: Member, views: Views, contacts: FailureDetector, chance: random.Random, copies: int
+        self, me: Member, views: ViewAgreement, contacts: FailureDetector, chance: random.Random, copies: int
     ) -> None:
         """`copies`: of what is acknowledged; twice that less one acceptors are enough."""
         self.me, self.views, self.contacts, self.chance = me, views, contacts, chance
@@ -218,7 +219,7 @@
 
     def left_over(self) -> View | None:
         """What an acceptor has accepted: until it is decided, no read can be answered."""
-        return self.views.accepted[1] if self.views.accepted and self.views.may_accept() else None
+        return self.views.accepted.view if self.views.accepted and self.views.is_acceptor() else None
 
     def tick(self, now: float, synced: int, committed: int, caught_up: bool) -> None:
         wanted = None
--- /dev/null
+++ b/plumline/coordination/view_agreement.py
@@ -0,0 +1,272 @@
+"""Agreement on views: single-decree Paxos, one instance a view.
+
+View n+1 is decided among the acceptors of view n, so every change of members, also one of the acceptors
+themselves, goes through a majority of the old ones, and there is one history of views. What an acceptor
+promises or accepts is synced to its disk before the proposer hears of it. See docs/system.md, and Lamport,
+"Paxos Made Simple" (2001), for the two phases.
+"""
+
+import secrets
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from random import Random
+
+from plumline.coordination.environment import Environment, Member, Message, Record
+from plumline.coordination.view import View
+from plumline.coordination.view_messages import (
+    NO_PROPOSAL,
+    Accept,
+    Accepted,
+    AcceptedProposal,
+    AcceptRecord,
+    Decided,
+    Prepare,
+    Promise,
+    PromiseRecord,
+    ProposalNumber,
+    Refused,
+    ViewRecord,
+    ViewRequest,
+    decode_message,
+    decode_record,
+)
+
+#: Seconds without a result after which a proposal counts as lost, and another may be made.
+PROPOSAL_TIMEOUT_S = 0.5
+#: Between two proposals of one registrar pass at least so many times that: drawn between these two, so that
+#: rival proposers don't keep overtaking each other.
+RETRY_FACTORS = (0.6, 1.4)
+
+
+@dataclass(slots=True)
+class Proposal:
+    """A proposal of this registrar that is under way."""
+
+    proposed_view: View
+    number: ProposalNumber
+    started_at: float  # s, steady clock
+    promises: dict[str, AcceptedProposal | None] = field(default_factory=dict)  # by acceptor's address
+    #: Put to the acceptors in phase 2; None before. Not `proposed_view` where a promise tells of another.
+    chosen_view: View | None = None
+    acceptances: set[str] = field(default_factory=set)  # addresses of acceptors
+
+
+class ViewAgreement:
+    """One registrar's part in the agreement, as acceptor, proposer and learner."""
+
+    def __init__(
+        self, local_member: Member, environment: Environment, on_installed: Callable[[View], None]
+    ) -> None:
+        """`on_installed` is called with each newly decided view, once it is on the disk."""
+        self.local_member, self.environment, self.on_installed = local_member, environment, on_installed
+        self.view: View | None = None  # the newest that is known to be decided, and on the disk
+        # As an acceptor of the view after `view`.
+        self.promised = NO_PROPOSAL
+        self.accepted: AcceptedProposal | None = None
+        # As a proposer.
+        self.proposer_name = f"{local_member.address}/{secrets.token_hex(4)}"  # no two lives share one
+        self.proposal: Proposal | None = None
+        self.highest_round = 0  # ever seen
+        self.next_proposal_at = 0.0
+        # As a learner.
+        self.unsynced_view: View | None = None  # decided, and being written to the disk
+
+    # State
+
+    def restore(self, record: Record) -> None:
+        """Replays one durable record; those of other protocols change nothing."""
+        match decode_record(record):
+            case ViewRecord(view):
+                self._set_view(view)
+            case PromiseRecord(instance, number) if self.is_next(instance):
+                self.promised = max(self.promised, number)
+            case AcceptRecord(instance, number, view) if self.is_next(instance):
+                self.promised = max(self.promised, number)
+                self.accepted = AcceptedProposal(number, view)
+        self.highest_round = max(self.highest_round, self.promised.round)
+
+    def records(self) -> list[Record]:
+        """What `restore` needs to come to the present state."""
+        records: list[Record] = []
+        if self.view is not None:
+            instance = self.view.number + 1
+            records.append(ViewRecord(self.view).to_wire())
+            if self.promised > NO_PROPOSAL:
+                records.append(PromiseRecord(instance, self.promised).to_wire())
+            if self.accepted:
+                records.append(AcceptRecord(instance, *self.accepted).to_wire())
+        if self.unsynced_view is not None:
+            records.append(ViewRecord(self.unsynced_view).to_wire())
+        return records
+
+    def knows_any_view(self) -> bool:
+        """Whether a view was decided, as far as this registrar knows."""
+        return self.view is not None or self.unsynced_view is not None
+
+    def is_acceptor(self) -> bool:
+        """Whether this registrar votes in the present view."""
+        return self.view is not None and self.local_member in self.view.acceptors
+
+    def is_next(self, instance: int) -> bool:
+        """Whether this is the number of the view to be decided now."""
+        return self.view is not None and instance == self.view.number + 1
+
+    def knows_no_successor(self, number: int) -> bool:
+        """Whether view `number` is the present one, and nothing accepted here may follow it."""
+        return self.view is not None and self.view.number == number and self.accepted is None
+
+    def _set_view(self, view: View) -> None:
+        self.view, self.promised, self.accepted, self.proposal = view, NO_PROPOSAL, None, None
+
+    # Proposer
+
+    def propose(self, now: float, random: Random, view: View) -> None:
+        """Puts `view`, the successor of the present one, to the acceptors; another may be decided instead.
+
+        Does nothing while a proposal of this registrar is under way, or where it is no acceptor.
+        """
+        if self.view is None or view.number != self.view.number + 1 or not self.is_acceptor():
+            return
+        if now < self.next_proposal_at or self._is_proposing(now):
+            return
+        self.highest_round += 1
+        number = ProposalNumber(self.highest_round, self.proposer_name)
+        self.proposal = Proposal(view, number, now)
+        self.next_proposal_at = now + PROPOSAL_TIMEOUT_S * random.uniform(*RETRY_FACTORS)
+        request = Prepare(view.number, number).to_wire()
+        for acceptor in self.view.acceptors:
+            self.environment.send(acceptor.address, request)
+
+    def on_promise(self, sender: str, promise: Promise) -> None:
+        """Once a majority has promised, puts a view to the acceptors: the newest that one of them accepted
+        before, or where there is none the proposed one."""
+        proposal = self._proposal_for(promise.instance, promise.number)
+        if self.view is None or proposal is None or proposal.chosen_view:
+            return
+        proposal.promises[sender] = promise.accepted
+        if len(proposal.promises) < self.view.majority():
+            return
+        accepted = [each for each in proposal.promises.values() if each is not None]
+        newest = max(accepted, key=lambda each: each.number, default=None)
+        proposal.chosen_view = newest.view if newest else proposal.proposed_view
+        request = Accept(promise.instance, promise.number, proposal.chosen_view).to_wire()
+        for acceptor in self.view.acceptors:
+            self.environment.send(acceptor.address, request)
+
+    def on_accepted(self, sender: str, accepted: Accepted) -> None:
+        """Once a majority has accepted the view it is decided, and all concerned learn it."""
+        proposal = self._proposal_for(accepted.instance, accepted.number)
+        if self.view is None or proposal is None:
+            return
+        proposal.acceptances.add(sender)
+        decided = proposal.chosen_view
+        if len(proposal.acceptances) < self.view.majority() or decided is None:
+            return
+        concerned = (*self.view.acceptors, *self.view.chain, *decided.acceptors, *decided.chain)
+        self.proposal = None
+        message = Decided(decided).to_wire()
+        for address in sorted({member.address for member in concerned}):
+            self.environment.send(address, message)
+
+    def _is_proposing(self, now: float) -> bool:
+        return self.proposal is not None and now - self.proposal.started_at < PROPOSAL_TIMEOUT_S
+
+    def _proposal_for(self, instance: int, number: ProposalNumber) -> Proposal | None:
+        """The proposal that an answer of an acceptor is for; None if it is over."""
+        if self.proposal is None or not self.is_next(instance) or number != self.proposal.number:
+            return None
+        return self.proposal
+
+    # Acceptor
+
+    def on_prepare(self, sender: str, prepare: Prepare) -> None:
+        """Promises the number if it is above all that was promised, and tells it once that is synced."""
+        instance, number = prepare.instance, prepare.number
+        if not self.is_next(instance):
+            self._on_other_instance(sender, instance)
+            return
+        self.highest_round = max(self.highest_round, number.round)
+        if not self.is_acceptor():
+            return
+        if number <= self.promised:
+            self.environment.send(sender, Refused(instance, self.promised).to_wire())
+            return
+        self.promised = number
+        reply = Promise(instance, number, self.accepted_to_report()).to_wire()
+        self.environment.persist(
+            PromiseRecord(instance, number).to_wire(), lambda: self.environment.send(sender, reply)
+        )
+
+    def accepted_to_report(self) -> AcceptedProposal | None:
+        """What a promise says that this acceptor has accepted."""
+        return self.accepted
+
+    def on_accept(self, sender: str, accept: Accept) -> None:
+        """Accepts the view unless a higher number was promised, and tells it once that is synced."""
+        instance, number, view = accept.instance, accept.number, accept.view
+        if not self.is_next(instance):
+            self._on_other_instance(sender, instance)
+            return
+        if not self.is_acceptor():
+            return
+        if number < self.promised:
+            self.environment.send(sender, Refused(instance, self.promised).to_wire())
+            return
+        self.promised, self.accepted = number, AcceptedProposal(number, view)
+        reply = Accepted(instance, number).to_wire()
+        self.environment.persist(
+            AcceptRecord(instance, number, view).to_wire(), lambda: self.environment.send(sender, reply)
+        )
+
+    def _on_other_instance(self, sender: str, instance: int) -> None:
+        """One of the two registrars lacks a view: sends or requests it."""
+        if self.view is not None and instance <= self.view.number:
+            self.environment.send(sender, Decided(self.view).to_wire())
+        else:
+            self.environment.send(sender, ViewRequest().to_wire())
+
+    # Learner
+
+    def on_decided(self, view: View) -> None:
+        """Stores the view and installs it once it is synced, if it is newer than what is known."""
+        known = self.unsynced_view or self.view
+        if known is not None and view.number <= known.number:
+            return
+        self.unsynced_view = view
+
+        def on_synced() -> None:
+            if self.unsynced_view is view:
+                self.unsynced_view = None
+            if self.view is None or view.number > self.view.number:
+                self._set_view(view)
+                self.on_installed(view)
+
+        self.environment.persist(ViewRecord(view).to_wire(), on_synced)
+
+    def on_peer_view_number(self, sender: str, number: int) -> None:
+        """Requests the view of a peer that has reported a newer one."""
+        if number > (self.view.number if self.view else 0):
+            self.environment.send(sender, ViewRequest().to_wire())
+
+    def on_message(self, sender: str, message: Message) -> bool:
+        """Whether the message was one of this protocol, and is dealt with."""
+        decoded = decode_message(message)
+        if decoded is None:
+            return False
+        match decoded:
+            case Prepare() as prepare:
+                self.on_prepare(sender, prepare)
+            case Promise() as promise:
+                self.on_promise(sender, promise)
+            case Accept() as accept:
+                self.on_accept(sender, accept)
+            case Accepted() as accepted:
+                self.on_accepted(sender, accepted)
+            case Refused() as refused:
+                self.highest_round = max(self.highest_round, refused.promised.round)
+            case Decided() as decided:
+                self.on_decided(decided.view)
+            case ViewRequest():
+                if self.view is not None:
+                    self.environment.send(sender, Decided(self.view).to_wire())
+        return True
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/app.py
@@ -346,7 +346,7 @@
             if self.core.failure_detector.time_since_contact(now, address) > DEAD_LINK:
                 self.core.failure_detector.add_peer(now, address)
                 self.mesh.renew(address)
-        view = self.core.views.view
+        view = self.core.view_agreement.view
         known = [address for address, _ in view.chain] if view else []
         followed = [[address, self.zones.get(address, "")] for address in known]
         self.feed.beat(self.core.fresh(now), followed, self.routers(now))
@@ -421,7 +421,7 @@
 
     def acceptors_heard(self, now: float) -> str:
         """How many acceptors of the view this registrar reaches, and of how many."""
-        view = self.core.views.view
+        view = self.core.view_agreement.view
         members = view.acceptors if view else ()
         heard = sum(self.core.failure_detector.is_alive(now, address) for address, _ in members)
         return f"{heard}/{len(members)}"
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -8,7 +8,8 @@
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.keeper import Duty, Keeper
-from plumline.coordination.view import View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
 
 
 def exchange(part: str, kind: type) -> Callable[[Core], None]:
@@ -68,13 +69,13 @@
         pass
 
 
-class ForgetsPromises(Views):
+class ForgetsPromises(ViewAgreement):
     def restore(self, record: Record) -> None:
         if record[0] != "promise":
             super().restore(record)
 
 
-class ForgetsAccepted(Views):
+class ForgetsAccepted(ViewAgreement):
     def restore(self, record: Record) -> None:
         if record[0] != "accept":
             super().restore(record)
@@ -97,6 +98,6 @@
 def mutation(name: str) -> dict[str, Any]:
     """Keywords of a schedule whose cores are without that guard."""
     kind = globals()[name]
-    parts = {Keeper: "keeper", Ballots: "ballots", Views: "views", Chain: "chain"}
+    parts = {Keeper: "keeper", Ballots: "ballots", ViewAgreement: "view_agreement", Chain: "chain"}
     part = next(part for base, part in parts.items() if issubclass(kind, base))
     return {"mutate": exchange(part, kind)}
--- a/tests/core_schedule.py
+++ b/tests/core_schedule.py
@@ -28,7 +28,7 @@
 
     def in_doubt(self) -> bool:
         """Whether some acceptor holds a view that may be decided yet, with whoever is lost meanwhile."""
-        return any(each.core and each.core.views.accepted for each in self.nodes.values())
+        return any(each.core and each.core.view_agreement.accepted for each in self.nodes.values())
 
     def trouble(self) -> None:
         if not self.troubles_on:
@@ -132,7 +132,7 @@
                 return
             self.at(0.25, try_one)
             for node in self.nodes.values():
-                if node.core and node.core.chain.is_head() and node.core.views.view == self.newest:
+                if node.core and node.core.chain.is_head() and node.core.view_agreement.view == self.newest:
                     change = self.change(len(node.core.chain.newest.ids))
                     self.submit(node, change, partial(answered, change))
 
@@ -145,7 +145,7 @@
             state = {
                 node.name: (
                     node.me[1],
-                    node.core.views.view and node.core.views.view.number,
+                    node.core.view_agreement.view and node.core.view_agreement.view.number,
                     node.core.chain.caught_up,
                 )
                 for node in self.nodes.values()
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -473,7 +473,11 @@
                 return
             self.at(0.25, try_again)
             for node in self.nodes.values():
-                if node.core is None or self.now < node.thaws_at or node.core.views.view != self.newest:
+                if (
+                    node.core is None
+                    or self.now < node.thaws_at
+                    or node.core.view_agreement.view != self.newest
+                ):
                     continue
                 if not done and node.core.chain.is_head():
                     self.submit(node, self.change(len(node.core.chain.newest.ids)), answered)
@@ -494,7 +498,7 @@
         told = [f"{self.newest}", f"lost: {[each.name for each in self.lost_places()]}"]
         for node in self.nodes.values():
             if core := node.core:
-                view = core.views.view
+                view = core.view_agreement.view
                 told.append(f"{node.me[1]} view {view and view.number} caught up {core.chain.caught_up}")
         return "; ".join(told)
 
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -319,7 +319,7 @@
     def holds_all(self, node: Node) -> bool:
         """Whether it is a caught-up member of the newest chain."""
         core, view = node.core, self.newest
-        if core is None or view is None or core.views.view != view:
+        if core is None or view is None or core.view_agreement.view != view:
             return False
         return core.chain.position is not None and core.chain.caught_up and node.me in view.acceptors
 
--- a/tests/test_core_explorer.py
+++ b/tests/test_core_explorer.py
@@ -14,7 +14,9 @@
 from plumline.coordination.chain import Chain
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member
-from plumline.coordination.view import Ballot, View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
+from plumline.coordination.view_messages import NO_PROPOSAL, Accept, AcceptedProposal, Prepare, Promise
 from tests.core_register import ViolationError
 from tests.core_schedule import explore
 
@@ -67,40 +69,40 @@
         return True
 
 
-class PromisesAnything(Views):
-    def on_prepare(self, sender: str, instance: int, ballot: Ballot) -> None:
-        if self.is_next(instance):
-            self.promised = (0, "")
-        super().on_prepare(sender, instance, ballot)
+class PromisesAnything(ViewAgreement):
+    def on_prepare(self, sender: str, prepare: Prepare) -> None:
+        if self.is_next(prepare.instance):
+            self.promised = NO_PROPOSAL
+        super().on_prepare(sender, prepare)
 
 
-class AcceptsLowerBallots(Views):
-    def on_accept(self, sender: str, instance: int, ballot: Ballot, view: View) -> None:
-        if self.is_next(instance):
-            self.promised = (0, "")
-        super().on_accept(sender, instance, ballot, view)
+class AcceptsLowerNumbers(ViewAgreement):
+    def on_accept(self, sender: str, accept: Accept) -> None:
+        if self.is_next(accept.instance):
+            self.promised = NO_PROPOSAL
+        super().on_accept(sender, accept)
 
 
-class TellsNothingAccepted(Views):
-    def told_accepted(self) -> list[Any] | None:
+class ReportsNothingAccepted(ViewAgreement):
+    def accepted_to_report(self) -> AcceptedProposal | None:
         return None
 
 
-class OneVoteLess(Views):
-    def on_promise(self, sender: str, instance: int, ballot: Ballot, accepted: Any) -> None:  # noqa: ANN401
-        super().on_promise(sender, instance, ballot, accepted)
-        if self.proposal and self.proposal.accepting and self.view:
-            self.proposal.accepts.add("nobody")
+class OneVoteLess(ViewAgreement):
+    def on_promise(self, sender: str, promise: Promise) -> None:
+        super().on_promise(sender, promise)
+        if self.proposal and self.proposal.chosen_view and self.view:
+            self.proposal.acceptances.add("nobody")
 
 
-class AnyoneAccepts(Views):
-    def may_accept(self) -> bool:
+class AnyoneAccepts(ViewAgreement):
+    def is_acceptor(self) -> bool:
         return self.view is not None
 
 
 class CreatesViewWithAMajority(Bootstrap):
     def tick(self, now: float) -> None:
-        if self.views.knows_any() or now < self.queried_at + QUERY_INTERVAL_S:
+        if self.view_agreement.knows_any_view() or now < self.queried_at + QUERY_INTERVAL_S:
             return
         if self.local_member.address not in self.seeds[:2]:
             return
@@ -132,8 +134,8 @@
     )
     views = (
         PromisesAnything,
-        AcceptsLowerBallots,
-        TellsNothingAccepted,
+        AcceptsLowerNumbers,
+        ReportsNothingAccepted,
         OneVoteLess,
         AnyoneAccepts,
     )
@@ -141,7 +143,7 @@
         more = {"seeds": 1} if kind is CommitsWithAnyCopies else {}  # so the chain begins with one member
         yield pytest.param({"mutate": exchange("chain", kind), **more}, id=kind.__name__)
     for kind in views:
-        yield pytest.param({"mutate": exchange("views", kind)}, id=kind.__name__)
+        yield pytest.param({"mutate": exchange("view_agreement", kind)}, id=kind.__name__)
     yield pytest.param(
         {"mutate": exchange("bootstrap", CreatesViewWithAMajority)}, id=CreatesViewWithAMajority.__name__
     )
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -133,7 +133,7 @@
         world.go(0.05)
         if "c" in world.chain():
             break
-        if world.nodes["c"].core.views.view == world.newest:
+        if world.nodes["c"].core.view_agreement.view == world.newest:
             world.cut = {("b", "c")} if world.now % 1 < 0.5 else set()
     world.cut = {("b", "c"), ("c", "b")}
     world.go(0.5)
@@ -339,7 +339,7 @@
     world.put(0)
     core = world.nodes["c"].core
     core.leave(local(world, "c"))
-    assert world.go(1.0, lambda: core.me not in core.views.view.chain)
+    assert world.go(1.0, lambda: core.me not in core.view_agreement.view.chain)
     assert core.remaining_duty(local(world, "c")) is Duty.REPLICA
     assert world.go(1.0, lambda: core.remaining_duty(local(world, "c")) is None)
 
--- a/tests/test_registrar.py
+++ b/tests/test_registrar.py
@@ -60,7 +60,7 @@
     second = Registrar(settings_for(tmp_path / "two"))
     assert second.core.me[0] == first.core.me[0]
     assert second.core.me[1] != first.core.me[1]
-    assert second.core.views.view is None
+    assert second.core.view_agreement.view is None
     first.writer.close()
     second.writer.close()
 
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -3,7 +3,8 @@
 from random import Random
 
 from plumline.coordination.ballot import Terms
-from plumline.coordination.view import View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
 from tests.core_world import World
 
 
@@ -23,7 +24,7 @@
     world.freeze(world.nodes["c"], 3.0)
     world.go(2.0)
     assert world.views[2].chain == (("a", "a-1"), ("b", "b-1"))
-    assert world.nodes["c"].core.views.view.number == 1
+    assert world.nodes["c"].core.view_agreement.view.number == 1
     world.settle()
 
 
@@ -31,7 +32,7 @@
     world = formed()
     world.split("a", "bc")
     world.go(20.0)
-    assert world.nodes["a"].core.views.view.number == 1
+    assert world.nodes["a"].core.view_agreement.view.number == 1
     assert world.newest.chain[0] == ("b", "b-1")
 
 
@@ -51,7 +52,7 @@
         view, now = world.newest, world.now
         for name, gone in (("a", "b"), ("c", "a"), ("b", "c")):
             core = world.nodes[name].core
-            core.views.propose(now + world.nodes[name].offset, Random(seed), without(view, gone))
+            core.view_agreement.propose(now + world.nodes[name].offset, Random(seed), without(view, gone))
         assert world.go(10.0, lambda world=world: len(world.views) > 1)
         world.settle()
 
@@ -81,7 +82,7 @@
     world.go(0.01)
     world.crash(a, keep=0)
     world.start(a)
-    assert a.core.views.promised == (7, "b")
+    assert a.core.view_agreement.promised == (7, "b")
     world.spy = True
     world.deliver("c", "a", ["view-prepare", 2, [6, "c"]])
     world.deliver("c", "a", ["view-accept", 2, [6, "c"], without(world.newest, "b").to_wire()])
@@ -96,7 +97,7 @@
     for name in "bc":  # accepted by a majority, that is, decided; its proposer tells nobody
         world.deliver("a", name, ["view-accept", 2, [3, "a"], without(world.newest, "c").to_wire()])
     world.go(0.01)
-    world.nodes["b"].core.views.propose(
+    world.nodes["b"].core.view_agreement.propose(
         world.now + world.nodes["b"].offset, Random(1), without(world.newest, "a")
     )
     assert world.go(5.0, lambda: 2 in world.views)
@@ -120,7 +121,7 @@
     world.wipe(world.nodes["c"])
     world.start(world.nodes["c"])
     c = world.nodes["c"]
-    assert world.go(1.0, lambda: c.core is not None and c.core.views.knows_any())
+    assert world.go(1.0, lambda: c.core is not None and c.core.view_agreement.knows_any_view())
     world.spy = True
     number = world.newest.number
     world.deliver("a", "c", ["view-prepare", number + 1, [50, "a"]])
@@ -135,10 +136,10 @@
 
 def test_records_restore_to_the_same() -> None:
     world = formed()
-    views = world.nodes["a"].core.views
+    views = world.nodes["a"].core.view_agreement
     world.deliver("b", "a", ["view-accept", 2, [3, "b"], without(world.newest, "c").to_wire()])
     world.go(0.01)
-    again = Views(views.me, views.environment, lambda view: None)
+    again = ViewAgreement(views.local_member, views.environment, lambda view: None)
     for record in views.records():
         again.restore(record)
     assert (again.view, again.promised, again.accepted) == (views.view, views.promised, views.accepted)
--- a/tests/test_view_explorer.py
+++ b/tests/test_view_explorer.py
@@ -8,7 +8,8 @@
 import pytest
 
 from plumline.coordination.environment import Member, Message, Record
-from plumline.coordination.view import PROPOSAL_PATIENCE, View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import PROPOSAL_TIMEOUT_S, ViewAgreement
 from tests.core_mutations import ForgetsAccepted, ForgetsPromises
 from tests.core_register import ViolationError
 
@@ -51,7 +52,7 @@
 class ViewSchedule:
     """One random schedule of so many seconds."""
 
-    def __init__(self, seed: int, kind: type[Views] = Views) -> None:
+    def __init__(self, seed: int, kind: type[ViewAgreement] = ViewAgreement) -> None:
         self.random, self.kind = Random(seed), kind
         self.now = 0.0
         self.events: list[tuple[float, int, Callable[[], None]]] = []
@@ -84,8 +85,10 @@
             return
         chain = tuple(self.random.sample(MEMBERS, self.random.randint(1, 3)))
         views = machine.views
-        views.retry_at = 0.0
-        if views.view and (views.proposal is None or self.now - views.proposal.began > PROPOSAL_PATIENCE):
+        views.next_proposal_at = 0.0
+        if views.view and (
+            views.proposal is None or self.now - views.proposal.started_at > PROPOSAL_TIMEOUT_S
+        ):
             views.propose(self.now, self.random, View(views.view.number + 1, MEMBERS, chain))
 
     def run(self, seconds: float) -> int:
@@ -97,7 +100,7 @@
         return len(self.decided)
 
 
-def explore(seeds: range, kind: type[Views] = Views) -> int:
+def explore(seeds: range, kind: type[ViewAgreement] = ViewAgreement) -> int:
     return sum(ViewSchedule(seed, kind).run(20.0) for seed in seeds)
 
 
@@ -109,7 +112,7 @@
 
 
 @pytest.mark.parametrize("kind", [ForgetsPromises, ForgetsAccepted])
-def test_schedules_find_what_a_restart_must_not_forget(kind: type[Views]) -> None:
+def test_schedules_find_what_a_restart_must_not_forget(kind: type[ViewAgreement]) -> None:
     with pytest.raises(ViolationError) as caught:
         explore(range(5000), kind)
     print(caught.value)
