--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -9,7 +9,8 @@
 from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.lease.voter import Voter
 from plumline.coordination.replication import ChainReplica
-from plumline.coordination.view import View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
 
 
 def exchange(part: str, kind: type) -> Callable[[Core], None]:
@@ -69,13 +70,13 @@
         pass
 
 
-class ForgetsPromises(Views):
+class ForgetsPromises(ViewAgreement):
     def restore(self, record: Record) -> None:
         if record[0] != "promise":
             super().restore(record)
 
 
-class ForgetsAccepted(Views):
+class ForgetsAccepted(ViewAgreement):
     def restore(self, record: Record) -> None:
         if record[0] != "accept":
             super().restore(record)
@@ -98,6 +99,11 @@
 def mutation(name: str) -> dict[str, Any]:
     """Keywords of a schedule whose cores are without that guard."""
     kind = globals()[name]
-    parts = {Keeper: "keeper", Voter: "lease_election.voter", Views: "views", ChainReplica: "chain"}
+    parts = {
+        Keeper: "keeper",
+        Voter: "lease_election.voter",
+        ViewAgreement: "view_agreement",
+        ChainReplica: "chain",
+    }
     part = next(part for base, part in parts.items() if issubclass(kind, base))
     return {"mutate": exchange(part, kind)}
