--- a/tests/frozen_adapter.py
+++ b/tests/frozen_adapter.py
@@ -31,16 +31,16 @@
 import ormsgpack
 from click.testing import CliRunner
 from frozen_story import Day, Program, Told
-from plumline.store.writer import ImmediateWriter
 
 import plumline
 from plumline import logs, settings
 from plumline.cli import main
 from plumline.errors import PlumlineError
 from plumline.operator_calls import settle
-from plumline.registrar import app as registrar
+from plumline.registrar import process as registrar
 from plumline.router import app as router
 from plumline.settings import from_environment
+from plumline.store.log_writers import SynchronousWriter
 
 ROOT = Path(__file__).parent.parent
 PROGRAMS = ("plumline", "elmglade")
@@ -187,9 +187,9 @@
     await settle(addresses, "configuration_replace", {"Based-On-Version": "2"}, document)
 
 
-def writer_at_once(file: Any, loop: asyncio.AbstractEventLoop, image: Callable[[], Any]) -> ImmediateWriter:  # noqa: ANN401
+def writer_at_once(file: Any, loop: asyncio.AbstractEventLoop, image: Callable[[], Any]) -> SynchronousWriter:  # noqa: ANN401
     """In place of the writer with a thread, which knows no virtual time."""
-    return ImmediateWriter(file, image, loop.time)
+    return SynchronousWriter(file, image, loop.time)
 
 
 @contextmanager
@@ -209,7 +209,7 @@
     """What a story of `frozen_story` leaves, and the log."""
     with (
         tempfile.TemporaryDirectory() as folder,
-        patch.object(registrar, "DurableWriter", writer_at_once),
+        patch.object(registrar, "GroupCommitWriter", writer_at_once),
         log_lines() as lines,
     ):
         told = frozen_cluster.play(
