--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -7,13 +7,23 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumline.coordination.ballot import Ballots, Persist, Send, Terms
-from plumline.coordination.chain import Chain
-from plumline.coordination.contacts import SUSPECT_AFTER, Contacts
-from plumline.coordination.effects import Effects, Member, Message, Record
-from plumline.coordination.formation import Formation
+from plumline.coordination.bootstrap import Bootstrap
+from plumline.coordination.environment import Environment, Member, Message, Record
+from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
 from plumline.coordination.keeper import Duty, Keeper
-from plumline.coordination.view import View, Views
+from plumline.coordination.lease import (
+    LEASE_MESSAGE_KIND,
+    TERM_RECORD_KIND,
+    LeaseDurations,
+    LeaseElection,
+    Persist,
+    Send,
+)
+from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
+from plumline.coordination.replication import ChainReplica
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
+from plumline.coordination.view_messages import RECORD_KINDS as VIEW_RECORD_KINDS
 
 
 class Core:
@@ -25,25 +35,27 @@
         seeds: list[str],
         copies: int,
         first_start: bool,
-        effects: Effects,
+        environment: Environment,
         empty: Any,  # noqa: ANN401
         load: Callable[[Any], Any],
-        leases: dict[str, Terms],
+        leases: dict[str, LeaseDurations],
         now: float,
         chance: random.Random,
         applied: Callable[[int, list[Any] | None], None],
         changed: Callable[[View], None],
-        known_elsewhere: Callable[[], bool],
+        is_configuration_known: Callable[[], bool],
     ) -> None:
-        self.me, self.seeds, self.effects, self.now = me, seeds, effects, now
+        self.me, self.seeds, self.environment, self.now = me, seeds, environment, now
         self.changed, self.leases = changed, tuple(leases)
-        self.views = Views(me, effects, self.installed)
-        self.chain = Chain(me, copies, effects, empty, load, applied)
-        self.contacts = Contacts(me, effects)
-        self.keeper = Keeper(me, self.views, self.contacts, chance, copies)
-        self.formation = Formation(me, seeds, first_start, effects, self.views, known_elsewhere)
-        self.ballots = Ballots(me[0], leases, now, chance)
-        self.sick = False
+        self.view_agreement = ViewAgreement(me, environment, self.installed)
+        self.chain = ChainReplica(me, copies, environment, empty, load, applied)
+        self.failure_detector = FailureDetector(me, environment)
+        self.keeper = Keeper(me, self.view_agreement, self.failure_detector, chance, copies)
+        self.bootstrap = Bootstrap(
+            me, seeds, first_start, environment, self.view_agreement, is_configuration_known
+        )
+        self.lease_election = LeaseElection(me[0], leases, chance)
+        self.disk_unhealthy = False
 
     def set_seeds(self, seeds: list[str]) -> None:
         """The seeds of now: whom to ask. The first view is formed by those of this process's start, or never:
@@ -54,112 +66,119 @@
 
     def restore(self, records: list[Record]) -> None:
         """From a file's records, before the first step."""
-        ballots = []
+        lease_records = []
         for record in records:
-            if record[0] in ("view", "promise", "accept"):
-                self.views.restore(record)
-            elif record[0] == "ballot":
-                ballots.append(record)
+            if record[0] in VIEW_RECORD_KINDS:
+                self.view_agreement.restore(record)
+            elif record[0] == TERM_RECORD_KIND:
+                lease_records.append(record)
             else:
                 self.chain.restore(record)
-        self.ballots.restore(ballots)
-        if self.views.view is not None:
-            self.installed(self.views.view)
-            self.suspend_grants()
+        self.lease_election.restore(lease_records)
+        if self.view_agreement.view is not None:
+            self.installed(self.view_agreement.view)
+            self.stop_granting_leases()
 
     def records(self) -> list[Record]:
-        return [*self.views.records(), *self.chain.records(), *self.ballots.records()]
+        return [*self.view_agreement.records(), *self.chain.records(), *self.lease_election.records()]
 
     # Steps.
 
     def installed(self, view: View) -> None:
         self.chain.install(view)
         for address, _ in (*view.acceptors, *view.chain):
-            self.contacts.know(self.now, address)
+            self.failure_detector.add_peer(self.now, address)
         voters = [address for address, _ in view.acceptors] if self.me in view.acceptors else []
-        formed_now = view.number == 1 and self.formation.formed
-        self.ballots.set_view(self.now, view.number, voters, formed_now=formed_now)
+        formed_now = view.number == 1 and self.bootstrap.took_part
+        self.lease_election.set_view(self.now, view.number, voters, formed_now=formed_now)
         self.changed(view)
 
     def tick(self, now: float) -> None:
         self.now = now
         for address in self.seeds:
-            self.contacts.know(now, address)
-        self.formation.tick(now)
-        view = self.views.view
+            self.failure_detector.add_peer(now, address)
+        self.bootstrap.tick(now)
+        view = self.view_agreement.view
         present = self.chain.position is not None
-        synced = self.chain.synced if present else min(self.chain.synced, self.chain.committed)
-        self.contacts.tick(
-            now,
-            [
-                *(self.me[1], view.number if view else 0, synced),
-                *(self.sick, self.keeper.leaving, self.chain.standing()),
-            ],
+        synced = (
+            self.chain.synced_index if present else min(self.chain.synced_index, self.chain.committed_index)
+        )
+        local_status = LocalStatus(
+            incarnation=self.me.incarnation,
+            view_number=view.number if view else 0,
+            last_synced=synced,
+            disk_unhealthy=self.disk_unhealthy,
+            draining=self.keeper.leaving,
+            status=ReplicaStatus(self.chain.status()),
         )
-        self.keeper.tick(now, self.chain.synced, self.chain.committed, self.chain.caught_up)
+        self.failure_detector.tick(now, local_status)
+        self.keeper.tick(now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
         self.chain.tick(now)
-        self.ballots.tick(now)
-        self.flush_ballots()
+        self.lease_election.tick(now)
+        self.perform_lease_actions()
         if view is not None:
             named = {address for address, _ in (*view.acceptors, *view.chain)} | set(self.seeds)
-            self.contacts.forget(now, named)
+            self.failure_detector.remove_silent_peers(now, named)
 
     def on_message(self, now: float, sender: str, message: Message) -> bool:
         """False if nobody here knows the kind of message."""
         self.now = now
-        if self.contacts.on_message(now, sender, message):
+        if self.failure_detector.on_message(now, sender, message):
             if message[0] == "ping":
-                self.views.heard_number(sender, message[3])
+                self.view_agreement.on_peer_view_number(sender, message[3])
             return True
         if message[0] == "view-check":
             _, nonce, number = message
-            if self.views.is_present(number) and self.views.may_accept():
-                self.effects.send(sender, ["view-checked", nonce, number])
+            if self.view_agreement.knows_no_successor(number) and self.view_agreement.is_acceptor():
+                self.environment.send(sender, ["view-checked", nonce, number])
             return True
-        if self.views.on_message(sender, message):
-            self.suspend_grants()
+        if self.view_agreement.on_message(sender, message):
+            self.stop_granting_leases()
             return True
         if self.chain.on_message(sender, message):
             return True
-        if self.formation.on_message(sender, message):
+        if self.bootstrap.on_message(sender, message):
             return True
-        if message[0] == "ballot":
-            self.ballots.on_message(now, sender, message[1:])
-            self.flush_ballots()
+        if message[0] == LEASE_MESSAGE_KIND:
+            self.lease_election.on_message(now, sender, message[1:])
+            self.perform_lease_actions()
             return True
         return False
 
-    def suspend_grants(self) -> None:
+    def stop_granting_leases(self) -> None:
         """Whoever has accepted the next view votes for no lease in the present one."""
-        if self.views.view is not None and self.views.accepted is not None:
-            self.ballots.suspend_grants(self.views.view.number)
+        if self.view_agreement.view is not None and self.view_agreement.accepted is not None:
+            self.lease_election.stop_granting(self.view_agreement.view.number)
 
-    def flush_ballots(self) -> None:
-        for action in self.ballots.take_actions():
+    def perform_lease_actions(self) -> None:
+        for action in self.lease_election.take_actions():
             if isinstance(action, Send):
-                self.effects.send(action.to, ["ballot", *action.message])
+                self.environment.send(action.to, [LEASE_MESSAGE_KIND, *action.message])
             else:
-                self.effects.persist(action.record, lambda action=action: self.ballot_synced(action))
+                self.environment.persist(
+                    action.record, lambda action=action: self.lease_record_synced(action)
+                )
 
-    def ballot_synced(self, action: Persist) -> None:
-        self.ballots.on_synced(action.record)
+    def lease_record_synced(self, action: Persist) -> None:
+        self.lease_election.on_synced(action.record)
         for to, message in action.send_after:
-            self.effects.send(to, ["ballot", *message])
+            self.environment.send(to, [LEASE_MESSAGE_KIND, *message])
 
-    def wish(self, now: float, lease: str, wanted: bool) -> None:
-        """Whether this registrar stands for the lease; unset, it is given back."""
-        self.ballots.wish(now, lease, wanted)
-        self.flush_ballots()
+    def campaign(self, now: float, lease: str) -> None:
+        """Makes this registrar a candidate for the lease, until it leaves."""
+        self.lease_election.campaign(now, lease)
+        self.perform_lease_actions()
 
     def leave(self, now: float) -> None:
         """Gives all leases back and tells the others to take this registrar out."""
         self.keeper.leaving = True
         for lease in self.leases:
-            self.wish(now, lease, False)
+            self.lease_election.release(now, lease)
+        self.perform_lease_actions()
 
     def remaining_duty(self, now: float) -> Duty | None:
         """What must still be handed over before this registrar may end; None: nothing."""
-        if any(self.ballots.holds(lease, now) is not None for lease in self.leases):
+        if any(self.lease_election.fencing_token(now, lease) is not None for lease in self.leases):
             return Duty.LEASE
         return self.keeper.remaining_duty(now)
 
@@ -167,26 +186,26 @@
 
     def fresh(self, now: float) -> bool:
         """Whether what this registrar has is the newest, as far as a majority in touch shows."""
-        view = self.views.view
+        view = self.view_agreement.view
         if view is None or self.chain.position is None:
             return False
-        if not self.contacts.know_views(now, view.acceptors):
+        if not self.failure_detector.has_quorum_of_reported_views(now, view.acceptors):
             return False
         newer = any(
-            peer.view > view.number and now - peer.echoed < SUSPECT_AFTER
-            for peer in self.contacts.peers.values()
+            peer.view_number > view.number and now - peer.last_echoed_at < SUSPECT_TIMEOUT_S
+            for peer in self.failure_detector.peers.values()
         )
         return self.chain.caught_up and not newer
 
-    def has_majority(self, now: float) -> bool:
+    def has_quorum_contact(self, now: float) -> bool:
         """Whether a majority of the acceptors answered this registrar lately."""
-        view = self.views.view
-        return view is not None and self.contacts.in_touch(now, view.acceptors)
+        view = self.view_agreement.view
+        return view is not None and self.failure_detector.has_quorum_contact(now, view.acceptors)
 
     def head(self) -> str | None:
-        view = self.views.view
+        view = self.view_agreement.view
         return view.chain[0][0] if view and view.chain else None
 
     def tail(self) -> str | None:
-        view = self.views.view
+        view = self.view_agreement.view
         return view.chain[-1][0] if view and view.chain else None
--- /dev/null
+++ b/plumline/registrar/forwarding.py
@@ -0,0 +1,176 @@
+"""Forwards operators' requests to the head or the tail of the chain, from whichever registrar they reach.
+
+Pure: times and messages in, messages and results out. A registrar's process, or a test by hand, drives it.
+
+Each request is answered once, and soon: a caller leaves after a second of silence. Where no majority is in
+touch, the answer is at once that another registrar should be asked.
+"""
+
+import secrets
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from plumline.configuration.document import Document
+from plumline.configuration.replicated_state import ReplicatedConfiguration
+from plumline.coordination.core import Core
+from plumline.errors import (
+    ConfigurationInvalidError,
+    PlumlineError,
+    UnavailableError,
+    VersionConflictError,
+)
+from plumline.registrar.forwarding_messages import (
+    ForwardedRead,
+    ForwardedRequest,
+    ForwardedWrite,
+    ForwardingResponse,
+    forwarding_message_from_wire,
+)
+
+#: s for the head or the tail to answer; with the ways to and from the caller well under its second.
+FORWARD_TIMEOUT_S = 0.75
+#: Callers wait longer for large bodies, and these take longer to read, to sync and to pass on.
+LARGE_BODY_BYTES_PER_S = 1_000_000
+ERROR_TYPES_BY_CODE = {
+    error_type.code: error_type
+    for error_type in (ConfigurationInvalidError, VersionConflictError, UnavailableError)
+}
+#: The result of an acknowledged change, as it is sent and as the operator gets it.
+ACKNOWLEDGED = {"taken": True}
+KEY_BYTES = 8  # of a request's random key
+
+#: A change as the log holds it: its kind, then its operands.
+Change = list[Any]
+#: Gets an error, or None and the result: ACKNOWLEDGED, or the configuration (None where there is none yet).
+ResultCallback = Callable[[PlumlineError | None, Document | None], None]
+
+
+@dataclass(slots=True)
+class PendingRequest:
+    """A request that was forwarded and has no response yet. Times are steady s."""
+
+    address: str  # of the registrar that it was forwarded to
+    deadline: float
+    on_result: ResultCallback
+
+
+class RequestForwarder:
+    """Forwards the requests that arrived here, and serves those that other registrars forward."""
+
+    def __init__(self, core: Core, send: Callable[[str, list[Any]], None]) -> None:
+        """`send(address, message)`: to a registrar, also to this one."""
+        self.core, self.send = core, send
+        self.pending: dict[str, PendingRequest] = {}
+
+    # Requests that arrived here.
+
+    def submit(self, now: float, change: Change, body_bytes: int, on_result: ResultCallback) -> None:
+        """Forwards a change to the head. `body_bytes`: size of the operator's request."""
+        timeout_s = FORWARD_TIMEOUT_S + body_bytes / LARGE_BODY_BYTES_PER_S
+        request = ForwardedWrite(_new_key(), change)
+        self._forward(now, self.core.head(), request, timeout_s, on_result)
+
+    def read(self, now: float, on_result: ResultCallback) -> None:
+        """Asks the tail for the configuration; the result is None where there is none yet."""
+        self._forward(now, self.core.tail(), ForwardedRead(_new_key()), FORWARD_TIMEOUT_S, on_result)
+
+    def _forward(
+        self,
+        now: float,
+        address: str | None,
+        request: ForwardedRequest,
+        timeout_s: float,
+        on_result: ResultCallback,
+    ) -> None:
+        error = self._unreachable_error(now, address)
+        if error is not None or address is None:
+            on_result(error, None)
+            return
+        self.pending[request.key] = PendingRequest(address, now + timeout_s, on_result)
+        self.send(address, request.to_wire())
+
+    def _unreachable_error(self, now: float, address: str | None) -> UnavailableError | None:
+        """Why no response can be had from that registrar now; None if one may come."""
+        if address is None:
+            return UnavailableError("no view of the core is known yet")
+        if not self.core.has_quorum_contact(now):
+            return UnavailableError("this registrar is cut off from the majority; ask another")
+        if address != self.core.me[0] and not self.core.failure_detector.is_alive(now, address):
+            return UnavailableError(f"{address} is silent; ask another")
+        return None
+
+    def tick(self, now: float) -> None:
+        """Fails the requests that have timed out, or wait for a registrar that can't be reached any more."""
+        for key, request in list(self.pending.items()):
+            error = self._unreachable_error(now, request.address)
+            if error is None and now >= request.deadline:
+                error = UnavailableError("no answer within the core; whether it was taken is not known")
+            if error is not None:
+                del self.pending[key]
+                request.on_result(error, None)
+
+    # Between registrars.
+
+    def on_message(self, now: float, sender: str, message: list[Any]) -> bool:
+        """False if the message is of no kind that belongs here."""
+        match forwarding_message_from_wire(message):
+            case ForwardedWrite() as write:
+                self._on_write(now, sender, write)
+            case ForwardedRead() as read:
+                self._on_read(now, sender, read)
+            case ForwardingResponse() as response:
+                self._on_response(sender, response)
+            case _:
+                return False
+        return True
+
+    def _on_write(self, now: float, sender: str, write: ForwardedWrite) -> None:
+        # Without a quorum the change would wait here, to be dropped or applied late.
+        if not self.core.has_quorum_contact(now):
+            error = UnavailableError("the head is cut off from the majority")
+            self._respond(sender, write.key, error)
+            return
+
+        def on_committed(error: PlumlineError | None) -> None:
+            self._respond(sender, write.key, error, ACKNOWLEDGED)
+
+        self.core.chain.submit(write.change, on_committed)
+
+    def _on_read(self, now: float, sender: str, read: ForwardedRead) -> None:
+        if not self.core.has_quorum_contact(now):
+            error = UnavailableError("the tail is cut off from the majority")
+            self._respond(sender, read.key, error)
+            return
+
+        def on_read(state: ReplicatedConfiguration | None) -> None:
+            if state is None:
+                self._respond(sender, read.key, UnavailableError("not a tail that may answer"))
+            else:
+                self._respond(sender, read.key, None, state.configuration)
+
+        self.core.chain.read(on_read)
+
+    def _respond(
+        self, address: str, key: str, error: PlumlineError | None, result: Document | None = None
+    ) -> None:
+        if error is None:
+            response = ForwardingResponse(key, None, "", result)
+        else:
+            response = ForwardingResponse(key, error.code, error.text, None)
+        self.send(address, response.to_wire())
+
+    def _on_response(self, sender: str, response: ForwardingResponse) -> None:
+        request = self.pending.get(response.key)
+        if request is None or request.address != sender:
+            return  # it came too late, or from a registrar that was not asked
+        del self.pending[response.key]
+        if response.error_code is None:
+            request.on_result(None, response.result)
+        else:
+            error_type = ERROR_TYPES_BY_CODE.get(response.error_code, UnavailableError)
+            request.on_result(error_type(response.error_text), None)
+
+
+def _new_key() -> str:
+    return secrets.token_hex(KEY_BYTES)
--- a/plumline/registrar/app.py
+++ b/plumline/registrar/process.py
@@ -8,69 +8,69 @@
 from typing import Any
 
 from plumline import logs
-from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
-from plumline.coordination.ballot import Terms
+from plumline.configuration.replicated_state import ReplicatedConfiguration
+from plumline.configuration.route_table import RouteTable
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Member, Message, Record
-from plumline.coordination.topics import Topics
+from plumline.coordination.environment import Member, Message, Record
+from plumline.coordination.lease import LeaseDurations
+from plumline.coordination.soft_state import SoftState
 from plumline.coordination.view import View
 from plumline.counters import Counters
 from plumline.prompts.index import TOLD_PART
-from plumline.registrar.discovery import Discovery
-from plumline.registrar.feeding import Feed, Work
-from plumline.registrar.operators import Operators
-from plumline.registrar.stores import Stores
-from plumline.registrar.weights import Weights
+from plumline.registrar.cache_stores import CacheStoreMonitor
+from plumline.registrar.discovery import EndpointDiscovery
+from plumline.registrar.operator_api import OperatorApi
+from plumline.registrar.publisher import FeedPublisher
+from plumline.registrar.rollout.loop import RolloutController
+from plumline.registrar.service_load import ServiceLoads
 from plumline.settings import Settings, SettingsFile
-from plumline.store.records import RecordFile
-from plumline.store.writer import DurableWriter, MemoryWriter, Writer
+from plumline.store.log_writers import GroupCommitWriter, LogWriter, VolatileWriter
+from plumline.store.write_ahead_log import WriteAheadLog
 from plumline.wire.calls import Caller
 from plumline.wire.frames import FrameLink, hello
 from plumline.wire.mesh import Mesh
 from plumline.wire.server import Server
 
-STEP = 0.05  # s between steps of the core
-BEAT = 0.4  # s between beats to routers
-SICK_AFTER = 0.6  # s that a write may wait for the disk before the machine says so
-DEAD_LINK = 1.5  # s without an echo after which a link is opened anew
-DISCOVERY_LEASE = 1.2  # s; with no rest: the calls of two holders do no harm but their price
-WEIGHTS_LEASE = 1.0  # s
-MARGIN = 0.4  # s added to the rest that the deployment asks for
-SUMMARY = 10.0  # s between summaries of the counters
-MOST_TOLD = 500  # parts in one message
-CLOSE_S = 1.5  # s of the grace period kept for answers under way and the last writes
+STEP_INTERVAL_S = 0.05  # s between steps of the core
+HEARTBEAT_INTERVAL_S = 0.4  # s between beats to routers
+STALLED_WRITE_S = 0.6  # s that a write may wait for the disk before the machine says so
+LINK_TIMEOUT_S = 1.5  # s without an echo after which a link is opened anew
+DISCOVERY_LEASE_S = 1.2  # s; with no rest: the calls of two holders do no harm but their price
+WEIGHTS_LEASE_S = 1.0  # s
+LEASE_REST_MARGIN_S = 0.4  # s added to the rest that the deployment asks for
+COUNTERS_LOG_INTERVAL_S = 10.0  # s between summaries of the counters
+MAX_EVENTS_PER_MESSAGE = 500  # parts in one message
+SHUTDOWN_RESERVE_S = 1.5  # s of the grace period kept for answers under way and the last writes
 
 log = logs.logger("registrar")
 
 
-class Registrar:
-    """Effects of the core are this object's `send` and `persist`."""
+class RegistrarProcess:
+    """The environment of the core is this object, by its `send` and `persist`."""
 
     def __init__(self, settings: Settings, settings_file: SettingsFile | None = None) -> None:
         self.settings, self.settings_file = settings, settings_file or SettingsFile(None)
         self.loop = asyncio.get_running_loop()
-        self.counters, self.topics = Counters(), Topics()
+        self.counters, self.topics = Counters(), SoftState()
         host, port = settings.internal_address
         self.address = f"{host}:{port}"
-        self.writer: Writer = MemoryWriter()
+        self.writer: LogWriter = VolatileWriter()
         self.known = asyncio.Event()  # the incarnation is on the disk, and so may be told
         records, incarnation = self.open_store()
         self.mesh = self._make_mesh()
-        self.core = self._make_core((self.address, incarnation))
-        self.feed = Feed(
+        self.core = self._make_core(Member(self.address, incarnation))
+        self.publisher = FeedPublisher(
             self.core.chain,
             self.topics,
-            self.counters,
             settings.heartbeat_interval_ms / 1000,
-            may_feed=lambda: self.core.fresh(self.loop.time()),
+            is_current=lambda: self.core.fresh(self.loop.time()),
         )
         if settings.data_directory is not None:
-            self.writer = DurableWriter(self.file, self.loop, self.image)
+            self.writer = GroupCommitWriter(self.file, self.loop, self.image)
             self.persist(["incarnation", incarnation], self.known.set)
-        self.operators = Operators(self.core, self.send, self.counters)
+        self.operators = OperatorApi(self.core, self.send, self.counters)
         self.zones: dict[str, str] = {self.address: settings.zone}  # of registrars, by address
-        self.elsewhere: dict[str, tuple[float, dict[str, Work]]] = {}  # followers of other registrars
+        self.elsewhere: dict[str, tuple[float, dict[str, ServiceLoads]]] = {}  # followers of other registrars
         self.caller = Caller(self.loop.time)
         self._make_jobs()
         self.server: Server | None = None
@@ -95,47 +95,47 @@
 
     def _make_core(self, me: Member) -> Core:
         settings = self.settings
-        rest = settings.bounds.lease_duration_ms / 1000 + MARGIN
+        rest = settings.bounds.lease_duration_ms / 1000 + LEASE_REST_MARGIN_S
         return Core(
             me=me,
             seeds=settings.seeds,
             copies=settings.machine_losses + 1,
             first_start=settings.first_start,
-            effects=self,
-            empty=State(),
-            load=State.from_wire,
+            environment=self,
+            empty=ReplicatedConfiguration(),
+            load=ReplicatedConfiguration.from_wire,
             leases={
-                "discovery": Terms(DISCOVERY_LEASE, 0.0),
-                "weights": Terms(WEIGHTS_LEASE, rest),
+                "discovery": LeaseDurations(DISCOVERY_LEASE_S, 0.0),
+                "weights": LeaseDurations(WEIGHTS_LEASE_S, rest),
             },
             now=self.loop.time(),
             chance=random.Random(secrets.randbits(64)),
             applied=self.applied,
             changed=self.view_changed,
-            known_elsewhere=lambda: self.feed.told_place > 0,
+            is_configuration_known=lambda: self.publisher.highest_subscriber_index > 0,
         )
 
     def _make_jobs(self) -> None:
         """The jobs of the leases; each asks at every act whether its lease is held."""
         settings = self.settings
-        self.discovery = Discovery(settings, self.caller, self.may_discover, self.found_endpoints)
-        self.stores = Stores(
+        self.discovery = EndpointDiscovery(settings, self.caller, self.may_discover, self.publish_endpoints)
+        self.cache_stores = CacheStoreMonitor(
             self.caller,
             self.store_addresses,
             lambda: self.held("discovery") is not None,
-            self.found_stores,
+            self.publish_cache_stores,
             self.loop.time,
-            on_changes=self.store_changed,
+            on_events=self.publish_store_events,
         )
-        self.weights = Weights(
+        self.rollout = RolloutController(
             self.caller,
             settings.node_name,
             lambda: self.held("weights"),
-            lambda: self.topics.payload("roster") or [],
-            lambda: self.core.chain.state.versions,
-            self.publish_marks,
+            lambda: self.topics.get("roster") or [],
+            lambda: self.core.chain.state.weight_versions,
+            self.publish_rollout,
             self.loop.time,
-            apply_s=settings.bounds.version_apply_ms / 1000,
+            apply_timeout_s=settings.bounds.version_apply_ms / 1000,
         )
 
     # The store.
@@ -145,7 +145,7 @@
         fresh = secrets.token_hex(8)
         if self.settings.data_directory is None:
             return [], fresh
-        self.file = RecordFile(self.settings.data_directory)
+        self.file = WriteAheadLog(self.settings.data_directory)
         records = self.file.open()
         known = [record[1] for record in records if record[0] == "incarnation"]
         self.incarnation = known[-1] if known else fresh
@@ -155,7 +155,7 @@
         """All records that a rewritten file holds."""
         return [["incarnation", self.incarnation], *self.core.records()]
 
-    # Effects.
+    # The environment of the core.
 
     def send(self, to: str, message: Message) -> None:
         """Sends to a registrar by address; the core's effect."""
@@ -173,7 +173,7 @@
         try:
             if self.core.on_message(now, sender, message):
                 return
-            if self.operators.relay.on_message(now, sender, message):
+            if self.operators.forwarder.on_message(now, sender, message):
                 return
             match message:
                 case ["topic", str(name), [int(term), int(count)], payload]:
@@ -181,9 +181,9 @@
                 case ["followers", dict(routers)]:
                     self.elsewhere[sender] = now, routers
                 case ["news", str(), list()]:
-                    self.feed.pass_news(message)
+                    self.publisher.forward_prompt_events(message)
                 case ["hurry"]:
-                    self.discovery.hurry()
+                    self.discovery.refresh_soon()
                 case ["zone", str(zone)]:
                     self.zones[sender] = zone
                 case _:
@@ -200,86 +200,90 @@
 
     def follower_up(self, link: FrameLink) -> None:
         """A router has connected."""
-        self.feed.came(link, self.loop.time())
+        self.publisher.on_subscriber_connected(link, self.loop.time())
 
     def follower_says(self, link: FrameLink, message: list[Any]) -> None:
         """Dispatches a message of a router."""
         if message == ["hurry"]:
             self.mesh.send_all(["hurry"])
-            self.discovery.hurry()
+            self.discovery.refresh_soon()
             return
         if message[0] == "news":
-            self.feed.pass_news(message, link)
+            self.publisher.forward_prompt_events(message, link)
             self.mesh.send_all(message)
             return
-        self.feed.heard(link, message, self.loop.time())
+        self.publisher.on_subscriber_message(link, message, self.loop.time())
 
     def follower_down(self, link: FrameLink) -> None:
         """A router's connection has ended."""
-        self.feed.went(link)
+        self.publisher.on_subscriber_disconnected(link)
 
     # Soft topics.
 
     def take_topic(self, name: str, number: tuple[int, int], payload: Any) -> None:  # noqa: ANN401
         """Takes a soft topic that another registrar tells, if it is newer, and tells the routers."""
-        if not self.topics.offer(name, number, payload):
+        if not self.topics.update(name, number, payload):
             return
-        self.feed.tell_topic(name)
+        self.publisher.publish_soft_state(name)
         if name == "marks":
-            self.weights.adopt(payload)
-        self.weights.poke()
+            self.rollout.inherit(payload)
+        self.rollout.wake()
 
     def tell_topic(self, name: str, term: int, payload: Any) -> None:  # noqa: ANN401
         """Publishes a soft topic as the holder of the lease of this term."""
-        number = self.topics.next_number(name, term)
+        number = self.topics.next_version(name, term)
         if number is None:
             self.counters.add("topics.term-over")
             return
-        self.topics.offer(name, number, payload)
-        self.feed.tell_topic(name)
+        self.topics.update(name, number, payload)
+        self.publisher.publish_soft_state(name)
         self.mesh.send_all(["topic", name, list(number), payload])
 
     def may_discover(self) -> bool:
         """The lease's holder; and any registrar that knows no list at all, as after a loss of power: nobody
         can hold the lease for a while then, and routers can do nothing without a list."""
-        return self.held("discovery") is not None or self.topics.payload("roster") is None
+        return self.held("discovery") is not None or self.topics.get("roster") is None
 
-    def found_endpoints(self, roster: list[dict[str, Any]]) -> None:
+    def publish_endpoints(self, roster: list[dict[str, Any]]) -> None:
         """Publishes a whole list of endpoints that this registrar has read."""
         if (term := self.held("discovery")) is not None:
             self.tell_topic("roster", term, roster)
-        elif self.topics.payload("roster") is None and roster:
+        elif self.topics.get("roster") is None and roster:
             # Below any lease's number, and for this registrar's followers only.
-            self.topics.offer("roster", (0, 0), roster)
-            self.feed.tell_topic("roster")
-        self.weights.poke()
+            self.topics.update("roster", (0, 0), roster)
+            self.publisher.publish_soft_state("roster")
+        self.rollout.wake()
 
     def store_addresses(self) -> dict[str, tuple[str, int]]:
         """The addresses of the cache stores, by name, from the configuration."""
         document = self.core.chain.state.configuration
         if document is not self.addresses_of:
             self.addresses_of = document
-            stores = RouteTable(document).stores if document else {}
-            self.addresses = {name: each.store_address for name, each in stores.items() if each.store_address}
+            stores = RouteTable(document).cache_stores if document else {}
+            self.addresses = {
+                name: each.cache_store_address for name, each in stores.items() if each.cache_store_address
+            }
         return self.addresses
 
-    def found_stores(self, stores: dict[str, dict[str, Any]]) -> None:
+    def publish_cache_stores(self, stores: dict[str, dict[str, Any]]) -> None:
         """Publishes which stores are up."""
         if (term := self.held("discovery")) is not None:
             self.tell_topic("stores", term, stores)
 
-    def store_changed(self, address: tuple[str, int], epoch: int, lost: bool, changes: list[Any]) -> None:
+    def publish_store_events(
+        self, address: tuple[str, int], epoch: int, lost: bool, changes: list[Any]
+    ) -> None:
         """Passes a store's events on to all routers."""
         if lost:
             self.counters.add("stores.events-lost")
         told = [each for each in changes if each[3] >= TOLD_PART or each[0] == "-"]
-        for start in range(0, max(len(told), 1), MOST_TOLD):
-            stored = ["stored", epoch, told[start : start + MOST_TOLD]]
+        for start in range(0, max(len(told), 1), MAX_EVENTS_PER_MESSAGE):
+            stored = ["stored", epoch, told[start : start + MAX_EVENTS_PER_MESSAGE]]
             news = ["news", f"{address[0]}:{address[1]}", [stored]]
-            self.feed.pass_news(news)
+            self.publisher.forward_prompt_events(news)
             self.mesh.send_all(news)
 
-    def publish_marks(self, marks: dict[str, dict[str, Any]]) -> None:
+    def publish_rollout(self, marks: dict[str, dict[str, Any]]) -> None:
         """Publishes which endpoints are moving to other weights."""
         if (term := self.held("weights")) is not None:
             self.tell_topic("marks", term, marks)
@@ -288,13 +292,13 @@
 
     def held(self, lease: str) -> int | None:
         """The term of the lease if this registrar may act for it right now."""
-        return self.core.ballots.holds(lease, self.loop.time())
+        return self.core.lease_election.fencing_token(self.loop.time(), lease)
 
     def applied(self, number: int, change: list[Any] | None) -> None:
         """An entry, or with None a whole state, is committed here."""
-        self.feed.applied(number, change)
-        self.weights.poke()
-        self.stores.wake()
+        self.publisher.on_entry_committed(number, change)
+        self.rollout.wake()
+        self.cache_stores.wake()
 
     def view_changed(self, view: View) -> None:
         """Logs a new view."""
@@ -308,55 +312,57 @@
         beat_at = told_at = summary_at = 0.0
         while True:
             now = self.loop.time()
-            self.core.sick = self.writer.broken is not None or (self.writer.oldest_pending(now) > SICK_AFTER)
+            self.core.disk_unhealthy = self.writer.failure is not None or (
+                self.writer.oldest_pending_age_s(now) > STALLED_WRITE_S
+            )
             if (changed := self.settings_file.changed(now)) is not None:
                 self.core.set_seeds(changed.seeds)
             self.core.tick(now)
-            self.operators.relay.tick(now)
+            self.operators.forwarder.tick(now)
             self.note_leases(now)
             if now >= beat_at:
-                beat_at = now + BEAT
+                beat_at = now + HEARTBEAT_INTERVAL_S
                 self.beat(now)
             if now >= told_at:
                 told_at = now + 1.0
-                self.mesh.send_all(["followers", self.feed.alive(now)])
-                self.mesh.want(set(self.core.contacts.peers))
+                self.mesh.send_all(["followers", self.publisher.live_subscribers(now)])
+                self.mesh.want(set(self.core.failure_detector.peers))
             if now >= summary_at:
-                summary_at = now + SUMMARY
+                summary_at = now + COUNTERS_LOG_INTERVAL_S
                 for line in self.counters.lines():
                     log.info(line)
-            await asyncio.sleep(STEP)
+            await asyncio.sleep(STEP_INTERVAL_S)
 
     def note_leases(self, now: float) -> None:
         """Wakes the jobs of a lease that was won or lost."""
         for name in ("discovery", "weights"):
-            held = self.core.ballots.holds(name, now)
+            held = self.core.lease_election.fencing_token(now, name)
             if held != self.holding.get(name):
                 self.holding[name] = held
                 log.info(logs.words("lease", name=name, term=held))
                 self.discovery.wake()
-                self.stores.wake()
-                self.weights.poke()
+                self.cache_stores.wake()
+                self.rollout.wake()
 
     def beat(self, now: float) -> None:
         """Beats to the routers, and opens dead links anew."""
         for address in list(self.mesh.links):
-            if self.core.contacts.unheard_for(now, address) > DEAD_LINK:
-                self.core.contacts.know(now, address)
+            if self.core.failure_detector.time_since_contact(now, address) > LINK_TIMEOUT_S:
+                self.core.failure_detector.add_peer(now, address)
                 self.mesh.renew(address)
-        view = self.core.views.view
+        view = self.core.view_agreement.view
         known = [address for address, _ in view.chain] if view else []
         followed = [[address, self.zones.get(address, "")] for address in known]
-        self.feed.beat(self.core.fresh(now), followed, self.routers(now))
+        self.publisher.publish_heartbeat(self.core.fresh(now), followed, self.routers(now))
 
-    def routers(self, now: float) -> dict[str, Work]:
+    def routers(self, now: float) -> dict[str, ServiceLoads]:
         """Routers alive anywhere, as far as told, and their work."""
-        patience = self.feed.patience + 1.0
-        found: dict[str, Work] = {}
+        patience = self.publisher.subscriber_timeout_s + 1.0
+        found: dict[str, ServiceLoads] = {}
         for at, routers in self.elsewhere.values():
             if now - at < patience:
                 found.update(routers)
-        return found | self.feed.alive(now)
+        return found | self.publisher.live_subscribers(now)
 
     async def run(self) -> None:
         """Until SIGTERM."""
@@ -370,15 +376,15 @@
         self.loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
         self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.hurry)
         for lease in ("discovery", "weights"):
-            self.core.wish(self.loop.time(), lease, True)
+            self.core.campaign(self.loop.time(), lease)
         log.info(logs.words("started", node=settings.node_name, incarnation=self.core.me[1]))
         work = [
             self.loop.create_task(each)
             for each in (
                 self.step_forever(),
                 self.discovery.run(),
-                self.stores.run(),
-                self.weights.run(),
+                self.cache_stores.run(),
+                self.rollout.run(),
             )
         ]
         stop = self.loop.create_task(self.stopping.wait())
@@ -406,10 +412,10 @@
     async def hand_over(self) -> None:
         """Until the others need nothing more of this registrar, or the grace period is nearly over."""
         began = now = self.loop.time()
-        deadline = began + max(0.0, self.settings.bounds.grace_period_s - CLOSE_S)
+        deadline = began + max(0.0, self.settings.bounds.grace_period_s - SHUTDOWN_RESERVE_S)
         self.core.leave(now)
         while (duty := self.core.remaining_duty(now)) is not None and now < deadline:
-            await asyncio.sleep(STEP)
+            await asyncio.sleep(STEP_INTERVAL_S)
             now = self.loop.time()
         if duty is None:
             log.info(logs.words("handed-over", seconds=round(now - began, 2)))
@@ -419,12 +425,12 @@
 
     def acceptors_heard(self, now: float) -> str:
         """How many acceptors of the view this registrar reaches, and of how many."""
-        view = self.core.views.view
+        view = self.core.view_agreement.view
         members = view.acceptors if view else ()
-        heard = sum(self.core.contacts.alive(now, address) for address, _ in members)
+        heard = sum(self.core.failure_detector.is_alive(now, address) for address, _ in members)
         return f"{heard}/{len(members)}"
 
 
 async def run(settings: Settings, settings_file: SettingsFile | None = None) -> None:
     """Runs a registrar until SIGTERM."""
-    await Registrar(settings, settings_file).run()
+    await RegistrarProcess(settings, settings_file).run()
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -12,13 +12,13 @@
 from typing import Any
 from unittest.mock import patch
 
-from plumline.coordination import chain as chain_module
-from plumline.coordination.ballot import Terms
+from plumline.coordination import replication as replication_module
 from plumline.coordination.core import Core
-from plumline.coordination.effects import Member, Message, Record
+from plumline.coordination.environment import Member, Message, Record
+from plumline.coordination.lease import LeaseDurations
 from plumline.coordination.view import View
 from plumline.errors import PlumlineError, VersionConflictError
-from tests.core_register import NoEffects, Register, ViolationError
+from tests.core_register import NullEnvironment, Register, ViolationError
 
 TICK_S = 0.05
 KEPT = 4  # entries that explored chains keep, so that whole states are sent too
@@ -38,7 +38,7 @@
     held_back: list[Callable[[], None]] = field(default_factory=list)
     offset: float = 0.0  # of its steady clock
     lost: bool = False  # lost its disk, and is not yet a caught-up member of the chain again
-    known_elsewhere: bool = False
+    is_configuration_known: bool = False
     starting: bool = False  # its incarnation is being written
     gone: bool = False  # for good, with what its disk held
 
@@ -47,10 +47,10 @@
 
     @property
     def me(self) -> Member:
-        return self.name, f"{self.name}-{self.incarnations}"
+        return Member(self.name, f"{self.name}-{self.incarnations}")
 
 
-class NodeEffects:
+class NodeEnvironment:
     """What one life of a core sends and writes."""
 
     def __init__(self, world: "World", node: Node) -> None:
@@ -117,7 +117,7 @@
         self.refused: set[str] = set()
         self.tried: list[list[Any]] = []
         self.names = 0
-        self.leases: dict[str, Terms] = {}
+        self.leases: dict[str, LeaseDurations] = {}
         if quiet:
             self.loss, self.twice, self.slow, self.syncs, self.jitter = 0.0, 0.0, 0.0, (0.002,), 0.0
             self.troubles_per_s = 0.0
@@ -162,7 +162,7 @@
         node.incarnations += 1
         if not self.identity_first:
             self.start_core(node)
-            node.core.effects.persist(["incarnation", node.me[1]], nothing)
+            node.core.environment.persist(["incarnation", node.me[1]], nothing)
             return
         node.starting = True
         life = node.life
@@ -184,7 +184,7 @@
             self.seeds,
             self.copies,
             self.first_start,
-            NodeEffects(self, node),
+            NodeEnvironment(self, node),
             Register(),
             Register.load,
             self.leases,
@@ -192,7 +192,7 @@
             Random(self.random.random()),
             lambda number, change: self.on_applied(node, number, change),
             lambda view: self.on_view(node, view),
-            lambda: node.known_elsewhere,
+            lambda: node.is_configuration_known,
         )
         self.mutate(core)
         core.restore([list(record) for record in node.disk if record[0] != "incarnation"])
@@ -319,7 +319,7 @@
     def holds_all(self, node: Node) -> bool:
         """Whether it is a caught-up member of the newest chain, and an acceptor where it is needed."""
         core, view = node.core, self.newest
-        if core is None or view is None or core.views.view != view:
+        if core is None or view is None or core.view_agreement.view != view:
             return False
         return core.chain.position is not None and core.chain.caught_up and self.votes_or_may_not(node, view)
 
@@ -448,16 +448,16 @@
 
 def on_disk(node: Node) -> tuple[str, ...]:
     """What a core that starts from this disk would hold, committed or not."""
-    found = chain_module.Chain(
-        node.me, 1, NoEffects(), Register(), Register.load, lambda number, change: None
+    found = replication_module.ChainReplica(
+        node.me, 1, NullEnvironment(), Register(), Register.load, lambda number, change: None
     )
     for record in node.disk:
         if record[0] in ("base", "entry", "drop", "caught-up"):
             found.restore(record)
-    return found.newest.ids
+    return found.latest_state.ids
 
 
 @contextmanager
 def short_logs() -> Iterator[None]:
-    with patch.object(chain_module, "KEPT_ENTRIES", KEPT):
+    with patch.object(replication_module, "RETAINED_ENTRIES", KEPT):
         yield
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -5,10 +5,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plumline.configuration.difference import as_amend
+from plumline.configuration.difference import replace_as_amend
 from plumline.configuration.document import Document
-from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
+from plumline.configuration.replicated_state import ReplicatedConfiguration
+from plumline.configuration.route_table import RouteTable
 
 NAMES = st.sampled_from("abcdef")
 
@@ -44,11 +44,15 @@
 
 @given(documents(1), documents(2))
 def test_the_difference_leads_to_the_same_state(first: Document, second: Document) -> None:
-    state = State().apply(["replace", 0, first])
+    state = ReplicatedConfiguration().apply(["replace", 0, first])
     change = ["replace", 1, second]
-    whole, told = state.apply(change), state.apply(as_amend(first, change))
+    whole, told = state.apply(change), state.apply(replace_as_amend(first, change))
     assert told.configuration == whole.configuration
-    assert (told.wall, told.departed, told.version) == (whole.wall, whole.departed, whole.version)
+    assert (told.shared_cache_generation, told.departed_tenants, told.version) == (
+        whole.shared_cache_generation,
+        whole.departed_tenants,
+        whole.version,
+    )
 
 
 def looks(table: RouteTable) -> Any:  # noqa: ANN401
@@ -58,20 +62,20 @@
     keys = [table.tenant_of(f"key-{name}") for name in "abcdef"]
     aims: dict[str, float] = {}
     for each in table.routes:
-        for service, _ in each.splits:
-            aims[service] = min(aims.get(service, each.aim_ms), each.aim_ms)
-    assert table.shortest_aims() == aims
-    return found, keys, table.routes, table.services, table.limits, table.version, table.reserved
+        for service, _ in each.traffic_split:
+            aims[service] = min(aims.get(service, each.latency_target_ms), each.latency_target_ms)
+    assert table.shortest_latency_targets() == aims
+    return found, keys, table.routes, table.services, table.limits, table.version, table.reserved_shares
 
 
 @given(documents(1), documents(2))
 def test_a_table_made_by_the_difference_is_as_one_made_anew(first: Document, second: Document) -> None:
     earlier = RouteTable(first)
     before = looks(earlier)
-    change = as_amend(first, ["replace", 1, second])
-    state = State().apply(["replace", 0, first]).apply(change)
+    change = replace_as_amend(first, ["replace", 1, second])
+    state = ReplicatedConfiguration().apply(["replace", 0, first]).apply(change)
     if change[0] == "amend" and state.configuration is not None:
-        assert looks(earlier.amended(state.configuration, change[2])) == looks(
+        assert looks(earlier.with_amendment(state.configuration, change[2])) == looks(
             RouteTable(state.configuration)
         )
     assert looks(earlier) == before
@@ -85,14 +89,16 @@
     }
     second = {**first, "Version": 2, "Routes": [dict(each) for each in first["Routes"]]}
     second["Routes"][70] = route("r70", 70, 2)
-    change = as_amend(first, ["replace", 1, second])
+    change = replace_as_amend(first, ["replace", 1, second])
     assert change == [
         "amend",
         1,
         {"Version": 2, "Upserts": {"Routes": [route("r70", 70, 2)]}, "Removals": {"Routes": []}},
     ]
     table = RouteTable(first)
-    again = table.amended(State().apply(["replace", 0, first]).apply(change).configuration or {}, change[2])
+    again = table.with_amendment(
+        ReplicatedConfiguration().apply(["replace", 0, first]).apply(change).configuration or {}, change[2]
+    )
     same = sum(mine is other for mine, other in zip(table.routes, again.routes, strict=True))
     assert same == 2999
 
@@ -100,9 +106,9 @@
 def test_what_an_amend_can_not_do_is_told_whole() -> None:
     first = {"Version": 1, "Routes": [], "Services": [{"Name": "s"}], "Limits": {}}
     without = ["replace", 1, {"Version": 2, "Routes": [], "Services": [{"Name": "s"}]}]
-    assert as_amend(first, without) is without
+    assert replace_as_amend(first, without) is without
     reserved = ["replace", 1, {**first, "Version": 2, "Upserts": {}}]
-    assert as_amend(first, reserved) is reserved
+    assert replace_as_amend(first, reserved) is reserved
     named = ["weights", {"Model": "m", "Version": 2}]
-    assert as_amend(first, named) is named
-    assert as_amend(None, without) is without
+    assert replace_as_amend(first, named) is named
+    assert replace_as_amend(None, without) is without
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from plumline.coordination.ballot import Terms
-from plumline.coordination.contacts import GONE_AFTER, SUSPECT_AFTER
+from plumline.coordination.failure_detector import FORGET_TIMEOUT_S, SUSPECT_TIMEOUT_S
 from plumline.coordination.keeper import Duty
+from plumline.coordination.lease import LeaseDurations
 from tests.core_world import World
 
 
@@ -19,7 +19,7 @@
     world = formed()
     world.put(0)
     world.crash(world.nodes[name])
-    world.go(SUSPECT_AFTER / 4)
+    world.go(SUSPECT_TIMEOUT_S / 4)
     world.start(world.nodes[name])
     world.go(3.0)
     assert list(world.views) == [1]
@@ -42,7 +42,7 @@
     world.put(0)
     world.crash(world.nodes[name])
     rest = "".join(sorted(set("abc") - {name}))
-    assert world.go(3 * SUSPECT_AFTER, lambda: world.chain() == rest)
+    assert world.go(3 * SUSPECT_TIMEOUT_S, lambda: world.chain() == rest)
     world.put(1)
     world.start(world.nodes[name])
     world.settle()
@@ -70,10 +70,10 @@
 
 def test_a_member_with_a_sick_disk_is_taken_out_and_comes_back() -> None:
     world = formed()
-    world.nodes["b"].core.sick = True
+    world.nodes["b"].core.disk_unhealthy = True
     assert world.go(3.0, lambda: world.chain() == "ac")
     world.put(0)
-    world.nodes["b"].core.sick = False
+    world.nodes["b"].core.disk_unhealthy = False
     world.settle()
     assert world.chain() == "acb"
 
@@ -101,7 +101,7 @@
         world.start(world.nodes[new])
         world.settle(within=30.0)
         world.go(3.0)
-    world.go(2 * GONE_AFTER)
+    world.go(2 * FORGET_TIMEOUT_S)
     world.put(3)
     assert sorted(address for address, _ in world.newest.acceptors) == ["d", "e", "f"]
     assert all(len(world.ids(name)) == 4 for name in "def")
@@ -112,7 +112,7 @@
     world = formed()
     world.put(0)
     world.crash(world.nodes["c"])
-    world.go(3 * GONE_AFTER)
+    world.go(3 * FORGET_TIMEOUT_S)
     world.wipe(world.nodes["a"])
     world.start(world.nodes["c"])
     world.start(world.nodes["a"])
@@ -133,7 +133,7 @@
         world.go(0.05)
         if "c" in world.chain():
             break
-        if world.nodes["c"].core.views.view == world.newest:
+        if world.nodes["c"].core.view_agreement.view == world.newest:
             world.cut = {("b", "c")} if world.now % 1 < 0.5 else set()
     world.cut = {("b", "c"), ("c", "b")}
     world.go(0.5)
@@ -273,18 +273,18 @@
 
 def test_who_leaves_gives_its_leases_back() -> None:
     world = World(1, 3, quiet=True, start=False)
-    world.leases = {"weights": Terms(1.0, 3.0)}
+    world.leases = {"weights": LeaseDurations(1.0, 3.0)}
     for node in world.nodes.values():
         world.start(node)
     world.settle()
     for name, node in world.nodes.items():
-        node.core.wish(local(world, name), "weights", True)
+        node.core.campaign(local(world, name), "weights")
 
     def holders() -> str:
         held = (
             name
             for name, node in world.nodes.items()
-            if node.core and node.core.ballots.holds("weights", local(world, name)) is not None
+            if node.core and node.core.lease_election.fencing_token(local(world, name), "weights") is not None
         )
         return "".join(held)
 
@@ -314,7 +314,7 @@
     world = formed(size=4)
     world.put(0)
     core = world.nodes["c"].core
-    core.sick = True
+    core.disk_unhealthy = True
     world.settle("abd")
     world.go(0.5)
     core.leave(local(world, "c"))
@@ -339,7 +339,7 @@
     world.put(0)
     core = world.nodes["c"].core
     core.leave(local(world, "c"))
-    assert world.go(1.0, lambda: core.me not in core.views.view.chain)
+    assert world.go(1.0, lambda: core.me not in core.view_agreement.view.chain)
     assert core.remaining_duty(local(world, "c")) is Duty.REPLICA
     assert world.go(1.0, lambda: core.remaining_duty(local(world, "c")) is None)
 
@@ -407,9 +407,9 @@
 
 def test_a_member_without_a_seat_takes_learners_in_as_the_tail() -> None:
     world = with_a_successor()
-    world.nodes["b"].core.sick = True
+    world.nodes["b"].core.disk_unhealthy = True
     assert world.go(3.0, lambda: world.chain() == "acd")
-    world.nodes["b"].core.sick = False
+    world.nodes["b"].core.disk_unhealthy = False
     world.settle("abcd")
     assert world.chain() == "acdb"
     assert addresses(world.newest.acceptors) == "abc"
@@ -419,7 +419,7 @@
     """It was out of the chain before, so only its seat is left to give up."""
     world = with_a_successor()
     core = world.nodes["c"].core
-    core.sick = True
+    core.disk_unhealthy = True
     world.settle("abd")
     world.go(0.5)
     core.leave(local(world, "c"))
