--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -10,7 +10,6 @@
 from plumline.coordination.bootstrap import Bootstrap
 from plumline.coordination.environment import Environment, Member, Message, Record
 from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
-from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.lease import (
     LEASE_MESSAGE_KIND,
     TERM_RECORD_KIND,
@@ -19,6 +18,7 @@
     Persist,
     Send,
 )
+from plumline.coordination.membership import MembershipReconciler, PendingHandover
 from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View
@@ -50,7 +50,7 @@
         self.view_agreement = ViewAgreement(me, environment, self.installed)
         self.chain = ChainReplica(me, copies, environment, empty, load, applied)
         self.failure_detector = FailureDetector(me, environment)
-        self.keeper = Keeper(me, self.view_agreement, self.failure_detector, chance, copies)
+        self.membership = MembershipReconciler(me, self.view_agreement, self.failure_detector, chance, copies)
         self.bootstrap = Bootstrap(
             me, seeds, first_start, environment, self.view_agreement, is_configuration_known
         )
@@ -108,11 +108,11 @@
             view_number=view.number if view else 0,
             last_synced=synced,
             disk_unhealthy=self.disk_unhealthy,
-            draining=self.keeper.leaving,
+            draining=self.membership.leaving,
             status=ReplicaStatus(self.chain.status()),
         )
         self.failure_detector.tick(now, local_status)
-        self.keeper.tick(now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
+        self.membership.tick(now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
         self.chain.tick(now)
         self.lease_election.tick(now)
         self.perform_lease_actions()
@@ -171,16 +171,16 @@
 
     def leave(self, now: float) -> None:
         """Gives all leases back and tells the others to take this registrar out."""
-        self.keeper.leaving = True
+        self.membership.leaving = True
         for lease in self.leases:
             self.lease_election.release(now, lease)
         self.perform_lease_actions()
 
-    def remaining_duty(self, now: float) -> Duty | None:
+    def pending_handover(self, now: float) -> PendingHandover | None:
         """What must still be handed over before this registrar may end; None: nothing."""
         if any(self.lease_election.fencing_token(now, lease) is not None for lease in self.leases):
-            return Duty.LEASE
-        return self.keeper.remaining_duty(now)
+            return PendingHandover.LEASE
+        return self.membership.pending_handover(now)
 
     # What others may ask.
 
--- a/plumline/coordination/keeper.py
+++ b/plumline/coordination/membership.py
@@ -19,7 +19,7 @@
 LEARNER_LAG = 256  # entries that a learner may lack when it is taken in
 
 
-class Duty(StrEnum):
+class PendingHandover(StrEnum):
     """What a registrar holds that others must take over before it may end."""
 
     LEASE = "lease"
@@ -27,7 +27,7 @@
     ACCEPTOR = "acceptor"
 
 
-class Keeper:
+class MembershipReconciler:
     def __init__(
         self, me: Member, views: ViewAgreement, contacts: FailureDetector, chance: random.Random, copies: int
     ) -> None:
@@ -193,15 +193,15 @@
             return True
         return peer.draining or peer.incarnation not in ("", member[1])
 
-    def remaining_duty(self, now: float) -> Duty | None:
+    def pending_handover(self, now: float) -> PendingHandover | None:
         """What a registrar that leaves has not yet handed over."""
         view = self.views.view
         if view is None or view.acceptors == (self.me,):
             return None  # there is nobody else
         if self.me in view.chain or not self.taken_over(view):
-            return Duty.REPLICA
+            return PendingHandover.REPLICA
         if self.me in view.acceptors and not self.dispensable(now, view):
-            return Duty.ACCEPTOR
+            return PendingHandover.ACCEPTOR
         return None
 
     def taken_over(self, view: View) -> bool:
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -414,7 +414,7 @@
         began = now = self.loop.time()
         deadline = began + max(0.0, self.settings.bounds.grace_period_s - SHUTDOWN_RESERVE_S)
         self.core.leave(now)
-        while (duty := self.core.remaining_duty(now)) is not None and now < deadline:
+        while (duty := self.core.pending_handover(now)) is not None and now < deadline:
             await asyncio.sleep(STEP_INTERVAL_S)
             now = self.loop.time()
         if duty is None:
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -6,8 +6,8 @@
 
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
-from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.lease.voter import Voter
+from plumline.coordination.membership import MembershipReconciler, PendingHandover
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View
 from plumline.coordination.view_agreement import ViewAgreement
@@ -22,7 +22,7 @@
     return mutate
 
 
-class AddsBeforeItRemoves(Keeper):
+class AddsBeforeItRemoves(MembershipReconciler):
     """The acceptor that votes no more keeps its seat beside the newcomer's, until the view after."""
 
     def acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
@@ -33,7 +33,7 @@
         return (*kept, *came) if came else wanted
 
 
-class AddsAFourthAcceptor(Keeper):
+class AddsAFourthAcceptor(MembershipReconciler):
     """Whoever joins the chain is an acceptor at once, also where there are enough and all are well."""
 
     def acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
@@ -42,12 +42,12 @@
         return (*view.acceptors, newcomer) if newcomer and wanted == view.acceptors else wanted
 
 
-class JudgesBeforeItHasHeard(Keeper):
+class JudgesBeforeItHasHeard(MembershipReconciler):
     def in_touch(self, now: float) -> bool:
         return True
 
 
-class DropsWhomItCannotReach(Keeper):
+class DropsWhomItCannotReach(MembershipReconciler):
     """Once a change is due, whoever is silent here goes with it, also across the chain."""
 
     def fit_chain(self, now: float, view: View) -> tuple[Member, ...]:
@@ -56,22 +56,22 @@
         return tuple(each for each in view.chain if not self.unfit(now, each)[0])
 
 
-class CountsOnTheUnheard(Keeper):
+class CountsOnTheUnheard(MembershipReconciler):
     def heard(self, now: float, member: Member) -> bool:
         return True
 
 
-class LeavesAtOnce(Keeper):
-    def remaining_duty(self, now: float) -> Duty | None:
+class LeavesAtOnce(MembershipReconciler):
+    def pending_handover(self, now: float) -> PendingHandover | None:
         return None
 
 
-class LeavesBeforeOthersHold(Keeper):
+class LeavesBeforeOthersHold(MembershipReconciler):
     def taken_over(self, view: View) -> bool:
         return True
 
 
-class LeavesItsSeat(Keeper):
+class LeavesItsSeat(MembershipReconciler):
     def dispensable(self, now: float, view: View) -> bool:
         return True
 
@@ -111,7 +111,7 @@
     """Keywords of a schedule whose cores are without that guard."""
     kind = globals()[name]
     parts = {
-        Keeper: "keeper",
+        MembershipReconciler: "membership",
         Voter: "lease_election.voter",
         ViewAgreement: "view_agreement",
         ChainReplica: "chain",
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -154,7 +154,7 @@
     def lost_copies(self) -> int:
         """Whoever is lost or leaves may have been taken out, and have dropped what its successor in the chain
         then commits, in the view before."""
-        leaving = [node for node in self.nodes.values() if node.core and node.core.keeper.leaving]
+        leaving = [node for node in self.nodes.values() if node.core and node.core.membership.leaving]
         return sum(place.lost_machines(self.now) for place in self.places) + len(leaving)
 
     def is_beyond(self) -> bool:
@@ -384,7 +384,7 @@
                 ended()
                 return
             thawed = self.now >= node.thaws_at
-            done = thawed and node.core.remaining_duty(self.now + node.offset) is None
+            done = thawed and node.core.pending_handover(self.now + node.offset) is None
             if done or self.now >= deadline:
                 self.counts["handed over" if done else "left without handing over"] += 1
                 self.crash(node, keep=len(node.unsynced))
--- a/tests/test_keeper.py
+++ b/tests/test_membership.py
@@ -3,8 +3,8 @@
 import pytest
 
 from plumline.coordination.failure_detector import FORGET_TIMEOUT_S, SUSPECT_TIMEOUT_S
-from plumline.coordination.keeper import Duty
 from plumline.coordination.lease import LeaseDurations
+from plumline.coordination.membership import PendingHandover
 from tests.core_world import World
 
 
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize("name", "abc")
 def test_a_member_that_leaves_is_taken_out(name: str) -> None:
     world = formed()
-    world.nodes[name].core.keeper.leaving = True
+    world.nodes[name].core.membership.leaving = True
     world.settle("".join(sorted(set("abc") - {name})), within=3.0)
     world.put(0)
 
@@ -225,7 +225,7 @@
     world.nodes["b"].core.leave(local(world, "b"))
     world.go(5.0)
     assert list(world.views) == [1]
-    assert world.nodes["b"].core.remaining_duty(local(world, "b")) is Duty.REPLICA
+    assert world.nodes["b"].core.pending_handover(local(world, "b")) is PendingHandover.REPLICA
     world.start(world.nodes["a"])
     world.settle("ac")
 
@@ -236,8 +236,8 @@
     world.put(0)
     core = world.nodes[name].core
     core.leave(local(world, name))
-    assert core.remaining_duty(local(world, name)) is Duty.REPLICA
-    assert world.go(1.0, lambda: core.remaining_duty(local(world, name)) is None)
+    assert core.pending_handover(local(world, name)) is PendingHandover.REPLICA
+    assert world.go(1.0, lambda: core.pending_handover(local(world, name)) is None)
     assert name not in world.chain()
     assert addresses(world.newest.acceptors) == "abc"
 
@@ -249,7 +249,7 @@
     world.settle("abcd")
     core = world.nodes["c"].core
     core.leave(local(world, "c"))
-    assert world.go(2.0, lambda: core.remaining_duty(local(world, "c")) is None)
+    assert world.go(2.0, lambda: core.pending_handover(local(world, "c")) is None)
     world.crash(world.nodes["c"])
     assert addresses(world.newest.acceptors) == "abd"
     world.wipe(world.nodes["a"])
@@ -265,9 +265,9 @@
     core = world.nodes["a"].core
     core.leave(local(world, "a"))
     world.go(5.0)
-    assert core.remaining_duty(local(world, "a")) is Duty.REPLICA
+    assert core.pending_handover(local(world, "a")) is PendingHandover.REPLICA
     world.start(world.nodes["c"])
-    assert world.go(5.0, lambda: core.remaining_duty(local(world, "a")) is None)
+    assert world.go(5.0, lambda: core.pending_handover(local(world, "a")) is None)
     assert world.chain() == "bc"
 
 
@@ -293,7 +293,7 @@
     core = world.nodes[first].core
     core.leave(local(world, first))
     assert holders() == ""
-    assert world.go(1.0, lambda: core.remaining_duty(local(world, first)) is None)
+    assert world.go(1.0, lambda: core.pending_handover(local(world, first)) is None)
     world.crash(world.nodes[first])
     assert not world.go(1.9, lambda: bool(holders()))  # the rest
     assert world.go(2.0, lambda: bool(holders()))
@@ -318,8 +318,8 @@
     world.settle("abd")
     world.go(0.5)
     core.leave(local(world, "c"))
-    assert core.remaining_duty(local(world, "c")) is Duty.ACCEPTOR
-    assert world.go(1.0, lambda: core.remaining_duty(local(world, "c")) is None)
+    assert core.pending_handover(local(world, "c")) is PendingHandover.ACCEPTOR
+    assert world.go(1.0, lambda: core.pending_handover(local(world, "c")) is None)
     assert addresses(world.newest.acceptors) == "abd"
 
 
@@ -340,8 +340,8 @@
     core = world.nodes["c"].core
     core.leave(local(world, "c"))
     assert world.go(1.0, lambda: core.me not in core.view_agreement.view.chain)
-    assert core.remaining_duty(local(world, "c")) is Duty.REPLICA
-    assert world.go(1.0, lambda: core.remaining_duty(local(world, "c")) is None)
+    assert core.pending_handover(local(world, "c")) is PendingHandover.REPLICA
+    assert world.go(1.0, lambda: core.pending_handover(local(world, "c")) is None)
 
 
 def test_a_second_loss_right_after_a_replacement_among_five_stops_nothing() -> None:
@@ -423,6 +423,6 @@
     world.settle("abd")
     world.go(0.5)
     core.leave(local(world, "c"))
-    assert core.remaining_duty(local(world, "c")) is Duty.ACCEPTOR
-    assert world.go(1.0, lambda: core.remaining_duty(local(world, "c")) is None)
+    assert core.pending_handover(local(world, "c")) is PendingHandover.ACCEPTOR
+    assert world.go(1.0, lambda: core.pending_handover(local(world, "c")) is None)
     assert addresses(world.newest.acceptors) == "abd"
--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -7,7 +7,7 @@
 
 from peers import play, soon
 
-from plumline.coordination.keeper import Duty
+from plumline.coordination.membership import PendingHandover
 from plumline.registrar import process
 from plumline.registrar.process import SHUTDOWN_RESERVE_S, RegistrarProcess
 from plumline.settings import Bounds, Settings
@@ -129,7 +129,7 @@
     began = registrar.loop.time()
     await soon(registrar.hand_over())
     assert registrar.loop.time() - began < SHUTDOWN_RESERVE_S
-    assert registrar.core.keeper.leaving
+    assert registrar.core.membership.leaving
     assert registrar.counters.get("leave.incomplete") == 0
     registrar.writer.close()
 
@@ -141,7 +141,7 @@
     settings = replace(settings_for(tmp_path), bounds=Bounds(grace_period_s=SHUTDOWN_RESERVE_S + 0.1))
     registrar = RegistrarProcess(settings)
     await soon(formed(registrar))
-    registrar.core.remaining_duty = lambda now: Duty.REPLICA
+    registrar.core.pending_handover = lambda now: PendingHandover.REPLICA
     with patch.object(process, "log") as log:
         await soon(registrar.hand_over())
     assert "replica in the chain" in log.warning.call_args.args[0]
@@ -153,8 +153,8 @@
 async def test_a_registrar_ends_as_soon_as_its_duties_are_handed_over(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(registrar))
-    duties = [Duty.LEASE, Duty.REPLICA, Duty.ACCEPTOR, None]
-    registrar.core.remaining_duty = lambda now: duties.pop(0)
+    duties = [PendingHandover.LEASE, PendingHandover.REPLICA, PendingHandover.ACCEPTOR, None]
+    registrar.core.pending_handover = lambda now: duties.pop(0)
     await soon(registrar.hand_over())
     assert duties == []
     assert registrar.counters.get("leave.incomplete") == 0
--- a/tests/test_view_explorer.py
+++ b/tests/test_view_explorer.py
@@ -1,4 +1,4 @@
-"""Views alone, without chain or keeper: proposals at random, messages that come late, twice or never, and
+"""Views alone, without chain or membership: proposals at random, messages that come late, twice or never, and
 restarts, which keep what was synced. One view follows another, whoever learns it."""
 
 import heapq
