--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -108,11 +108,13 @@
             view_number=view.number if view else 0,
             last_synced=synced,
             disk_unhealthy=self.disk_unhealthy,
-            draining=self.membership.leaving,
+            draining=self.membership.draining,
             status=ReplicaStatus(self.chain.status()),
         )
         self.failure_detector.tick(now, local_status)
-        self.membership.tick(now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
+        self.membership.reconcile(
+            now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up
+        )
         self.chain.tick(now)
         self.lease_election.tick(now)
         self.perform_lease_actions()
@@ -171,7 +173,7 @@
 
     def leave(self, now: float) -> None:
         """Gives all leases back and tells the others to take this registrar out."""
-        self.membership.leaving = True
+        self.membership.draining = True
         for lease in self.leases:
             self.lease_election.release(now, lease)
         self.perform_lease_actions()
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -25,8 +25,8 @@
 class AddsBeforeItRemoves(MembershipReconciler):
     """The acceptor that votes no more keeps its seat beside the newcomer's, until the view after."""
 
-    def acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
-        wanted = super().acceptors(now, view, chain)
+    def desired_acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
+        wanted = super().desired_acceptors(now, view, chain)
         came = [each for each in wanted if each not in view.acceptors]
         addresses = [address for address, _ in came]
         kept = [each for each in view.acceptors if each[0] not in addresses]
@@ -36,28 +36,28 @@
 class AddsAFourthAcceptor(MembershipReconciler):
     """Whoever joins the chain is an acceptor at once, also where there are enough and all are well."""
 
-    def acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
-        wanted = super().acceptors(now, view, chain)
+    def desired_acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
+        wanted = super().desired_acceptors(now, view, chain)
         newcomer = self.next_acceptor(now, view, chain)
         return (*view.acceptors, newcomer) if newcomer and wanted == view.acceptors else wanted
 
 
 class JudgesBeforeItHasHeard(MembershipReconciler):
-    def in_touch(self, now: float) -> bool:
+    def reaches_majority(self, now: float) -> bool:
         return True
 
 
 class DropsWhomItCannotReach(MembershipReconciler):
     """Once a change is due, whoever is silent here goes with it, also across the chain."""
 
-    def fit_chain(self, now: float, view: View) -> tuple[Member, ...]:
-        if super().fit_chain(now, view) == view.chain:
+    def reachable_chain(self, now: float, view: View) -> tuple[Member, ...]:
+        if super().reachable_chain(now, view) == view.chain:
             return view.chain
-        return tuple(each for each in view.chain if not self.unfit(now, each)[0])
+        return tuple(each for each in view.chain if not self.health(now, each)[0])
 
 
 class CountsOnTheUnheard(MembershipReconciler):
-    def heard(self, now: float, member: Member) -> bool:
+    def answered_recently(self, now: float, member: Member) -> bool:
         return True
 
 
@@ -67,12 +67,12 @@
 
 
 class LeavesBeforeOthersHold(MembershipReconciler):
-    def taken_over(self, view: View) -> bool:
+    def is_replicated_by_others(self, view: View) -> bool:
         return True
 
 
 class LeavesItsSeat(MembershipReconciler):
-    def dispensable(self, now: float, view: View) -> bool:
+    def may_stop_voting(self, now: float, view: View) -> bool:
         return True
 
 
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -154,7 +154,7 @@
     def lost_copies(self) -> int:
         """Whoever is lost or leaves may have been taken out, and have dropped what its successor in the chain
         then commits, in the view before."""
-        leaving = [node for node in self.nodes.values() if node.core and node.core.membership.leaving]
+        leaving = [node for node in self.nodes.values() if node.core and node.core.membership.draining]
         return sum(place.lost_machines(self.now) for place in self.places) + len(leaving)
 
     def is_beyond(self) -> bool:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize("name", "abc")
 def test_a_member_that_leaves_is_taken_out(name: str) -> None:
     world = formed()
-    world.nodes[name].core.membership.leaving = True
+    world.nodes[name].core.membership.draining = True
     world.settle("".join(sorted(set("abc") - {name})), within=3.0)
     world.put(0)
 
--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -129,7 +129,7 @@
     began = registrar.loop.time()
     await soon(registrar.hand_over())
     assert registrar.loop.time() - began < SHUTDOWN_RESERVE_S
-    assert registrar.core.membership.leaving
+    assert registrar.core.membership.draining
     assert registrar.counters.get("leave.incomplete") == 0
     registrar.writer.close()
 
