--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -18,7 +18,7 @@
     Persist,
     Send,
 )
-from plumline.coordination.membership import MembershipReconciler, PendingHandover
+from plumline.coordination.membership import LocalReplica, MembershipReconciler, PendingHandover
 from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View
@@ -112,9 +112,8 @@
             status=ReplicaStatus(self.chain.status()),
         )
         self.failure_detector.tick(now, local_status)
-        self.membership.reconcile(
-            now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up
-        )
+        replica = LocalReplica(self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
+        self.membership.reconcile(now, replica)
         self.chain.tick(now)
         self.lease_election.tick(now)
         self.perform_lease_actions()
--- a/plumline/coordination/membership.py
+++ b/plumline/coordination/membership.py
@@ -1,12 +1,21 @@
-"""Keeps the view what it should be: the wanted view from what is known of the peers, and the loop to it.
+"""Membership reconciliation: compares the agreed view with the healthy members, and proposes the next one.
 
-Only a neighbour in the chain takes a silent member out: who merely can't see each other across the chain
-harms nothing. What a member says of itself (another incarnation, a sick disk, leaving) counts for everyone.
-The tail takes learners in, one at a time, as it is the one that they will follow.
+Each registrar runs one `MembershipReconciler`. At every tick it derives the view that should follow the
+present one from what the failure detector knows, and puts it to the acceptors if it differs.
+
+Three rules limit whom one registrar may exclude, as a partition makes healthy members look dead:
+
+- A silent member is excluded by its neighbours in the chain alone. Whoever merely can't be reached from
+  elsewhere in the chain still replicates.
+- What a member reports of itself (a new incarnation, a failing disk, that it leaves) counts for everyone.
+- The tail admits learners, one in each view, as it is the replica that they will follow.
+
+docs/control-safety/membership.md has the invariants, and the tests that show each of them.
 """
 
 import random
-from enum import StrEnum
+from enum import Enum, StrEnum, auto
+from typing import NamedTuple
 
 from plumline.coordination.environment import Member
 from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
@@ -14,20 +23,41 @@
 from plumline.coordination.view import View
 from plumline.coordination.view_agreement import ViewAgreement
 
-PROPOSAL_STAGGER_S = 0.12  # s between the registrars that could propose the same
-ABSENT_AFTER_S = 3.0  # s of silence after which a member is not waited for
-MAX_LEARNER_LAG = 256  # entries that a learner may lack when it is taken in
+#: Seconds between the first proposals of registrars that could propose the same view.
+PROPOSAL_STAGGER_S = 0.12
+#: Seconds of silence after which replication no longer waits for a member to catch up.
+ABSENT_AFTER_S = 3.0
+#: Entries that a learner may lack when it is admitted to the chain.
+MAX_LEARNER_LAG = 256
 
 
 class PendingHandover(StrEnum):
-    """What a registrar holds that others must take over before it may end."""
+    """A role that others must take over before a leaving registrar may end. The values appear in its log."""
 
     LEASE = "lease"
     REPLICA = "replica in the chain"
     ACCEPTOR = "acceptor"
 
 
+class MemberHealth(Enum):
+    """What this registrar may conclude about a member of the view."""
+
+    HEALTHY = auto()
+    UNREACHABLE = auto()  # from here; others may still reach it
+    UNFIT = auto()  # by its own report, so every registrar that reaches it concludes the same
+
+
+class LocalReplica(NamedTuple):
+    """The state of this registrar's own replica. Entries are counted from the first ever committed."""
+
+    synced: int  # entries on the disk
+    committed: int  # entries known to be committed
+    caught_up: bool  # holds all that the previous view had committed
+
+
 class MembershipReconciler:
+    """Derives the desired view and proposes it until it is decided, or until it is no longer desired."""
+
     def __init__(
         self,
         local_member: Member,
@@ -36,184 +66,289 @@
         rng: random.Random,
         replicas: int,
     ) -> None:
-        """`replicas`: of what is acknowledged; twice that less one acceptors are enough."""
-        self.local_member, self.view_agreement, self.failure_detector = (
-            local_member,
-            view_agreement,
-            failure_detector,
-        )
+        """`replicas`: how many hold each acknowledged entry, which is one more than may be lost at once."""
+        self.local_member = local_member
+        self.view_agreement = view_agreement
+        self.failure_detector = failure_detector
         self.rng = rng
         self.replicas = replicas
+        #: Set once this registrar shuts down; its pings tell the others.
         self.draining = False
-        self._target: tuple[int, tuple[Member, ...], tuple[Member, ...]] | None = None
+        self._target: View | None = None
         self._target_since = 0.0
 
-    def health(self, now: float, member: Member) -> tuple[bool, bool]:
-        """(is not to be in the chain, everyone can know that)."""
-        address, incarnation = member
-        if member == self.local_member:
-            return self.draining, True
-        peer = self.failure_detector.peers.get(address)
-        if peer is None:
-            return False, False
-        alive = self.failure_detector.is_alive(now, address)
-        if not peer.incarnation:
-            return not alive, False  # it hasn't told anything yet
-        if alive and (peer.incarnation != incarnation or peer.disk_unhealthy or peer.draining):
-            return True, True
-        return not alive, False
+    @property
+    def target_acceptor_count(self) -> int:
+        """The smallest number of acceptors that keep a majority when `replicas` - 1 of them are lost."""
+        return 2 * self.replicas - 1
+
+    # The loop.
 
-    def desired_view(self, now: float, synced: int, committed: int, caught_up: bool) -> View | None:
-        """The view that should follow the present one; None if that is well, or is for others to mend."""
+    def reconcile(self, now: float, replica: LocalReplica) -> None:
+        """Proposes the desired view, if it is another than the present one and a majority is in reach.
+
+        Proposers that want the same view start one after the other, so that their ballots don't collide.
+        """
+        target = self._next_target(now, replica)
+        if target is None:
+            self._target = None
+            return
+        if target != self._target:
+            self._target = target
+            self._target_since = now
+        if now - self._target_since >= self._proposer_rank(now, target) * PROPOSAL_STAGGER_S:
+            self.view_agreement.propose(now, self.rng, target)
+
+    def _next_target(self, now: float, replica: LocalReplica) -> View | None:
+        """The view to propose now: the desired one, else one whose proposal was left unfinished."""
         view = self.view_agreement.view
-        if view is None or self.local_member not in (*view.acceptors, *view.chain):
+        if view is None or not self.reaches_majority(now, view):
             return None
-        chain = self.reachable_chain(now, view)
-        if not chain or not self.is_caught_up(view, chain[0], caught_up):
-            return None  # nobody left that holds all: wait for one to come back
-        learner = self._next_learner(now, view, chain, synced) if chain[-1] == self.local_member else None
-        if learner:
-            chain = (*chain, learner)
-        if not self.has_quorum_of_replicas(now, view, chain, caught_up, committed):
+        desired = self.desired_view(now, view, replica)
+        return desired if desired is not view else self._unfinished_proposal()
+
+    def reaches_majority(self, now: float, view: View) -> bool:
+        """Whether a majority of the acceptors echoes this registrar's pings.
+
+        A registrar that comes back from a partition or a freeze has heard of nobody for that long. It must
+        not judge the others before their echoes have come.
+        """
+        return self.failure_detector.has_quorum_contact(now, view.acceptors)
+
+    def _unfinished_proposal(self) -> View | None:
+        """The view that this acceptor has accepted; until it is decided, no read can be answered."""
+        if self.view_agreement.accepted is None or not self.view_agreement.is_acceptor():
             return None
+        return self.view_agreement.accepted.view
+
+    def _proposer_rank(self, now: float, target: View) -> int:
+        """How many live acceptors of the target propose before this registrar: those of a lower address."""
+        rank = 0
+        for address, _ in sorted(target.acceptors):
+            if address == self.local_member.address:
+                break
+            rank += self.failure_detector.is_alive(now, address)
+        return rank
+
+    # The desired view.
+
+    def desired_view(self, now: float, view: View, replica: LocalReplica) -> View:
+        """The view that should follow the present one.
+
+        That is `view` itself if it is as it should be, if this registrar has no part in it, or if no
+        successor would be safe now.
+        """
+        if self.local_member not in (*view.acceptors, *view.chain):
+            return view
+        chain = self.reachable_chain(now, view)
+        if not chain or not self.is_caught_up(view, chain[0], replica):
+            return view  # no complete replica could be the head: wait until one is back
+        if chain[-1] == self.local_member:
+            learner = self._next_learner(now, view, chain, replica)
+            if learner is not None:
+                chain = (*chain, learner)
+        if not self.has_quorum_of_replicas(now, view, chain, replica):
+            return view
         acceptors = self.desired_acceptors(now, view, chain)
         if (chain, acceptors) == (view.chain, view.acceptors):
-            return None
+            return view
         return View(view.number + 1, acceptors, chain)
 
+    def health(self, now: float, member: Member) -> MemberHealth:
+        """What is known of a member of the present view."""
+        address, incarnation = member
+        if member == self.local_member:
+            return MemberHealth.UNFIT if self.draining else MemberHealth.HEALTHY
+        peer = self.failure_detector.peers.get(address)
+        if peer is None:
+            return MemberHealth.HEALTHY
+        if not self.failure_detector.is_alive(now, address):
+            return MemberHealth.UNREACHABLE
+        if not peer.incarnation:
+            return MemberHealth.HEALTHY  # it has reported nothing yet
+        if peer.incarnation != incarnation or peer.disk_unhealthy or peer.draining:
+            return MemberHealth.UNFIT
+        return MemberHealth.HEALTHY
+
     def reachable_chain(self, now: float, view: View) -> tuple[Member, ...]:
-        """The chain without those that everyone can know to be unfit, and without this registrar's
-        neighbours as far as they are silent: about others, not reached from here alone, it has no say."""
-        unfit = {each: self.health(now, each) for each in view.chain}
-        chain = [each for each in view.chain if unfit[each] != (True, True)]
-        if self.local_member in chain:
-            while (at := chain.index(self.local_member)) > 0 and unfit[chain[at - 1]][0]:
-                del chain[at - 1]
-            while (at := chain.index(self.local_member)) + 1 < len(chain) and unfit[chain[at + 1]][0]:
-                del chain[at + 1]
-        return tuple(chain)
-
-    def is_caught_up(self, view: View, member: Member, caught_up: bool) -> bool:
-        """Whether it is known to hold all that was ever committed. `caught_up`: this registrar does."""
-        if member not in view.chain:
+        """The chain without unfit members, and without this registrar's unreachable neighbours.
+
+        A neighbour that is left out makes the next member the neighbour. Other members that can't be reached
+        from here stay: whether they replicate is for their own neighbours to judge.
+        """
+        health = {member: self.health(now, member) for member in view.chain}
+        chain = [member for member in view.chain if health[member] is not MemberHealth.UNFIT]
+        if self.local_member not in chain:
+            return tuple(chain)
+        position = chain.index(self.local_member)
+        upstream = chain[:position]
+        downstream = chain[position + 1 :]
+        while upstream and health[upstream[-1]] is not MemberHealth.HEALTHY:
+            upstream.pop()
+        while downstream and health[downstream[0]] is not MemberHealth.HEALTHY:
+            downstream.pop(0)
+        return (*upstream, self.local_member, *downstream)
+
+    def is_caught_up(self, view: View, member: Member, replica: LocalReplica) -> bool:
+        """Whether a member of the chain is known to hold every entry that was ever committed.
+
+        The head does. So does every member ahead of a caught-up one, as a log holds all that its successor's
+        does; others must have reported it in this view.
+        """
+        position = view.position(member)
+        if position is None:
             return False
-        at, mine = view.chain.index(member), view.position(self.local_member)
-        if at == 0 or (caught_up and mine is not None and at <= mine):
+        if position == 0:
             return True
-        peer = self.failure_detector.peers.get(member[0])
-        return peer is not None and (peer.incarnation, peer.view_number, peer.status) == (
-            member[1],
-            view.number,
-            ReplicaStatus.CHAIN_CAUGHT_UP,
-        )
+        local_position = view.position(self.local_member)
+        if replica.caught_up and local_position is not None and position <= local_position:
+            return True
+        return self._has_reported_caught_up(view, member)
 
-    def _is_presumed_lost(self, now: float, member: Member) -> bool:
-        """As far as can be known: it lost its disk, or has been silent for long."""
-        peer = self.failure_detector.peers.get(member[0])
-        wiped = peer is not None and peer.incarnation not in ("", member[1])
-        return wiped or self.failure_detector.time_since_contact(now, member[0]) > ABSENT_AFTER_S
+    def _has_reported_caught_up(self, view: View, member: Member) -> bool:
+        address, incarnation = member
+        peer = self.failure_detector.peers.get(address)
+        return (
+            peer is not None
+            and peer.incarnation == incarnation
+            and peer.view_number == view.number
+            and peer.status is ReplicaStatus.CHAIN_CAUGHT_UP
+        )
 
     def has_quorum_of_replicas(
-        self, now: float, view: View, chain: tuple[Member, ...], caught_up: bool, committed: int
+        self, now: float, view: View, chain: tuple[Member, ...], replica: LocalReplica
     ) -> bool:
-        """Whether this chain could commit, and as many of it as must hold all do so. The latter is waived
-        where who goes has been away for long: only a chain without it lets the others catch up."""
-        wanted = min(self.replicas, len(view.chain))
-        if len(chain) < wanted:
+        """Whether this chain could commit, and enough of it are caught up that nothing committed is at risk.
+
+        The latter is waived if all members that are left out have been absent for long: then only a chain
+        without them lets the others catch up.
+        """
+        needed = min(self.replicas, len(view.chain))
+        if len(chain) < needed:
             return False
-        holding = 0
-        for each in chain:
-            peer = self.failure_detector.peers.get(each[0])
-            same = peer is not None and peer.incarnation == each[1]
-            level = caught_up and same and peer.last_synced >= committed
-            holding += self.answered_recently(now, each) and (
-                level or self.is_caught_up(view, each, caught_up)
-            )
-        gone = [each for each in view.chain if each not in chain]
-        away = all(self._is_presumed_lost(now, each) for each in gone)
-        return holding >= wanted or (bool(gone) and away)
+        caught_up = sum(self._is_live_replica(now, view, member, replica) for member in chain)
+        if caught_up >= needed:
+            return True
+        removed = [member for member in view.chain if member not in chain]
+        return bool(removed) and all(self._is_presumed_lost(now, member) for member in removed)
+
+    def _is_live_replica(self, now: float, view: View, member: Member, replica: LocalReplica) -> bool:
+        """Whether a member answers and holds all that is committed, as far as this registrar can know."""
+        if not self.answered_recently(now, member):
+            return False
+        address, incarnation = member
+        peer = self.failure_detector.peers.get(address)
+        if replica.caught_up and peer is not None and peer.incarnation == incarnation:
+            if peer.last_synced >= replica.committed:
+                return True
+        return self.is_caught_up(view, member, replica)
+
+    def _is_presumed_lost(self, now: float, member: Member) -> bool:
+        """Whether a member has lost its disk, or has been silent for so long that nobody waits for it."""
+        address, incarnation = member
+        peer = self.failure_detector.peers.get(address)
+        wiped = peer is not None and peer.incarnation not in ("", incarnation)
+        return wiped or self.failure_detector.time_since_contact(now, address) > ABSENT_AFTER_S
 
     def answered_recently(self, now: float, member: Member) -> bool:
-        """Whether it has answered lately, not only begun to be asked."""
-        return self.failure_detector.time_since_echo(now, member[0]) < SUSPECT_TIMEOUT_S
+        """Whether a member echoed a ping lately; one just discovered has not, though it is not suspected."""
+        return self.failure_detector.time_since_echo(now, member.address) < SUSPECT_TIMEOUT_S
 
-    def _next_learner(self, now: float, view: View, chain: tuple[Member, ...], synced: int) -> Member | None:
+    def _next_learner(
+        self, now: float, view: View, chain: tuple[Member, ...], replica: LocalReplica
+    ) -> Member | None:
+        """The learner to admit: the first by address that is healthy and stable, and has nearly caught up."""
+        addresses = {address for address, _ in chain}
         for address, peer in sorted(self.failure_detector.peers.items()):
-            member = Member(address, peer.incarnation)
-            fit = not (peer.disk_unhealthy or peer.draining) and self.failure_detector.is_stable(now, address)
-            if not fit or any(address == each for each, _ in chain) or not peer.incarnation:
+            if address in addresses or not peer.incarnation or peer.disk_unhealthy or peer.draining:
                 continue
-            nearly_caught_up = peer.status is ReplicaStatus.LEARNER_NEARLY_CAUGHT_UP
-            if (
-                peer.view_number == view.number
-                and nearly_caught_up
-                and peer.last_synced + MAX_LEARNER_LAG >= synced
-            ):
-                return member
+            if not self.failure_detector.is_stable(now, address):
+                continue
+            may_join = (
+                peer.view_number == view.number and peer.status is ReplicaStatus.LEARNER_NEARLY_CAUGHT_UP
+            )
+            if may_join and peer.last_synced + MAX_LEARNER_LAG >= replica.synced:
+                return Member(address, peer.incarnation)
         return None
 
+    # Acceptors.
+
     def desired_acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
-        """One acceptor comes, goes or takes another's seat in one view. Whoever comes takes the seat of one
-        that does not vote where there is any: were it added, and the other removed after it, the view
-        between would need the votes of all that are left, and one more loss there would stop the core.
-        With acceptors enough and no vacant seat nobody is added: it serves in the chain without a vote."""
-        newcomer = self.next_acceptor(now, view, chain)
-        if newcomer:
-            seat = self.replaceable_acceptor(now, view, chain, newcomer)
-            if seat or len(view.acceptors) < self.target_acceptor_count():
-                return (*(each for each in view.acceptors if each != seat), newcomer)
-        if len(view.acceptors) > self.target_acceptor_count():
-            for each in view.acceptors:
-                if each not in chain and each != self.local_member and self.has_stopped_voting(now, each):
-                    return tuple(other for other in view.acceptors if other != each)
+        """The acceptors of the next view, of which at most one is another than in the present one.
+
+        An acceptor that no longer votes is replaced within one view. Adding the new one first would make a
+        view that needs the votes of all that are left, and one more loss in it would stop the core. Where no
+        acceptor is replaceable and there are enough, nobody is added for the same reason: a further member
+        serves in the chain without a vote.
+        """
+        candidate = self.next_acceptor(now, view, chain)
+        if candidate is not None:
+            replaced = self.replaceable_acceptor(now, view, chain, candidate)
+            if replaced is not None or len(view.acceptors) < self.target_acceptor_count:
+                return (*(member for member in view.acceptors if member != replaced), candidate)
+        if len(view.acceptors) > self.target_acceptor_count:
+            stopped = self._stopped_acceptors(now, view, chain)
+            if stopped:
+                return tuple(member for member in view.acceptors if member != stopped[0])
         return view.acceptors
 
     def next_acceptor(self, now: float, view: View, chain: tuple[Member, ...]) -> Member | None:
-        """The member of the chain that gets the next seat: one whose earlier incarnation has a seat, else
-        the first that has none. Only members that answer and are well."""
-        without = [
-            each
-            for each in chain
-            if each not in view.acceptors
-            and self.answered_recently(now, each)
-            and not self.health(now, each)[0]
-        ]
-        seated = {address for address, _ in view.acceptors}
-        return next((each for each in without if each[0] in seated), without[0] if without else None)
+        """The healthy member of the chain that becomes an acceptor next, once one is replaceable.
 
-    def target_acceptor_count(self) -> int:
-        """So many keep a majority when as many are lost as may be."""
-        return 2 * self.replicas - 1
+        First comes one whose earlier incarnation is an acceptor, as it lost that one's disk; then the chain's
+        order counts.
+        """
+        candidates = [
+            member
+            for member in chain
+            if member not in view.acceptors
+            and self.answered_recently(now, member)
+            and self.health(now, member) is MemberHealth.HEALTHY
+        ]
+        acceptor_addresses = {address for address, _ in view.acceptors}
+        for member in candidates:
+            if member.address in acceptor_addresses:
+                return member
+        return candidates[0] if candidates else None
 
     def replaceable_acceptor(
-        self, now: float, view: View, chain: tuple[Member, ...], newcomer: Member
+        self, now: float, view: View, chain: tuple[Member, ...], candidate: Member
     ) -> Member | None:
-        """The acceptor whose seat the newcomer takes: its own earlier incarnation, else one that votes no
-        more, the longest silent first."""
-        for each in view.acceptors:
-            if each[0] == newcomer[0]:
-                return each
-        vacant = [
-            each
-            for each in view.acceptors
-            if each not in chain and each != self.local_member and self.has_stopped_voting(now, each)
-        ]
+        """The acceptor that the candidate replaces: its own earlier incarnation, else the longest silent of
+        those that no longer vote."""
+        for member in view.acceptors:
+            if member.address == candidate.address:
+                return member
+        stopped = self._stopped_acceptors(now, view, chain)
         return max(
-            vacant, key=lambda each: self.failure_detector.time_since_contact(now, each[0]), default=None
+            stopped,
+            key=lambda member: self.failure_detector.time_since_contact(now, member.address),
+            default=None,
         )
 
+    def _stopped_acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> list[Member]:
+        """Acceptors other than this registrar that are out of the chain and no longer vote."""
+        return [
+            member
+            for member in view.acceptors
+            if member not in chain and member != self.local_member and self.has_stopped_voting(now, member)
+        ]
+
     def has_stopped_voting(self, now: float, member: Member) -> bool:
-        """Whether this acceptor is silent, has lost its disk, or is about to end."""
-        peer = self.failure_detector.peers.get(member[0])
-        if peer is None or not self.failure_detector.is_alive(now, member[0]):
+        """Whether an acceptor is silent, has lost its disk, or is about to end."""
+        address, incarnation = member
+        peer = self.failure_detector.peers.get(address)
+        if peer is None or not self.failure_detector.is_alive(now, address):
             return True
-        return peer.draining or peer.incarnation not in ("", member[1])
+        return peer.draining or peer.incarnation not in ("", incarnation)
+
+    # Leaving.
 
     def pending_handover(self, now: float) -> PendingHandover | None:
-        """What a registrar that leaves has not yet handed over."""
+        """What this leaving registrar has not yet handed over; None if it may end."""
         view = self.view_agreement.view
         if view is None or view.acceptors == (self.local_member,):
-            return None  # there is nobody else
+            return None  # there is nobody to hand over to
         if self.local_member in view.chain or not self.is_replicated_by_others(view):
             return PendingHandover.REPLICA
         if self.local_member in view.acceptors and not self.may_stop_voting(now, view):
@@ -221,61 +356,25 @@
         return None
 
     def is_replicated_by_others(self, view: View) -> bool:
-        """Whether as many others as must hold a copy have told that they hold all in this view's chain."""
-        peers = [
-            (self.failure_detector.peers.get(address), incarnation) for address, incarnation in view.chain
-        ]
-        holding = [
-            peer
-            for peer, incarnation in peers
-            if peer
-            and (peer.incarnation, peer.view_number, peer.status)
-            == (incarnation, view.number, ReplicaStatus.CHAIN_CAUGHT_UP)
-        ]
-        return len(holding) >= min(self.replicas, len(view.chain))
+        """Whether enough members of this view's chain have reported in it that they are caught up."""
+        caught_up = sum(self._has_reported_caught_up(view, member) for member in view.chain)
+        return caught_up >= min(self.replicas, len(view.chain))
 
     def may_stop_voting(self, now: float, view: View) -> bool:
-        """Whether this acceptor may end: the others are a majority, and none could be taken out for it. Where
-        there are no more acceptors than enough it stays one, by its disk: fewer would bear no more. It waits
-        while a member of the chain could take its seat."""
-        if self.next_acceptor(now, view, view.chain):
+        """Whether this acceptor may end.
+
+        The others must be a majority without it. If there are more acceptors than needed, or a member of the
+        chain could replace it, it waits for that. Otherwise it stays an acceptor by what its disk holds: a
+        smaller set would tolerate no more losses.
+        """
+        if self.next_acceptor(now, view, view.chain) is not None:
+            return False
+        if len(view.acceptors) > self.target_acceptor_count:
             return False
-        others = [each for each in view.acceptors if each != self.local_member]
+        others = [member for member in view.acceptors if member != self.local_member]
         voting = [
-            each
-            for each in others
-            if self.answered_recently(now, each) and not self.has_stopped_voting(now, each)
+            member
+            for member in others
+            if self.answered_recently(now, member) and not self.has_stopped_voting(now, member)
         ]
-        return len(view.acceptors) <= self.target_acceptor_count() and len(voting) >= view.majority()
-
-    def reaches_majority(self, now: float) -> bool:
-        """Whether a majority of the acceptors answers. Who was cut off or frozen and is just back has heard
-        of nobody: it judges nobody before the echoes have come."""
-        view = self.view_agreement.view
-        return view is not None and self.failure_detector.has_quorum_contact(now, view.acceptors)
-
-    def _unfinished_proposal(self) -> View | None:
-        """What an acceptor has accepted: until it is decided, no read can be answered."""
-        return (
-            self.view_agreement.accepted.view
-            if self.view_agreement.accepted and self.view_agreement.is_acceptor()
-            else None
-        )
-
-    def reconcile(self, now: float, synced: int, committed: int, caught_up: bool) -> None:
-        wanted = None
-        if self.reaches_majority(now):
-            wanted = self.desired_view(now, synced, committed, caught_up) or self._unfinished_proposal()
-        if wanted is None:
-            self._target = None
-            return
-        key = (wanted.number, wanted.acceptors, wanted.chain)
-        if key != self._target:
-            self._target, self._target_since = key, now
-        rank = 0
-        for address, _ in sorted(wanted.acceptors):
-            if address == self.local_member[0]:
-                break
-            rank += self.failure_detector.is_alive(now, address)
-        if now - self._target_since >= rank * PROPOSAL_STAGGER_S:
-            self.view_agreement.propose(now, self.rng, wanted)
+        return len(voting) >= view.majority()
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -7,7 +7,7 @@
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.lease.voter import Voter
-from plumline.coordination.membership import MembershipReconciler, PendingHandover
+from plumline.coordination.membership import MemberHealth, MembershipReconciler, PendingHandover
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View
 from plumline.coordination.view_agreement import ViewAgreement
@@ -43,7 +43,7 @@
 
 
 class JudgesBeforeItHasHeard(MembershipReconciler):
-    def reaches_majority(self, now: float) -> bool:
+    def reaches_majority(self, now: float, view: View) -> bool:
         return True
 
 
@@ -53,7 +53,7 @@
     def reachable_chain(self, now: float, view: View) -> tuple[Member, ...]:
         if super().reachable_chain(now, view) == view.chain:
             return view.chain
-        return tuple(each for each in view.chain if not self.health(now, each)[0])
+        return tuple(each for each in view.chain if self.health(now, each) is MemberHealth.HEALTHY)
 
 
 class CountsOnTheUnheard(MembershipReconciler):
