--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -110,6 +110,8 @@
 def mutation(name: str) -> dict[str, Any]:
     """Keywords of a schedule whose cores are without that guard."""
     kind = globals()[name]
+    unknown = [method for method in vars(kind) if not hasattr(kind.__base__, method)]
+    assert not unknown, f"{name} changes nothing: {kind.__base__} has no {unknown}"
     parts = {
         MembershipReconciler: "membership",
         Voter: "lease_election.voter",
