--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The loop that keeps the view what it should be."""
+"""Membership reconciliation: whole cores whose view must follow the machines that are healthy."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("name", "abc")
-def test_a_restart_shorter_than_suspicion_leaves_the_view_alone(name: str) -> None:
+def test_a_restart_shorter_than_the_suspicion_timeout_changes_no_view(name: str) -> None:
     world = formed()
     world.put(0)
     world.crash(world.nodes[name])
@@ -25,7 +25,7 @@
     assert list(world.views) == [1]
 
 
-def test_a_restart_of_all_at_once_leaves_the_view_alone() -> None:
+def test_a_restart_of_all_at_once_changes_no_view() -> None:
     world = formed()
     world.put(0)
     for node in world.nodes.values():
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("name", "abc")
-def test_a_silent_member_goes_and_comes_back_as_the_tail(name: str) -> None:
+def test_a_silent_member_is_removed_and_rejoins_as_the_tail(name: str) -> None:
     world = formed()
     world.put(0)
     world.crash(world.nodes[name])
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("pair", [("a", "b"), ("b", "a"), ("b", "c"), ("c", "b")])
-def test_a_one_way_cut_between_neighbours_is_mended(pair: tuple[str, str]) -> None:
+def test_a_one_way_partition_between_neighbours_is_repaired(pair: tuple[str, str]) -> None:
     world = formed()
     world.cut.add(pair)
     world.go(8.0)
@@ -60,7 +60,7 @@
     world.settle()
 
 
-def test_a_cut_across_the_chain_harms_nothing() -> None:
+def test_a_partition_between_members_that_are_no_neighbours_changes_no_view() -> None:
     world = formed()
     world.cut |= {("a", "c"), ("c", "a")}
     world.go(8.0)
@@ -68,7 +68,7 @@
     world.put(0)
 
 
-def test_a_member_with_a_sick_disk_is_taken_out_and_comes_back() -> None:
+def test_a_member_with_an_unhealthy_disk_is_removed_and_rejoins() -> None:
     world = formed()
     world.nodes["b"].core.disk_unhealthy = True
     assert world.go(3.0, lambda: world.chain() == "ac")
@@ -79,14 +79,14 @@
 
 
 @pytest.mark.parametrize("name", "abc")
-def test_a_member_that_leaves_is_taken_out(name: str) -> None:
+def test_a_draining_member_is_removed(name: str) -> None:
     world = formed()
     world.nodes[name].core.membership.draining = True
     world.settle("".join(sorted(set("abc") - {name})), within=3.0)
     world.put(0)
 
 
-def test_seed_turnover_three_machines_replaced_one_after_the_other() -> None:
+def test_three_machines_are_replaced_one_after_the_other() -> None:
     world = World(3, 6, quiet=True, start=False, seeds=3)
     for name in "abc":
         world.start(world.nodes[name])
@@ -107,8 +107,8 @@
     assert all(len(world.ids(name)) == 4 for name in "def")
 
 
-def test_a_machine_away_for_long_is_still_an_acceptor_when_the_next_one_is_lost() -> None:
-    """Two acceptors would bear no loss: the third stays one, however long it is away."""
+def test_a_machine_absent_for_long_is_still_an_acceptor_when_the_next_one_is_lost() -> None:
+    """Two acceptors would tolerate no loss: the third stays one, however long it is absent."""
     world = formed()
     world.put(0)
     world.crash(world.nodes["c"])
@@ -148,8 +148,8 @@
     assert world.ids("a")[:2] == world.ids("c")[:2] == ("c1", "c2")
 
 
-def test_the_chain_is_not_made_shorter_than_it_must_be_to_commit() -> None:
-    """A chain of fewer copies can do nothing, and is lost with its only member."""
+def test_the_chain_is_not_made_too_short_to_commit() -> None:
+    """A chain of fewer replicas can commit nothing, and is lost with its only member."""
     world = formed()
     world.put(0)
     world.crash(world.nodes["c"])
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("gone", "abc")
-def test_a_newcomer_takes_the_seat_of_a_machine_that_is_gone(gone: str) -> None:
+def test_a_new_member_replaces_the_acceptor_that_is_lost(gone: str) -> None:
     world = with_a_spare()
     world.crash(world.nodes[gone])
     rest = "".join(sorted(set("abc") - {gone}))
@@ -192,8 +192,8 @@
 
 
 @pytest.mark.parametrize("second", "abd")
-def test_a_loss_right_after_a_replacement_stops_nothing(second: str) -> None:
-    """Also where it comes in the moment in which the newcomer is taken in."""
+def test_a_loss_right_after_a_replacement_is_tolerated(second: str) -> None:
+    """Also in the moment in which the new member is admitted."""
     world = with_a_spare()
     world.crash(world.nodes["c"])
     world.settle("ab")
@@ -204,7 +204,7 @@
     world.put(1)
 
 
-def test_who_was_frozen_takes_nobody_out_before_echoes_have_come() -> None:
+def test_a_thawed_registrar_removes_nobody_before_echoes_have_come() -> None:
     world = formed()
     world.put(0)
     for node in world.nodes.values():
@@ -213,8 +213,8 @@
     assert list(world.views) == [1]
 
 
-def test_a_chain_is_not_cut_down_to_a_member_that_has_not_been_heard() -> None:
-    """a is gone and nobody has noticed yet: with b out, c would be the only one of two."""
+def test_a_chain_is_not_shortened_to_a_member_that_has_not_answered() -> None:
+    """a is lost and nobody has noticed yet: without b, c would be the only replica of two."""
     world = formed()
     world.put(0)
     for node in world.nodes.values():
@@ -231,7 +231,7 @@
 
 
 @pytest.mark.parametrize("name", "abc")
-def test_who_leaves_three_hands_over_soon_and_stays_an_acceptor(name: str) -> None:
+def test_a_draining_member_of_three_hands_over_soon_and_stays_an_acceptor(name: str) -> None:
     world = formed()
     world.put(0)
     core = world.nodes[name].core
@@ -242,8 +242,8 @@
     assert addresses(world.newest.acceptors) == "abc"
 
 
-def test_who_leaves_for_a_successor_is_no_acceptor_when_it_ends() -> None:
-    """Four acceptors, one of them just ended, would not bear the loss of another."""
+def test_a_draining_member_with_a_successor_is_no_acceptor_when_it_ends() -> None:
+    """Four acceptors, one of them just ended, would not tolerate the loss of another."""
     world = with_a_spare()
     world.start(world.nodes["d"])
     world.settle("abcd")
@@ -257,7 +257,7 @@
     world.put(1)
 
 
-def test_who_leaves_waits_while_another_is_away() -> None:
+def test_a_draining_member_waits_while_another_is_absent() -> None:
     world = formed()
     world.put(0)
     world.crash(world.nodes["c"])
@@ -271,7 +271,7 @@
     assert world.chain() == "bc"
 
 
-def test_who_leaves_gives_its_leases_back() -> None:
+def test_a_draining_registrar_releases_its_leases() -> None:
     world = World(1, 3, quiet=True, start=False)
     world.leases = {"weights": LeaseDurations(1.0, 3.0)}
     for node in world.nodes.values():
@@ -299,7 +299,7 @@
     assert world.go(2.0, lambda: bool(holders()))
 
 
-def test_who_reaches_no_majority_of_the_acceptors_proposes_nothing() -> None:
+def test_a_registrar_that_reaches_no_majority_proposes_nothing() -> None:
     world = formed(size=4)
     world.put(0)
     world.spy = True
@@ -309,8 +309,8 @@
     assert not [to for _, who, to, message in world.seen if who == "b" and message[0] == "view-prepare"]
 
 
-def test_who_leaves_is_taken_out_of_more_acceptors_than_enough() -> None:
-    """It was out of the chain before, so only its seat is left to give up."""
+def test_a_draining_member_is_removed_from_more_acceptors_than_needed() -> None:
+    """It was out of the chain before, so only its role as an acceptor is left to hand over."""
     world = formed(size=4)
     world.put(0)
     core = world.nodes["c"].core
@@ -323,7 +323,7 @@
     assert addresses(world.newest.acceptors) == "abd"
 
 
-def test_a_change_takes_nobody_out_whom_only_its_proposer_cannot_reach() -> None:
+def test_a_view_change_removes_nobody_whom_only_its_proposer_cannot_reach() -> None:
     world = formed(size=4)
     world.put(0)
     world.cut |= {("a", "d"), ("d", "a")}
@@ -334,7 +334,7 @@
     assert addresses(world.newest.acceptors) == "acd"
 
 
-def test_who_leaves_waits_until_others_have_told_that_they_hold_all() -> None:
+def test_a_draining_member_waits_until_others_report_to_be_caught_up() -> None:
     world = formed()
     world.put(0)
     core = world.nodes["c"].core
@@ -344,7 +344,7 @@
     assert world.go(1.0, lambda: core.pending_handover(local(world, "c")) is None)
 
 
-def test_a_second_loss_right_after_a_replacement_among_five_stops_nothing() -> None:
+def test_a_second_loss_right_after_a_replacement_among_five_is_tolerated() -> None:
     world = World(1, 6, quiet=True, start=False, seeds=5, copies=3)
     for name in "abcde":
         world.start(world.nodes[name])
@@ -362,8 +362,8 @@
     world.put(1)
 
 
-def test_a_disk_lost_just_as_a_replaced_machine_is_killed_stops_nothing() -> None:
-    """The successor has had its time, so one loss is allowed again; the old one had not given up its seat."""
+def test_a_disk_lost_just_as_a_replaced_machine_is_killed_is_tolerated() -> None:
+    """The successor has had its time, so one loss is allowed again; the old machine is still an acceptor."""
     world = with_a_spare()
     world.start(world.nodes["d"])
     world.settle("abcd")
@@ -375,7 +375,7 @@
 
 
 def with_a_successor() -> World:
-    """Three formed machines and a fourth, all in the chain; no seat was vacant for the fourth."""
+    """Three formed machines and a fourth, all in the chain; the fourth had no acceptor to replace."""
     world = with_a_spare()
     world.start(world.nodes["d"])
     world.settle("abcd")
@@ -384,7 +384,7 @@
 
 
 @pytest.mark.parametrize("gone", "abc")
-def test_a_successor_takes_the_seat_of_the_machine_that_goes(gone: str) -> None:
+def test_a_successor_replaces_the_acceptor_that_is_lost(gone: str) -> None:
     world = with_a_successor()
     world.crash(world.nodes[gone])
     rest = "".join(sorted(set("abc") - {gone}))
@@ -395,7 +395,7 @@
 
 
 @pytest.mark.parametrize("gone", "abc")
-def test_a_successor_whose_disk_is_lost_as_any_machine_is_killed_stops_nothing(gone: str) -> None:
+def test_a_successor_whose_disk_is_lost_as_any_acceptor_is_killed_is_tolerated(gone: str) -> None:
     world = with_a_successor()
     world.crash(world.nodes[gone])
     world.wipe(world.nodes["d"])
@@ -405,7 +405,7 @@
     world.put(1)
 
 
-def test_a_member_without_a_seat_takes_learners_in_as_the_tail() -> None:
+def test_a_tail_that_is_no_acceptor_admits_learners() -> None:
     world = with_a_successor()
     world.nodes["b"].core.disk_unhealthy = True
     assert world.go(3.0, lambda: world.chain() == "acd")
@@ -415,8 +415,8 @@
     assert addresses(world.newest.acceptors) == "abc"
 
 
-def test_who_leaves_waits_until_a_member_without_a_seat_has_taken_its_own() -> None:
-    """It was out of the chain before, so only its seat is left to give up."""
+def test_a_draining_acceptor_waits_until_a_chain_member_has_replaced_it() -> None:
+    """It was out of the chain before, so only its role as an acceptor is left to hand over."""
     world = with_a_successor()
     core = world.nodes["c"].core
     core.disk_unhealthy = True
