--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -171,7 +171,7 @@
     return world
 
 
-def local(world: World, name: str) -> float:
+def local_time(world: World, name: str) -> float:
     return world.now + world.nodes[name].offset
 
 
@@ -222,10 +222,10 @@
     world.start(world.nodes["b"])
     world.start(world.nodes["c"])
     world.go(0.2)
-    world.nodes["b"].core.leave(local(world, "b"))
+    world.nodes["b"].core.leave(local_time(world, "b"))
     world.go(5.0)
     assert list(world.views) == [1]
-    assert world.nodes["b"].core.pending_handover(local(world, "b")) is PendingHandover.REPLICA
+    assert world.nodes["b"].core.pending_handover(local_time(world, "b")) is PendingHandover.REPLICA
     world.start(world.nodes["a"])
     world.settle("ac")
 
@@ -235,9 +235,9 @@
     world = formed()
     world.put(0)
     core = world.nodes[name].core
-    core.leave(local(world, name))
-    assert core.pending_handover(local(world, name)) is PendingHandover.REPLICA
-    assert world.go(1.0, lambda: core.pending_handover(local(world, name)) is None)
+    core.leave(local_time(world, name))
+    assert core.pending_handover(local_time(world, name)) is PendingHandover.REPLICA
+    assert world.go(1.0, lambda: core.pending_handover(local_time(world, name)) is None)
     assert name not in world.chain()
     assert addresses(world.newest.acceptors) == "abc"
 
@@ -248,8 +248,8 @@
     world.start(world.nodes["d"])
     world.settle("abcd")
     core = world.nodes["c"].core
-    core.leave(local(world, "c"))
-    assert world.go(2.0, lambda: core.pending_handover(local(world, "c")) is None)
+    core.leave(local_time(world, "c"))
+    assert world.go(2.0, lambda: core.pending_handover(local_time(world, "c")) is None)
     world.crash(world.nodes["c"])
     assert addresses(world.newest.acceptors) == "abd"
     world.wipe(world.nodes["a"])
@@ -263,11 +263,11 @@
     world.crash(world.nodes["c"])
     world.settle("ab")
     core = world.nodes["a"].core
-    core.leave(local(world, "a"))
+    core.leave(local_time(world, "a"))
     world.go(5.0)
-    assert core.pending_handover(local(world, "a")) is PendingHandover.REPLICA
+    assert core.pending_handover(local_time(world, "a")) is PendingHandover.REPLICA
     world.start(world.nodes["c"])
-    assert world.go(5.0, lambda: core.pending_handover(local(world, "a")) is None)
+    assert world.go(5.0, lambda: core.pending_handover(local_time(world, "a")) is None)
     assert world.chain() == "bc"
 
 
@@ -278,22 +278,23 @@
         world.start(node)
     world.settle()
     for name, node in world.nodes.items():
-        node.core.campaign(local(world, name), "weights")
+        node.core.campaign(local_time(world, name), "weights")
 
     def holders() -> str:
         held = (
             name
             for name, node in world.nodes.items()
-            if node.core and node.core.lease_election.fencing_token(local(world, name), "weights") is not None
+            if node.core
+            and node.core.lease_election.fencing_token(local_time(world, name), "weights") is not None
         )
         return "".join(held)
 
     assert world.go(5.0, lambda: bool(holders()))
     first = holders()
     core = world.nodes[first].core
-    core.leave(local(world, first))
+    core.leave(local_time(world, first))
     assert holders() == ""
-    assert world.go(1.0, lambda: core.pending_handover(local(world, first)) is None)
+    assert world.go(1.0, lambda: core.pending_handover(local_time(world, first)) is None)
     world.crash(world.nodes[first])
     assert not world.go(1.9, lambda: bool(holders()))  # the rest
     assert world.go(2.0, lambda: bool(holders()))
@@ -317,9 +318,9 @@
     core.disk_unhealthy = True
     world.settle("abd")
     world.go(0.5)
-    core.leave(local(world, "c"))
-    assert core.pending_handover(local(world, "c")) is PendingHandover.ACCEPTOR
-    assert world.go(1.0, lambda: core.pending_handover(local(world, "c")) is None)
+    core.leave(local_time(world, "c"))
+    assert core.pending_handover(local_time(world, "c")) is PendingHandover.ACCEPTOR
+    assert world.go(1.0, lambda: core.pending_handover(local_time(world, "c")) is None)
     assert addresses(world.newest.acceptors) == "abd"
 
 
@@ -328,7 +329,7 @@
     world.put(0)
     world.cut |= {("a", "d"), ("d", "a")}
     world.go(2.0)
-    world.nodes["b"].core.leave(local(world, "b"))
+    world.nodes["b"].core.leave(local_time(world, "b"))
     world.go(2.0)
     assert [addresses(view.chain) for view in world.views.values()] == ["abcd", "acd"]
     assert addresses(world.newest.acceptors) == "acd"
@@ -338,10 +339,10 @@
     world = formed()
     world.put(0)
     core = world.nodes["c"].core
-    core.leave(local(world, "c"))
+    core.leave(local_time(world, "c"))
     assert world.go(1.0, lambda: core.me not in core.view_agreement.view.chain)
-    assert core.pending_handover(local(world, "c")) is PendingHandover.REPLICA
-    assert world.go(1.0, lambda: core.pending_handover(local(world, "c")) is None)
+    assert core.pending_handover(local_time(world, "c")) is PendingHandover.REPLICA
+    assert world.go(1.0, lambda: core.pending_handover(local_time(world, "c")) is None)
 
 
 def test_a_second_loss_right_after_a_replacement_among_five_is_tolerated() -> None:
@@ -422,7 +423,7 @@
     core.disk_unhealthy = True
     world.settle("abd")
     world.go(0.5)
-    core.leave(local(world, "c"))
-    assert core.pending_handover(local(world, "c")) is PendingHandover.ACCEPTOR
-    assert world.go(1.0, lambda: core.pending_handover(local(world, "c")) is None)
+    core.leave(local_time(world, "c"))
+    assert core.pending_handover(local_time(world, "c")) is PendingHandover.ACCEPTOR
+    assert world.go(1.0, lambda: core.pending_handover(local_time(world, "c")) is None)
     assert addresses(world.newest.acceptors) == "abd"
