--- a/plumline/cli.py
+++ b/plumline/cli.py
@@ -49,7 +49,7 @@
     except PlumlineError as error:
         stop(error, EXIT_SETTINGS)
     if role == "router":
-        from plumline.router.app import run
+        from plumline.router.process import run
     else:
         from plumline.registrar.process import run
     try:
--- a/plumline/prompts/parts.py
+++ b/plumline/prefix_cache/blocks.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-Part = tuple[str, int]  # id, tokens
+PrefixBlock = tuple[str, int]  # id, tokens
 
 MOST_DIGITS = 9  # of a number of tokens that is taken for one
 
 
-def parse_parts(text: str) -> list[Part]:
+def parse_parts(text: str) -> list[PrefixBlock]:
     """'ID:TOKENS,...' in order; what can't be read ends the list, as nothing after it can be found kept."""
     parts = []
     for piece in text.split(","):
@@ -39,12 +39,12 @@
     return text.isascii() and text.isdecimal() and len(text) <= MOST_DIGITS
 
 
-def size_of(parts: Iterable[Part]) -> int:
+def size_of(parts: Iterable[PrefixBlock]) -> int:
     """Tokens of all the parts."""
     return sum(tokens for _, tokens in parts)
 
 
-def leading_tokens(parts: Iterable[Part], is_kept: Callable[[Part], bool]) -> int:
+def leading_tokens(parts: Iterable[PrefixBlock], is_kept: Callable[[PrefixBlock], bool]) -> int:
     """Tokens at the prompt's start that are kept: a part counts if it and all before it are."""
     total = 0
     for part in parts:
@@ -54,7 +54,7 @@
     return total
 
 
-def common_tokens(some: Sequence[Part], others: Sequence[Part]) -> int:
+def common_tokens(some: Sequence[PrefixBlock], others: Sequence[PrefixBlock]) -> int:
     """Tokens of the parts that both begin with."""
     names = (name for name, _ in others)
     return leading_tokens(some, lambda part: part[0] == next(names, None))
--- a/plumline/prompts/news.py
+++ b/plumline/prefix_cache/events.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from plumline.prompts.parts import Part
+from plumline.prefix_cache.blocks import PrefixBlock
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,7 +18,7 @@
     number: int
     endpoint: str
     salt: str
-    parts: list[Part]
+    parts: list[PrefixBlock]
     missing: float  # tokens that are to be read there
     saves: str  # address of the store that it is saved to; empty: to none
 
--- a/plumline/prompts/index.py
+++ b/plumline/prefix_cache/index.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumline.prompts.parts import Part, common_tokens, leading_tokens, size_of
+from plumline.prefix_cache.blocks import PrefixBlock, common_tokens, leading_tokens, size_of
 
 Serial = tuple[str, int]  # the router that placed a prompt, its count there
 
@@ -34,7 +34,7 @@
 
     endpoint: str
     salt: str
-    parts: list[Part]
+    parts: list[PrefixBlock]
     missing: float
     saves: str  # address of the store that it is saved to; empty: to none
     at: float
@@ -48,7 +48,7 @@
     parts: OrderedDict[tuple[str, str], int] = field(default_factory=OrderedDict)
     size: int = 0
 
-    def add(self, salt: str, parts: Iterable[Part]) -> None:
+    def add(self, salt: str, parts: Iterable[PrefixBlock]) -> None:
         """The parts have just been used; what no longer fits gives way."""
         for name, tokens in parts:
             key = (salt, name)
@@ -57,7 +57,7 @@
         while self.size > self.capacity and self.parts:
             self.size -= self.parts.popitem(last=False)[1]
 
-    def held(self, salt: str, parts: Iterable[Part]) -> int:
+    def held(self, salt: str, parts: Iterable[PrefixBlock]) -> int:
         """Tokens at the prompt's start that are kept here."""
         return leading_tokens(parts, lambda part: (salt, part[0]) in self.parts)
 
@@ -88,16 +88,16 @@
             else:
                 self.parts.pop(key, None)
 
-    def held(self, salt: str, parts: Iterable[Part]) -> int:
+    def held(self, salt: str, parts: Iterable[PrefixBlock]) -> int:
         """Tokens at the prompt's start that the store holds; parts that it doesn't tell of count as held."""
         return leading_tokens(parts, lambda part: part[1] < TOLD_PART or self.holds(salt, part))
 
-    def holds(self, salt: str, part: Part) -> bool:
+    def holds(self, salt: str, part: PrefixBlock) -> bool:
         """Whether it has told that it holds the part, up to the last whole block."""
         name, tokens = part
         return self.parts.get((salt, name), 0) >= tokens - BLOCK
 
-    def lacks(self, now: float, salt: str, parts: Sequence[Part]) -> bool:
+    def lacks(self, now: float, salt: str, parts: Sequence[PrefixBlock]) -> bool:
         """Whether any of the parts is neither held nor on its way."""
         while self.saving:
             key, until = next(iter(self.saving.items()))
@@ -109,13 +109,13 @@
             for part in parts
         )
 
-    def sent(self, now: float, salt: str, parts: Iterable[Part]) -> None:
+    def sent(self, now: float, salt: str, parts: Iterable[PrefixBlock]) -> None:
         """The parts are on their way to it."""
         for name, _ in parts:
             self.saving[salt, name] = now + SAVING
 
 
-class PromptIndex:
+class PrefixCacheIndex:
     """Where long prompts are being read and kept, by all that routers and stores tell."""
 
     def __init__(self, capacity_of: Callable[[str], float]) -> None:
@@ -209,7 +209,7 @@
         """Tokens of prompts told of that it still has to read."""
         return self.unread.get(endpoint, 0.0)
 
-    def kept(self, endpoint: str, salt: str, parts: Sequence[Part]) -> int:
+    def kept(self, endpoint: str, salt: str, parts: Sequence[PrefixBlock]) -> int:
         """Tokens at the prompt's start that the endpoint likely keeps."""
         keep = self.keeps.get(endpoint)
         return keep.held(salt, parts) if keep else 0
@@ -218,11 +218,11 @@
         """Tokens of its memory that prompts told of take, read or not, until their streams end."""
         return self.resident.get(endpoint, 0.0)
 
-    def read_before(self, salt: str, parts: Iterable[Part]) -> int:
+    def read_before(self, salt: str, parts: Iterable[PrefixBlock]) -> int:
         """Tokens at the prompt's start that somebody has read: to read them again is waste."""
         return leading_tokens(parts, lambda part: (salt, part[0]) in self.seen)
 
-    def coming(self, endpoint: str, salt: str, parts: Sequence[Part]) -> int:
+    def coming(self, endpoint: str, salt: str, parts: Sequence[PrefixBlock]) -> int:
         """Tokens at the prompt's start that the endpoint keeps or is reading for another request."""
         best = self.kept(endpoint, salt, parts)
         for each in self.placements.values():
--- a/plumline/registrar/peer_messages.py
+++ b/plumline/registrar/peer_messages.py
@@ -36,7 +36,7 @@
 
 
 class PromptEvents(NamedTuple):
-    """What a router or a cache store tells of prompts (see plumline.prompts.news)."""
+    """What a router or a cache store tells of prompts (see plumline.prefix_cache.events)."""
 
     origin: str  # the router's node name, or the store's address
     events: list[Any]
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -16,7 +16,7 @@
 from plumline.coordination.soft_state import SoftState
 from plumline.coordination.view import View
 from plumline.counters import Counters
-from plumline.prompts.index import TOLD_PART
+from plumline.prefix_cache.index import TOLD_PART
 from plumline.registrar.cache_stores import CacheStoreMonitor
 from plumline.registrar.discovery import EndpointDiscovery
 from plumline.registrar.operator_api import OperatorApi
--- a/plumline/registrar/service_load.py
+++ b/plumline/registrar/service_load.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from plumline.routing.shares import summed
+from plumline.routing.reserved_quota import summed
 
 #: By service: ms of endpoints' time a second for short and for long requests; then, where shares are
 #: reserved, what the tenants ask for (routing.shares.Told).
--- a/plumline/router/admission.py
+++ b/plumline/router/admission.py
@@ -4,12 +4,12 @@
 
 from plumline.configuration.entities import Route, Tenant
 from plumline.configuration.route_table import RouteTable
-from plumline.prompts.parts import Part, output_tokens, parse_parts, prompt_tokens, size_of
+from plumline.prefix_cache.blocks import PrefixBlock, output_tokens, parse_parts, prompt_tokens, size_of
 from plumline.router.relay import Headers, request_headers, value_of
-from plumline.router.state import RouterState
-from plumline.routing.choice import READ_RATE
-from plumline.routing.lanes import TOKEN_MS, is_long
-from plumline.routing.shares import Standing, priority
+from plumline.router.router_state import RouterState
+from plumline.routing.endpoint_scoring import READ_RATE
+from plumline.routing.queue_classes import TOKEN_MS, is_long
+from plumline.routing.reserved_quota import Standing, priority
 from plumline.wire.exchange import Exchange
 from plumline.wire.http import decimal
 
@@ -22,7 +22,7 @@
     """What the head says of a request's prompt."""
 
     model: str  # empty: the request is for no model
-    parts: list[Part]
+    parts: list[PrefixBlock]
     tokens: int  # to be read
     work_ms: float  # of an endpoint's time beside its reading
     long: bool
--- a/plumline/router/send.py
+++ b/plumline/router/attempt.py
@@ -4,7 +4,7 @@
 
 import h11
 
-from plumline.prompts.index import Placement
+from plumline.prefix_cache.index import Placement
 from plumline.router.progress import COME_BACK, MARGIN, Proof
 from plumline.router.relay import (
     LONGEST_END,
@@ -17,8 +17,8 @@
     is_framed,
     value_of,
 )
+from plumline.router.router_state import address_text
 from plumline.router.selection import Picked, Selection
-from plumline.router.state import address_text
 from plumline.router.upstream import (
     UpstreamConnectError,
     UpstreamConnection,
@@ -26,8 +26,8 @@
     UpstreamUnsentError,
     idle_time,
 )
-from plumline.routing.choice import READ_RATE, Candidate, expected_ms
-from plumline.routing.loads import Load
+from plumline.routing.endpoint_load import Load
+from plumline.routing.endpoint_scoring import READ_RATE, Candidate, expected_ms
 from plumline.routing.outcomes import Call
 
 SHUNNED = 1.0  # s without sends to an endpoint whose weights turned out to be others than known
--- a/plumline/router/dispatch.py
+++ b/plumline/router/dispatch.py
@@ -1,8 +1,8 @@
 """The requests of one router: each is taken on as a job of its own, over the state that all share.
 
-What keeps the rules: every send carries `Expected-Instance` (`send.py`); a second one is made only where the
-first surely has not run or the route is idempotent, and only out of the budget; 503 is answered only where
-surely nothing ran, 502 or 504 where something may have (`job.py`).
+What keeps the rules: every attempt carries `Expected-Instance` (`attempt.py`); a second one is made only
+where the first surely has not run or the route is idempotent, and only out of the retry budget; 503 is
+answered only where surely nothing ran, 502 or 504 where something may have (`request_handler.py`).
 """
 
 import asyncio
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 
 from plumline.counters import Counters
-from plumline.router.job import Job
-from plumline.router.state import Budget, RouterState
+from plumline.router.request_handler import RequestHandler
+from plumline.router.router_state import Budget, RouterState
 from plumline.routing.fleet import Fleet
 from plumline.settings import Settings
 from plumline.wire.exchange import Exchange
@@ -36,7 +36,7 @@
 
     def handle(self, exchange: Exchange) -> None:
         """Takes the request on; its answer comes by a task of its own."""
-        task = asyncio.get_running_loop().create_task(Job(self, exchange).run())
+        task = asyncio.get_running_loop().create_task(RequestHandler(self, exchange).run())
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
--- a/plumline/router/app.py
+++ b/plumline/router/process.py
@@ -6,10 +6,10 @@
 from plumline import logs
 from plumline.counters import Counters
 from plumline.router.dispatch import Dispatcher
-from plumline.router.following import Follower
-from plumline.router.ingress import Lifecycle
+from plumline.router.lifecycle import Lifecycle
 from plumline.router.readiness import Readiness
-from plumline.router.state import retry_budget
+from plumline.router.router_state import retry_budget
+from plumline.router.subscriber import FeedSubscriber
 from plumline.routing.fleet import Fleet
 from plumline.settings import Settings, SettingsFile
 from plumline.wire.server import FixedLimits, Server
@@ -29,7 +29,7 @@
         self.settings, self.file = settings, file or SettingsFile(None)
         self.loop = asyncio.get_running_loop()
         self.counters, self.fleet = Counters(), Fleet()
-        self.follower = Follower(settings, self.fleet, self.counters, self.file)
+        self.follower = FeedSubscriber(settings, self.fleet, self.counters, self.file)
         bounds = settings.bounds
         self.budget = retry_budget(settings, self.loop.time())
         self.dispatcher = Dispatcher(settings, self.fleet, self.counters, self.loop.time, budget=self.budget)
--- a/plumline/router/job.py
+++ b/plumline/router/request_handler.py
@@ -4,12 +4,12 @@
 
 from plumline import logs
 from plumline.router.admission import Denial, Request, admit
+from plumline.router.attempt import attempt
 from plumline.router.progress import COME_BACK, MARGIN, Progress, Proof
 from plumline.router.relay import Headers, value_of
+from plumline.router.router_state import RouterState
 from plumline.router.selection import Selection
-from plumline.router.send import attempt
-from plumline.router.state import RouterState
-from plumline.routing.shares import CALM
+from plumline.routing.reserved_quota import CALM
 from plumline.wire.exchange import Exchange
 
 WAIT_SHARE = 1 / 8  # of the aim: how long a request may be held, once, for an endpoint to be ready
@@ -17,7 +17,7 @@
 log = logs.logger("dispatch")
 
 
-class Job:
+class RequestHandler:
     """One request."""
 
     def __init__(self, router: RouterState, exchange: Exchange) -> None:
--- a/plumline/router/state.py
+++ b/plumline/router/router_state.py
@@ -12,18 +12,18 @@
 from plumline.coordination import ring
 from plumline.coordination.budget import RetryBudget
 from plumline.counters import Counters
-from plumline.prompts.index import Placement, PromptIndex
-from plumline.prompts.news import Done, Placed, Read, Stored, news_from
-from plumline.prompts.parts import Part
+from plumline.prefix_cache.blocks import PrefixBlock
+from plumline.prefix_cache.events import Done, Placed, Read, Stored, news_from
+from plumline.prefix_cache.index import Placement, PrefixCacheIndex
 from plumline.router.relay import Headers, value_of
 from plumline.router.upstream import Pool
+from plumline.routing.cache_salt import NamedVersions
+from plumline.routing.endpoint_load import Affinity, Load
 from plumline.routing.fleet import Address, Endpoint, Fleet
 from plumline.routing.fleet_state import StoreStatus
-from plumline.routing.lanes import Lanes
-from plumline.routing.loads import Affinity, Load
 from plumline.routing.outcomes import Outcomes, store_key
-from plumline.routing.salt import NamedVersions
-from plumline.routing.shares import Shares
+from plumline.routing.queue_classes import QueueClasses
+from plumline.routing.reserved_quota import Shares
 from plumline.settings import Settings
 
 CONNECT_TIMEOUT = 0.3  # s
@@ -82,7 +82,7 @@
         self.outcomes = Outcomes(lambda: self.fleet.routers, self.chance)
         self.pool = Pool(CONNECT_TIMEOUT)
         self.affinity = Affinity()
-        self.index = PromptIndex(self.memory_of)
+        self.index = PrefixCacheIndex(self.memory_of)
         self.serials = itertools.count(1)
         #: Tells the other routers of a prompt placed, read or ended; the process sets it.
         self.tell: Callable[[list[Any]], None] = lambda _: None
@@ -91,7 +91,7 @@
         self.shares = Shares(self.surge)
         self.shortest_latency_targets: dict[str, float] = {}  # ms, by service
         self.by_service: dict[str, list[Endpoint]] = {}
-        self.lanes: dict[str, Lanes] = {}  # by service
+        self.lanes: dict[str, QueueClasses] = {}  # by service
         # By endpoint id:
         self.models: dict[str, dict[str, int]] = {}  # weights, as listed
         self.loads: dict[str, Load] = {}
@@ -142,11 +142,11 @@
                 del known[key]
 
     def set_usable(self) -> None:
-        """Lanes and shares reckon with the endpoints that take requests."""
+        """QueueClasses and shares reckon with the endpoints that take requests."""
         counts: dict[str, int] = {}
         for service, endpoints in self.by_service.items():
             usable = [each.id for each in endpoints if not (each.draining or each.moving)]
-            self.lanes.setdefault(service, Lanes()).set_endpoints(service, usable)
+            self.lanes.setdefault(service, QueueClasses()).set_endpoints(service, usable)
             counts[service] = len(usable)
         self.shares.set_endpoints(counts)
         self.lanes = {name: each for name, each in self.lanes.items() if name in self.by_service}
@@ -234,7 +234,7 @@
             if known < int(told) <= self.fleet.named_version(model):
                 self.learned.setdefault(endpoint.id, {})[model] = int(told)
 
-    def store_for(self, parts: list[Part]) -> Service | None:
+    def store_for(self, parts: list[PrefixBlock]) -> Service | None:
         """The store that holds a prompt's shared parts: the same for all routers, of those that are up."""
         stores = self.fleet.table.cache_stores
         up = [
--- a/plumline/router/selection.py
+++ b/plumline/router/selection.py
@@ -4,15 +4,15 @@
 from dataclasses import dataclass, field
 
 from plumline.configuration.entities import Service
-from plumline.prompts.parts import size_of
+from plumline.prefix_cache.blocks import size_of
 from plumline.router.admission import Request
 from plumline.router.progress import COME_BACK, Progress
-from plumline.router.state import RouterState, address_text
-from plumline.routing.choice import READ_RATE, Candidate, choose, expected_ms
+from plumline.router.router_state import RouterState, address_text
+from plumline.routing.cache_salt import Salt, salt_for
+from plumline.routing.endpoint_scoring import READ_RATE, Candidate, choose, expected_ms
 from plumline.routing.fleet import Address, Endpoint
-from plumline.routing.lanes import AWAY_MS, SHORT_AWAY_MS
-from plumline.routing.salt import Salt, salt_for
-from plumline.routing.sources import Fetch, Holder, best_fetch, may_gain
+from plumline.routing.prefix_fetch import Fetch, Holder, best_fetch, may_gain
+from plumline.routing.queue_classes import AWAY_MS, SHORT_AWAY_MS
 
 LEAST_CONNECTIONS = 2  # to an endpoint, however many routers share its limit
 SILENCE_SHARE = 0.8  # of the silence that a client bears, in which a first piece must be expected
--- a/plumline/router/following.py
+++ b/plumline/router/subscriber.py
@@ -77,7 +77,7 @@
         return 0.0 if self.since is None else now - self.since
 
 
-class Follower:
+class FeedSubscriber:
     def __init__(
         self, settings: Settings, fleet: Fleet, counters: Counters, file: SettingsFile | None = None
     ) -> None:
--- a/plumline/routing/loads.py
+++ b/plumline/routing/endpoint_load.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from plumline.prompts.parts import Part, leading_tokens
+from plumline.prefix_cache.blocks import PrefixBlock, leading_tokens
 
 PARTS_KEPT = 20_000  # (salt, part) pairs remembered
 PLACES_KEPT = 8  # endpoints remembered for one part
@@ -43,7 +43,7 @@
         self.most = most
         self.parts: OrderedDict[tuple[str, str], dict[str, float]] = OrderedDict()
 
-    def sent(self, salt: str, parts: Sequence[Part], endpoint: str, now: float) -> None:
+    def sent(self, salt: str, parts: Sequence[PrefixBlock], endpoint: str, now: float) -> None:
         """A prompt with the parts was sent to the endpoint."""
         for name, _ in parts:
             places = self.parts.setdefault((salt, name), {})
@@ -55,15 +55,15 @@
         while len(self.parts) > self.most:
             self.parts.popitem(last=False)
 
-    def kept(self, salt: str, parts: Sequence[Part], endpoint: str, now: float) -> int:
+    def kept(self, salt: str, parts: Sequence[PrefixBlock], endpoint: str, now: float) -> int:
         """Tokens at the prompt's start that `endpoint` likely keeps."""
 
-        def is_kept(part: Part) -> bool:
+        def is_kept(part: PrefixBlock) -> bool:
             sent_at = self.parts.get((salt, part[0]), {}).get(endpoint)
             return sent_at is not None and now - sent_at <= PART_AGE
 
         return leading_tokens(parts, is_kept)
 
-    def seen(self, salt: str, parts: Sequence[Part]) -> int:
+    def seen(self, salt: str, parts: Sequence[PrefixBlock]) -> int:
         """Tokens at the prompt's start sent anywhere under this salt: the store likely holds them."""
         return leading_tokens(parts, lambda part: (salt, part[0]) in self.parts)
--- a/plumline/routing/lanes.py
+++ b/plumline/routing/queue_classes.py
@@ -1,4 +1,4 @@
-"""Lanes: which endpoints of a service long prompts go to, and which are kept for short ones.
+"""QueueClasses: which endpoints of a service long prompts go to, and which are kept for short ones.
 
 A short request that comes behind a long prompt waits for its reading, and a router sees only a part of what
 is on its way. So all routers order a service's endpoints alike (rendezvous hash) and keep as many as the
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from plumline.coordination.ring import weight
-from plumline.prompts.parts import Part
+from plumline.prefix_cache.blocks import PrefixBlock
 
 LONG_SHARE = 1 / 8  # of the service's shortest aim: a prompt that takes longer to read is a long one
 TOKEN_MS = 0.2  # of an endpoint's time that one token put out takes in a batch
@@ -64,7 +64,7 @@
 
 
 @dataclass(slots=True)
-class Lanes:
+class QueueClasses:
     """The lanes of one service. `fleet` are the rates of all routers together, the same for each of them."""
 
     work: Work = field(default_factory=Work)
@@ -93,7 +93,7 @@
             return 0.0
         return LONG_ASTRAY_MS if long else SHORT_ASTRAY_MS
 
-    def home(self, parts: Sequence[Part], long: bool) -> str | None:
+    def home(self, parts: Sequence[PrefixBlock], long: bool) -> str | None:
         """The endpoint of the request's lane at which its last shared part is read; None if none is
         shared."""
         split = self.split()
--- a/tests/frozen_adapter.py
+++ b/tests/frozen_adapter.py
@@ -38,7 +38,7 @@
 from plumline.errors import PlumlineError
 from plumline.operator_calls import settle
 from plumline.registrar import process as registrar
-from plumline.router import app as router
+from plumline.router import process as router
 from plumline.settings import from_environment
 from plumline.store.log_writers import SynchronousWriter
 
--- a/tests/test_choice.py
+++ b/tests/test_endpoint_scoring.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plumline.prompts.parts import parse_parts, prompt_tokens
+from plumline.prefix_cache.blocks import parse_parts, prompt_tokens
 from plumline.router.relay import EventJoiner, answer_headers, is_framed, request_headers
 from plumline.router.upstream import idle_time
-from plumline.routing.choice import Candidate, choose, cost, expected_ms
-from plumline.routing.loads import Affinity, Load
+from plumline.routing.cache_salt import NamedVersions, salt_for
+from plumline.routing.endpoint_load import Affinity, Load
+from plumline.routing.endpoint_scoring import Candidate, choose, cost, expected_ms
 from plumline.routing.outcomes import Outcomes
-from plumline.routing.salt import NamedVersions, salt_for
 
 
 def test_a_kept_prompt_outweighs_some_load_but_not_any() -> None:
--- a/tests/test_ingress.py
+++ b/tests/test_lifecycle.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from plumline.router.ingress import Lifecycle, Phase
+from plumline.router.lifecycle import Lifecycle, Phase
 from plumline.router.readiness import Readiness
 from plumline.wire.exchange import UNREAD_BYTES, AnswerInvalidError, Exchange
 from plumline.wire.server import FixedLimits, Server
--- a/tests/test_news.py
+++ b/tests/test_prefix_cache_events.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from plumline.prompts.news import Done, Placed, Read, Stored, news_from
+from plumline.prefix_cache.events import Done, Placed, Read, Stored, news_from
 
 
 def test_the_plain_values_of_each_kind_make_a_message() -> None:
--- a/tests/test_prompt_index.py
+++ b/tests/test_prefix_cache_index.py
@@ -6,18 +6,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plumline.prompts.index import (
+from plumline.prefix_cache.blocks import common_tokens
+from plumline.prefix_cache.index import (
     ENDLESS,
     ENDPOINT_SHARE,
     FORGOTTEN,
     SAVING,
     Keep,
     Placement,
-    PromptIndex,
+    PrefixCacheIndex,
 )
-from plumline.prompts.parts import common_tokens
-from plumline.routing.lanes import LEAST_S, MEMORY_S, SHORT_USE, Lanes, is_long
-from plumline.routing.sources import SETUP_MS, Holder, best_fetch
+from plumline.routing.prefix_fetch import SETUP_MS, Holder, best_fetch
+from plumline.routing.queue_classes import LEAST_S, MEMORY_S, SHORT_USE, QueueClasses, is_long
 
 A, B = ("10.0.0.1", 1), ("10.0.0.2", 1)
 STORE = "10.9.9.9:1"
@@ -30,7 +30,7 @@
 
 
 def test_a_prompt_is_backlog_until_it_is_read_and_kept_from_then_on() -> None:
-    index = PromptIndex(lambda _: 100_000)
+    index = PrefixCacheIndex(lambda _: 100_000)
     index.placed(("r1", 1), placed())
     assert index.backlog("e1") == 5100
     assert index.kept("e1", "s", PARTS) == 0
@@ -49,7 +49,7 @@
 
 
 def test_what_a_store_holds_is_what_its_events_told() -> None:
-    store = PromptIndex(lambda _: 0.0).store(STORE)
+    store = PrefixCacheIndex(lambda _: 0.0).store(STORE)
     shared = PARTS[:2]
     assert store.lacks(0.0, "s", shared)
     store.sent(0.0, "s", shared)
@@ -71,7 +71,7 @@
 
 
 def test_what_was_not_read_is_neither_backlog_nor_kept() -> None:
-    index = PromptIndex(lambda _: 0.0)
+    index = PrefixCacheIndex(lambda _: 0.0)
     index.placed(("r1", 1), placed())
     index.done(("r1", 1))
     index.read(("r1", 1))
@@ -88,7 +88,7 @@
 
 
 def test_what_an_endpoint_that_is_gone_or_has_other_weights_kept_is_forgotten() -> None:
-    index = PromptIndex(lambda _: 0.0)
+    index = PrefixCacheIndex(lambda _: 0.0)
     for number, endpoint in enumerate(("e1", "e2", "e3")):
         index.placed(("r", number), placed(endpoint))
         index.read(("r", number))
@@ -122,7 +122,7 @@
 
 
 def test_a_share_of_the_memory_is_left_to_running_requests() -> None:
-    index = PromptIndex(lambda _: 1000.0)
+    index = PrefixCacheIndex(lambda _: 1000.0)
     for number in range(20):
         index.placed(("r", number), placed("e", [(f"p{number}", 100)]))
         index.read(("r", number))
@@ -154,8 +154,8 @@
     assert fetch(Holder(B, "z1", 60, 1_100_000)) is None
 
 
-def lanes(count: int, short: float, long: float) -> Lanes:
-    found = Lanes(fleet=(short, long))
+def lanes(count: int, short: float, long: float) -> QueueClasses:
+    found = QueueClasses(fleet=(short, long))
     found.set_endpoints("service", [f"e{n}" for n in range(count)])
     return found
 
@@ -197,7 +197,7 @@
 
 
 def test_work_fades_and_a_long_prompt_is_told_by_the_shortest_aim() -> None:
-    work = Lanes().work
+    work = QueueClasses().work
     assert work.rates(0.0) == (0.0, 0.0)
     work.add(0.0, 100.0, long=True)
     work.add(0.0, 50.0, long=False)
@@ -206,7 +206,7 @@
     short, long = work.rates(MEMORY_S)
     span = MEMORY_S * (1 - 1 / math.e)
     assert math.isclose(short, 50 / math.e / span) and math.isclose(long, 100 / math.e / span)
-    steady = Lanes().work
+    steady = QueueClasses().work
     for step in range(100):
         steady.add(step / 10, 20.0, long=False)
         if step > 10:
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -22,7 +22,7 @@
 
 from plumline.configuration.route_table import RouteTable
 from plumline.router.admission import told_time
-from plumline.router.app import UNTOLD_LIMITS
+from plumline.router.process import UNTOLD_LIMITS
 from plumline.wire.server import FixedLimits, Server
 
 
--- a/tests/test_shares.py
+++ b/tests/test_reserved_quota.py
@@ -9,8 +9,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plumline.routing import shares
-from plumline.routing.shares import (
+from plumline.routing import reserved_quota
+from plumline.routing.reserved_quota import (
     CALM,
     Account,
     Shares,
@@ -131,14 +131,14 @@
 def test_a_request_larger_than_the_bucket_passes_and_is_paid_for_afterwards() -> None:
     account = Account()
     assert account.spend(10.0, 900.0, 100.0) == 0.0
-    assert account.spend(11.0, 900.0, 100.0) == shares.MOST_WAIT_S
+    assert account.spend(11.0, 900.0, 100.0) == reserved_quota.MOST_WAIT_S
     assert account.spend(18.9, 900.0, 100.0) > 0.0
     assert account.spend(19.2, 900.0, 100.0) == 0.0
 
 
 def test_a_bucket_without_a_rate_is_empty() -> None:
     account = Account()
-    assert account.spend(10.0, 1.0, 0.0) == account.spend(1e9, 1.0, 0.0) == shares.MOST_WAIT_S
+    assert account.spend(10.0, 1.0, 0.0) == account.spend(1e9, 1.0, 0.0) == reserved_quota.MOST_WAIT_S
 
 
 # --- what goes over the wire
@@ -158,7 +158,7 @@
     assert summed(["x", None, [{}, -1.0, 0], [{}, 0, True]]) is None
     many = summed([[{f"{router}-{n}": 1.0 for n in range(16)}, 0.0, 0] for router in range(10)])
     assert many is not None and is_told(many)
-    assert len(many[0]) == shares.MOST_SUMMED and many[1:] == [96.0, 96]
+    assert len(many[0]) == reserved_quota.MOST_SUMMED and many[1:] == [96.0, 96]
 
 
 # --- a fleet of them, in made-up time
@@ -173,7 +173,7 @@
         for each in self.each:
             each.set_endpoints({"s": endpoints})
             each.set_reserved(reserved)
-        self.capacity = endpoints * 1000 * shares.USE
+        self.capacity = endpoints * 1000 * reserved_quota.USE
         self.passed: dict[str, float] = Counter()
         self.refused: Counter[str] = Counter()
         self.late: dict[str, float] = Counter()  # sent although over the share
@@ -276,7 +276,7 @@
         fleet.now += 0.02
         found.append(fleet.ask(0, "other", 200.0))
     waits = {each.wait for each in found if each.refused}
-    assert waits and all(shares.LEAST_WAIT_S <= each <= shares.MOST_WAIT_S for each in waits)
+    assert waits and all(reserved_quota.LEAST_WAIT_S <= each <= reserved_quota.MOST_WAIT_S for each in waits)
 
 
 def test_prompts_whose_parts_are_kept_count_for_what_is_read_of_them() -> None:
@@ -315,7 +315,7 @@
     for n in range(300):
         fleet.ask(0, f"t{n}", 1.0)
     each.take(fleet.now, "s", [{"far": 99999.0}, 0.0, 0])
-    fleet.now += shares.IDLE_S + 1
+    fleet.now += reserved_quota.IDLE_S + 1
     assert fleet.ask(0, "new", 1.0) is CALM
     assert set(each.services["s"].accounts) == {"new"} and each.services["s"].told is None
 
@@ -355,11 +355,11 @@
     strained(fleet, 2, False)
     assert at.ability == 1.0
     strained(fleet, 10, True)
-    assert at.ability == shares.LEAST_ABILITY and at.surge == 0.0  # there is room all the same
+    assert at.ability == reserved_quota.LEAST_ABILITY and at.surge == 0.0  # there is room all the same
     for _ in range(60):
         fleet.now += 0.01
         fleet.ask(0, "other", 20.0)
-    assert at.surge > 1 and at.level <= fleet.capacity * shares.LEAST_ABILITY
+    assert at.surge > 1 and at.level <= fleet.capacity * reserved_quota.LEAST_ABILITY
     strained(fleet, 30, False)
     assert at.ability == 1.0 and at.surge == 0.0
 
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -16,7 +16,7 @@
 from plumline.lab.clients import Tally
 from plumline.lab.engine import Engine, Shape
 from plumline.registrar.publisher import FeedPublisher, Subscriber
-from plumline.routing.shares import CALM, Standing
+from plumline.routing.reserved_quota import CALM, Standing
 from tests.dispatch_world import FULL, MODEL, Peer, Router, answer, document, made, within
 
 TENANTS = [
--- a/tests/test_following.py
+++ b/tests/test_subscriber.py
@@ -10,8 +10,8 @@
 
 from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.counters import Counters
-from plumline.router import following
-from plumline.router.following import Follower
+from plumline.router import subscriber
+from plumline.router.subscriber import FeedSubscriber
 from plumline.routing.fleet import Fleet
 from plumline.settings import Settings
 from plumline.wire.frames import PIECE_BYTES, FrameLink, Outgoing, framed, hello
@@ -75,13 +75,13 @@
 async def test_a_source_that_is_up_is_followed_over_one_connection(tmp_path: Path) -> None:
     registrar, fleet = FakeRegistrar(), Fleet()
     port = await registrar.listen("127.0.0.1", 0)
-    follower = Follower(settings_for(port, "127.0.0.1"), fleet, Counters())
+    follower = FeedSubscriber(settings_for(port, "127.0.0.1"), fleet, Counters())
     now = asyncio.get_running_loop().time()
     follower.look(now)
     await soon(registrar.up.wait())
     await soon(until(lambda: all(each.task.done() for each in follower.sources.values())))
     for step in range(4):
-        follower.look(now + step * following.LOOK)
+        follower.look(now + step * subscriber.LOOK)
     assert list(follower.sources) == [f"127.0.0.1:{port}"]
     assert await soon(registrar.said.get()) == ["follow", 0]
     await asyncio.sleep(0)
@@ -94,7 +94,7 @@
 async def test_entries_are_applied_in_order_and_never_taken_back(tmp_path: Path) -> None:
     registrar, fleet = FakeRegistrar(), Fleet()
     port = await registrar.listen("127.0.0.1", 0)
-    follower = Follower(settings_for(port, "127.0.0.1"), fleet, Counters())
+    follower = FeedSubscriber(settings_for(port, "127.0.0.1"), fleet, Counters())
     follower.look(asyncio.get_running_loop().time())
     await soon(registrar.up.wait())
     link = registrar.links[0]
@@ -121,7 +121,7 @@
     port = await silent.listen("127.0.0.1", 0)
     await well.listen("127.0.0.2", port)
     settings = replace(settings_for(port, "127.0.0.1"), heartbeat_interval_ms=100)
-    follower = Follower(settings, fleet, Counters())
+    follower = FeedSubscriber(settings, fleet, Counters())
     now = asyncio.get_running_loop().time()
     follower.look(now)
     await soon(silent.up.wait())
@@ -134,7 +134,7 @@
     await soon(until(lambda: follower.sources[f"127.0.0.2:{port}"].fresh))
     heard = follower.sources[f"127.0.0.2:{port}"]
     first = follower.sources[f"127.0.0.1:{port}"]
-    later = now + following.SILENT + 1
+    later = now + subscriber.SILENT + 1
     heard.heard = later
     follower.look(later)
     # Out of two, it is tried anew, over another connection.
@@ -146,8 +146,8 @@
     well.links[0].send(["beat", False, 0, [], 4, {}])
     await soon(until(lambda: not heard.fresh))
     assert not fleet.fresh
-    heard.heard = later + following.STALE + 2
-    follower.look(later + following.STALE + 2)
+    heard.heard = later + subscriber.STALE + 2
+    follower.look(later + subscriber.STALE + 2)
     assert heard.address not in follower.sources or follower.sources[heard.address] is not heard
     follower.close()
     silent.close()
@@ -158,7 +158,7 @@
 async def test_a_frame_that_cannot_be_applied_ends_the_connection(tmp_path: Path) -> None:
     registrar, fleet, counters = FakeRegistrar(), Fleet(), Counters()
     port = await registrar.listen("127.0.0.1", 0)
-    follower = Follower(settings_for(port, "127.0.0.1"), fleet, counters)
+    follower = FeedSubscriber(settings_for(port, "127.0.0.1"), fleet, counters)
     follower.look(asyncio.get_running_loop().time())
     await soon(registrar.up.wait())
     registrar.links[0].send(["state", 5, {"not": "a state"}])
@@ -169,12 +169,12 @@
     registrar.close()
 
 
-async def two_sources(counters: Counters) -> tuple[Follower, Fleet, FakeRegistrar, FakeRegistrar]:
+async def two_sources(counters: Counters) -> tuple[FeedSubscriber, Fleet, FakeRegistrar, FakeRegistrar]:
     """A follower whose primary is the first registrar, and both are fresh at entry 5."""
     first, second, fleet = FakeRegistrar(), FakeRegistrar(), Fleet()
     port = await first.listen("127.0.0.1", 0)
     await second.listen("127.0.0.2", port)
-    follower = Follower(settings_for(port, "127.0.0.1"), fleet, counters)
+    follower = FeedSubscriber(settings_for(port, "127.0.0.1"), fleet, counters)
     follower.look(follower.loop.time())
     await soon(first.up.wait())
     told = [[f"127.0.0.1:{port}", "a"], [f"127.0.0.2:{port}", "b"]]
@@ -224,9 +224,9 @@
     other = next(each for each in follower.sources.values() if each is not primary)
     await soon(until(lambda: other.committed == 6))
     now = follower.loop.time()
-    follower.look(now + following.LAG / 2)
+    follower.look(now + subscriber.LAG / 2)
     assert follower.primary is primary and fleet.fresh
-    follower.look(now + following.LAG + 0.1)
+    follower.look(now + subscriber.LAG + 0.1)
     assert follower.primary is other
     assert await said(first) == [["primary", False]]
     assert await said(second) == [["follow", 5], ["primary", True]]
@@ -235,7 +235,7 @@
     assert not fleet.fresh
     second.links[0].send(["entry", 6, ["weights", {"Model": "m", "Version": 2}]])
     await soon(until(lambda: fleet.place == 6))
-    follower.look(now + following.LAG + 0.2)
+    follower.look(now + subscriber.LAG + 0.2)
     assert fleet.fresh
     follower.close()
     first.close()
@@ -252,7 +252,7 @@
     other = next(each for each in follower.sources.values() if each is not primary)
     await soon(until(lambda: other.committed == 6))
     now = follower.loop.time()
-    later = now + following.SILENT + 1
+    later = now + subscriber.SILENT + 1
     # The pieces of a state on their way, and no whole message.
     large = Outgoing(framed(random.Random(1).randbytes(3 * PIECE_BYTES)))
     first.links[0].transport.write(large.next_frame())
@@ -287,7 +287,7 @@
 async def test_a_router_that_begins_shows_nothing_before_it_has_all_that_was_told(tmp_path: Path) -> None:
     registrar, fleet = FakeRegistrar(), Fleet()
     port = await registrar.listen("127.0.0.1", 0)
-    follower = Follower(settings_for(port, "127.0.0.1"), fleet, Counters())
+    follower = FeedSubscriber(settings_for(port, "127.0.0.1"), fleet, Counters())
     follower.look(follower.loop.time())
     await soon(registrar.up.wait())
     link = registrar.links[0]
--- a/tests/test_wire_properties.py
+++ b/tests/test_wire_properties.py
@@ -15,11 +15,11 @@
 from hypothesis import strategies as st
 from wire_world import World, answer_well, cut_short, resume_oddly
 
-from plumline.router.job import Job
+from plumline.router.attempt import Send
 from plumline.router.progress import Progress
 from plumline.router.relay import EventJoiner
+from plumline.router.request_handler import RequestHandler
 from plumline.router.selection import Selection
-from plumline.router.send import Send
 from plumline.router.upstream import UpstreamConnection
 from plumline.wire.server import Connection
 
@@ -98,8 +98,8 @@
         "self.router.outcomes.failed(self.call, now)\n    return Proof.MAY_HAVE_RUN",
         "return Proof.NOT_RUN",
     ),
-    Guard(Job, "work", "progress.ran |= proof is Proof.MAY_HAVE_RUN", "pass"),
-    Guard(Job, "give_up", "elif not progress.ran:", "elif True:"),
+    Guard(RequestHandler, "work", "progress.ran |= proof is Proof.MAY_HAVE_RUN", "pass"),
+    Guard(RequestHandler, "give_up", "elif not progress.ran:", "elif True:"),
     # Who may send it again, and how often.
     Guard(Progress, "may_send", "return not self.ran or route.idempotent", "return True"),
     Guard(Progress, "may_send", "self.sends >= route.attempt_limit or ", ""),
@@ -109,7 +109,7 @@
     Guard(Send, "receive", 'return self.spoilt("unsealed")', "pass"),
     Guard(Send, "relay", "if needs_end and not ends_event(tail):", "if False:"),
     Guard(UpstreamConnection, "end", "self.wake()", 'self.codec.receive_data(b"")\n        self.wake()'),
-    Guard(Job, "give_up", "self.exchange.abort()", "self.exchange.finish()"),
+    Guard(RequestHandler, "give_up", "self.exchange.abort()", "self.exchange.finish()"),
     # A stream of several runs.
     Guard(Send, "receive", " and is_event_stream(headers)", "", streams=True),
     Guard(EventJoiner, "begin", 'self.held, self.joined = b"", ', "self.joined = ", streams=True),
@@ -118,9 +118,9 @@
     Guard(EventJoiner, "may_join", "return self.placed and ", "return ", streams=True),
     # One request at a time on a connection; nothing for a client that has gone, or after its time.
     Guard(Connection, "advance", "self.phase in (Phase.ANSWER, Phase.LEAVING) or ", ""),
-    Guard(Job, "client_gone", "self.progress.connection.close()", "pass"),
-    Guard(Job, "work", "if progress.gone:", "if False:"),
-    Guard(Job, "expire", "self.progress.connection.close()", "pass"),
+    Guard(RequestHandler, "client_gone", "self.progress.connection.close()", "pass"),
+    Guard(RequestHandler, "work", "if progress.gone:", "if False:"),
+    Guard(RequestHandler, "expire", "self.progress.connection.close()", "pass"),
 ]
 
 
