--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -12,10 +12,10 @@
 from typing import Any
 from unittest.mock import patch
 
-from plumline.coordination import chain as chain_module
-from plumline.coordination.ballot import Terms
+from plumline.coordination import replication as replication_module
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
+from plumline.coordination.lease import LeaseDurations
 from plumline.coordination.view import View
 from plumline.errors import PlumlineError, VersionConflictError
 from tests.core_register import NullEnvironment, Register, ViolationError
@@ -117,7 +117,7 @@
         self.refused: set[str] = set()
         self.tried: list[list[Any]] = []
         self.names = 0
-        self.leases: dict[str, Terms] = {}
+        self.leases: dict[str, LeaseDurations] = {}
         if quiet:
             self.loss, self.twice, self.slow, self.syncs, self.jitter = 0.0, 0.0, 0.0, (0.002,), 0.0
             self.troubles_per_s = 0.0
@@ -443,16 +443,16 @@
 
 def on_disk(node: Node) -> tuple[str, ...]:
     """What a core that starts from this disk would hold, committed or not."""
-    found = chain_module.Chain(
+    found = replication_module.ChainReplica(
         node.me, 1, NullEnvironment(), Register(), Register.load, lambda number, change: None
     )
     for record in node.disk:
         if record[0] in ("base", "entry", "drop", "caught-up"):
             found.restore(record)
-    return found.newest.ids
+    return found.latest_state.ids
 
 
 @contextmanager
 def short_logs() -> Iterator[None]:
-    with patch.object(chain_module, "KEPT_ENTRIES", KEPT):
+    with patch.object(replication_module, "RETAINED_ENTRIES", KEPT):
         yield
--- a/tests/test_core_explorer.py
+++ b/tests/test_core_explorer.py
@@ -11,9 +11,9 @@
 import pytest
 
 from plumline.coordination.bootstrap import QUERY_INTERVAL_S, Bootstrap
-from plumline.coordination.chain import Chain
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member
+from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View
 from plumline.coordination.view_agreement import ViewAgreement
 from plumline.coordination.view_messages import NO_PROPOSAL, Accept, AcceptedProposal, Prepare, Promise
@@ -40,13 +40,13 @@
 # Guards taken out. Each is a core with one part exchanged.
 
 
-class CommitsAnywhere(Chain):
+class CommitsAnywhere(ChainReplica):
     def commit_if_tail(self) -> None:
         if self.can_commit():
-            self.advance(self.synced)
+            self.advance(self.synced_index)
 
 
-class CaughtUpAtOnce(Chain):
+class CaughtUpAtOnce(ChainReplica):
     def install(self, view: View) -> None:
         super().install(view)
         if self.position is not None:
@@ -54,17 +54,17 @@
             self.commit_if_tail()
 
 
-class ReadsWithoutAsking(Chain):
+class ReadsWithoutAsking(ChainReplica):
     def read(self, answer: Callable[[Any], None]) -> None:
         answer(self.state if self.is_tail() and self.caught_up else None)
 
 
-class KeepsWhatToDrop(Chain):
+class KeepsWhatToDrop(ChainReplica):
     def drop_after(self, number: int) -> None:
         pass
 
 
-class CommitsWithAnyCopies(Chain):
+class CommitsWithAnyCopies(ChainReplica):
     def can_commit(self) -> bool:
         return True
 
--- a/tests/test_chain.py
+++ b/tests/test_replication.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from plumline.coordination.chain import Chain
-from plumline.coordination.topics import Topics
-from plumline.coordination.transfer import Piece, Snapshot
+from plumline.coordination.replication import ChainReplica
+from plumline.coordination.snapshot_transfer import Snapshot, SnapshotChunk
+from plumline.coordination.soft_state import SoftState
 from plumline.coordination.view import View
 from plumline.errors import UnavailableError, VersionConflictError
 from tests.core_world import NullEnvironment, Register, World, on_disk, short_logs
@@ -51,7 +51,7 @@
     for name in "bc":
         world.start(world.nodes[name])
     world.settle()
-    world.put(len(world.nodes[world.chain()[0]].core.chain.newest.ids))
+    world.put(len(world.nodes[world.chain()[0]].core.chain.latest_state.ids))
 
 
 def test_the_head_is_lost_with_an_entry_that_it_did_not_pass_on() -> None:
@@ -242,13 +242,13 @@
     submit(world, "a", world.change(3))
     submit(world, "a", world.change(4))
     world.go(0.05)
-    assert b.core.chain.synced == 5
-    assert b.core.chain.committed == 3
-    snapshot = Snapshot.of(4, [*early.ids, "c4"])
-    world.deliver("a", "b", ["chain-piece", 1, *Piece(snapshot.name, 0, snapshot.data).to_wire()])
-    assert b.core.chain.committed == 4
-    assert b.core.chain.last == 5
-    assert b.core.chain.synced == 5
+    assert b.core.chain.synced_index == 5
+    assert b.core.chain.committed_index == 3
+    snapshot = Snapshot.pack(4, [*early.ids, "c4"])
+    world.deliver("a", "b", ["chain-piece", 1, *SnapshotChunk(snapshot.id, 0, snapshot.data).to_wire()])
+    assert b.core.chain.committed_index == 4
+    assert b.core.chain.last_index == 5
+    assert b.core.chain.synced_index == 5
     world.go(0.05)
     assert len(on_disk(b)) == 5
 
@@ -258,14 +258,16 @@
     for number in range(6):
         world.put(number)
     chain = world.nodes["b"].core.chain
-    again = Chain(chain.me, 2, NullEnvironment(), Register(), Register.load, lambda number, change: None)
+    again = ChainReplica(
+        chain.me, 2, NullEnvironment(), Register(), Register.load, lambda number, change: None
+    )
     for record in chain.records():
         again.restore(record)
-    assert (again.state, again.newest, again.last, again.synced) == (
+    assert (again.state, again.latest_state, again.last_index, again.synced_index) == (
         chain.state,
-        chain.newest,
-        chain.last,
-        chain.synced,
+        chain.latest_state,
+        chain.last_index,
+        chain.synced_index,
     )
 
 
@@ -277,21 +279,21 @@
     world.deliver("c", "b", ["chain-entry", 1, 1, change])
     world.deliver("a", "c", ["chain-entry", 1, 1, change])
     world.go(0.1)
-    assert [node.core.chain.last for node in world.nodes.values()] == [0, 0, 0]
+    assert [node.core.chain.last_index for node in world.nodes.values()] == [0, 0, 0]
     world.deliver("a", "b", ["chain-entry", 1, 1, change])
-    assert world.nodes["b"].core.chain.last == 1
+    assert world.nodes["b"].core.chain.last_index == 1
 
 
 def test_the_newest_of_a_topic_wins() -> None:
-    topics = Topics()
-    assert topics.offer("roster", (1, 2), ["x"])
-    assert not topics.offer("roster", (1, 2), ["y"])
-    assert not topics.offer("roster", (1, 1), ["y"])
-    assert topics.next_number("roster", 1) == (1, 3)
-    assert topics.next_number("roster", 2) == (2, 1)
-    assert topics.offer("roster", (2, 1), ["y"])
-    assert topics.payload("roster") == ["y"]
-    assert topics.payload("marks") is None
+    topics = SoftState()
+    assert topics.update("roster", (1, 2), ["x"])
+    assert not topics.update("roster", (1, 2), ["y"])
+    assert not topics.update("roster", (1, 1), ["y"])
+    assert topics.next_version("roster", 1) == (1, 3)
+    assert topics.next_version("roster", 2) == (2, 1)
+    assert topics.update("roster", (2, 1), ["y"])
+    assert topics.get("roster") == ["y"]
+    assert topics.get("marks") is None
     assert topics.messages() == [["topic", "roster", [2, 1], ["y"]]]
 
 
@@ -309,8 +311,8 @@
         done()
 
 
-def chain_of(recorder: Recorder) -> Chain:
-    return Chain(("a", "a-1"), 2, recorder, Register(), Register.load, lambda number, change: None)
+def chain_of(recorder: Recorder) -> ChainReplica:
+    return ChainReplica(("a", "a-1"), 2, recorder, Register(), Register.load, lambda number, change: None)
 
 
 def test_a_removed_member_keeps_what_may_be_committed_and_drops_it_as_it_joins_again() -> None:
@@ -321,13 +323,13 @@
     chain.install(View(1, (a, b, c), (a, b)))
     chain.submit(["set", 0, "c1"], lambda error: None)
     chain.install(View(2, (a, b, c), (b, c)))
-    assert (chain.last, chain.committed) == (1, 0)  # b may commit it yet
+    assert (chain.last_index, chain.committed_index) == (1, 0)  # b may commit it yet
     for records in (list(recorder.records), chain.records()):
         again = chain_of(Recorder())
         for record in records:
             again.restore(record)
-        assert (again.last, again.committed) == (1, 0)
+        assert (again.last_index, again.committed_index) == (1, 0)
         again.install(View(3, (a, b, c), (b, a)))
-        assert (again.last, again.committed) == (0, 0)
+        assert (again.last_index, again.committed_index) == (0, 0)
     chain.on_lesson(0, None, [[1, ["set", 0, "c2"]]])
     assert chain.state.ids == ("c2",)
