--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from plumline.coordination.contacts import SUSPECT_AFTER, Contacts
+from plumline.coordination.bootstrap import Bootstrap
 from plumline.coordination.environment import Environment, Member, Message, Record
-from plumline.coordination.formation import Formation
+from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
 from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.lease import (
     LEASE_MESSAGE_KIND,
@@ -19,8 +19,11 @@
     Persist,
     Send,
 )
+from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
 from plumline.coordination.replication import ChainReplica
-from plumline.coordination.view import View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
+from plumline.coordination.view_messages import RECORD_KINDS as VIEW_RECORD_KINDS
 
 
 class Core:
@@ -40,17 +43,19 @@
         chance: random.Random,
         applied: Callable[[int, list[Any] | None], None],
         changed: Callable[[View], None],
-        known_elsewhere: Callable[[], bool],
+        is_configuration_known: Callable[[], bool],
     ) -> None:
         self.me, self.seeds, self.environment, self.now = me, seeds, environment, now
         self.changed, self.leases = changed, tuple(leases)
-        self.views = Views(me, environment, self.installed)
+        self.view_agreement = ViewAgreement(me, environment, self.installed)
         self.chain = ChainReplica(me, copies, environment, empty, load, applied)
-        self.contacts = Contacts(me, environment)
-        self.keeper = Keeper(me, self.views, self.contacts, chance, copies)
-        self.formation = Formation(me, seeds, first_start, environment, self.views, known_elsewhere)
+        self.failure_detector = FailureDetector(me, environment)
+        self.keeper = Keeper(me, self.view_agreement, self.failure_detector, chance, copies)
+        self.bootstrap = Bootstrap(
+            me, seeds, first_start, environment, self.view_agreement, is_configuration_known
+        )
         self.lease_election = LeaseElection(me[0], leases, chance)
-        self.sick = False
+        self.disk_unhealthy = False
 
     def set_seeds(self, seeds: list[str]) -> None:
         """The seeds of now: whom to ask. The first view is formed by those of this process's start, or never:
@@ -63,74 +68,76 @@
         """From a file's records, before the first step."""
         lease_records = []
         for record in records:
-            if record[0] in ("view", "promise", "accept"):
-                self.views.restore(record)
+            if record[0] in VIEW_RECORD_KINDS:
+                self.view_agreement.restore(record)
             elif record[0] == TERM_RECORD_KIND:
                 lease_records.append(record)
             else:
                 self.chain.restore(record)
         self.lease_election.restore(lease_records)
-        if self.views.view is not None:
-            self.installed(self.views.view)
+        if self.view_agreement.view is not None:
+            self.installed(self.view_agreement.view)
             self.stop_granting_leases()
 
     def records(self) -> list[Record]:
-        return [*self.views.records(), *self.chain.records(), *self.lease_election.records()]
+        return [*self.view_agreement.records(), *self.chain.records(), *self.lease_election.records()]
 
     # Steps.
 
     def installed(self, view: View) -> None:
         self.chain.install(view)
         for address, _ in (*view.acceptors, *view.chain):
-            self.contacts.know(self.now, address)
+            self.failure_detector.add_peer(self.now, address)
         voters = [address for address, _ in view.acceptors] if self.me in view.acceptors else []
-        formed_now = view.number == 1 and self.formation.formed
+        formed_now = view.number == 1 and self.bootstrap.took_part
         self.lease_election.set_view(self.now, view.number, voters, formed_now=formed_now)
         self.changed(view)
 
     def tick(self, now: float) -> None:
         self.now = now
         for address in self.seeds:
-            self.contacts.know(now, address)
-        self.formation.tick(now)
-        view = self.views.view
+            self.failure_detector.add_peer(now, address)
+        self.bootstrap.tick(now)
+        view = self.view_agreement.view
         present = self.chain.position is not None
         synced = (
             self.chain.synced_index if present else min(self.chain.synced_index, self.chain.committed_index)
         )
-        self.contacts.tick(
-            now,
-            [
-                *(self.me[1], view.number if view else 0, synced),
-                *(self.sick, self.keeper.leaving, self.chain.status()),
-            ],
+        local_status = LocalStatus(
+            incarnation=self.me.incarnation,
+            view_number=view.number if view else 0,
+            last_synced=synced,
+            disk_unhealthy=self.disk_unhealthy,
+            draining=self.keeper.leaving,
+            status=ReplicaStatus(self.chain.status()),
         )
+        self.failure_detector.tick(now, local_status)
         self.keeper.tick(now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
         self.chain.tick(now)
         self.lease_election.tick(now)
         self.perform_lease_actions()
         if view is not None:
             named = {address for address, _ in (*view.acceptors, *view.chain)} | set(self.seeds)
-            self.contacts.forget(now, named)
+            self.failure_detector.remove_silent_peers(now, named)
 
     def on_message(self, now: float, sender: str, message: Message) -> bool:
         """False if nobody here knows the kind of message."""
         self.now = now
-        if self.contacts.on_message(now, sender, message):
+        if self.failure_detector.on_message(now, sender, message):
             if message[0] == "ping":
-                self.views.heard_number(sender, message[3])
+                self.view_agreement.on_peer_view_number(sender, message[3])
             return True
         if message[0] == "view-check":
             _, nonce, number = message
-            if self.views.is_present(number) and self.views.may_accept():
+            if self.view_agreement.knows_no_successor(number) and self.view_agreement.is_acceptor():
                 self.environment.send(sender, ["view-checked", nonce, number])
             return True
-        if self.views.on_message(sender, message):
+        if self.view_agreement.on_message(sender, message):
             self.stop_granting_leases()
             return True
         if self.chain.on_message(sender, message):
             return True
-        if self.formation.on_message(sender, message):
+        if self.bootstrap.on_message(sender, message):
             return True
         if message[0] == LEASE_MESSAGE_KIND:
             self.lease_election.on_message(now, sender, message[1:])
@@ -140,8 +147,8 @@
 
     def stop_granting_leases(self) -> None:
         """Whoever has accepted the next view votes for no lease in the present one."""
-        if self.views.view is not None and self.views.accepted is not None:
-            self.lease_election.stop_granting(self.views.view.number)
+        if self.view_agreement.view is not None and self.view_agreement.accepted is not None:
+            self.lease_election.stop_granting(self.view_agreement.view.number)
 
     def perform_lease_actions(self) -> None:
         for action in self.lease_election.take_actions():
@@ -179,26 +186,26 @@
 
     def fresh(self, now: float) -> bool:
         """Whether what this registrar has is the newest, as far as a majority in touch shows."""
-        view = self.views.view
+        view = self.view_agreement.view
         if view is None or self.chain.position is None:
             return False
-        if not self.contacts.know_views(now, view.acceptors):
+        if not self.failure_detector.has_quorum_of_reported_views(now, view.acceptors):
             return False
         newer = any(
-            peer.view > view.number and now - peer.echoed < SUSPECT_AFTER
-            for peer in self.contacts.peers.values()
+            peer.view_number > view.number and now - peer.last_echoed_at < SUSPECT_TIMEOUT_S
+            for peer in self.failure_detector.peers.values()
         )
         return self.chain.caught_up and not newer
 
-    def has_majority(self, now: float) -> bool:
+    def has_quorum_contact(self, now: float) -> bool:
         """Whether a majority of the acceptors answered this registrar lately."""
-        view = self.views.view
-        return view is not None and self.contacts.in_touch(now, view.acceptors)
+        view = self.view_agreement.view
+        return view is not None and self.failure_detector.has_quorum_contact(now, view.acceptors)
 
     def head(self) -> str | None:
-        view = self.views.view
+        view = self.view_agreement.view
         return view.chain[0][0] if view and view.chain else None
 
     def tail(self) -> str | None:
-        view = self.views.view
+        view = self.view_agreement.view
         return view.chain[-1][0] if view and view.chain else None
--- a/tests/frozen_adapter.py
+++ b/tests/frozen_adapter.py
@@ -11,8 +11,10 @@
 import importlib
 import io
 import json
+import os
 import pkgutil
 import re
+import subprocess
 import sys
 import tempfile
 from collections.abc import Callable, Iterator
@@ -24,22 +26,25 @@
 
 import click
 import frozen_cluster
+import frozen_sender
 import frozen_story
 import ormsgpack
 from click.testing import CliRunner
 from frozen_story import Day, Program, Told
-from plumline.store.writer import ImmediateWriter
 
 import plumline
 from plumline import logs, settings
 from plumline.cli import main
 from plumline.errors import PlumlineError
-from plumline.registrar import app as registrar
+from plumline.operator_calls import settle
+from plumline.registrar import process as registrar
 from plumline.router import app as router
 from plumline.settings import from_environment
+from plumline.store.log_writers import SynchronousWriter
 
 ROOT = Path(__file__).parent.parent
 PROGRAMS = ("plumline", "elmglade")
+SENDER = "elmglade"  # the package that is run as the sender's program
 
 
 # The command line.
@@ -176,9 +181,15 @@
     return lambda: router.run(settings.load(path))
 
 
-def writer_at_once(file: Any, loop: asyncio.AbstractEventLoop, image: Callable[[], Any]) -> ImmediateWriter:  # noqa: ANN401
+async def operate(addresses: list[tuple[str, int]], document: dict[str, Any]) -> None:
+    """The operator's client reads the configuration, and puts another one on top of version 2."""
+    await settle(addresses, "configuration_read")
+    await settle(addresses, "configuration_replace", {"Based-On-Version": "2"}, document)
+
+
+def writer_at_once(file: Any, loop: asyncio.AbstractEventLoop, image: Callable[[], Any]) -> SynchronousWriter:  # noqa: ANN401
     """In place of the writer with a thread, which knows no virtual time."""
-    return ImmediateWriter(file, image, loop.time)
+    return SynchronousWriter(file, image, loop.time)
 
 
 @contextmanager
@@ -198,11 +209,13 @@
     """What a story of `frozen_story` leaves, and the log."""
     with (
         tempfile.TemporaryDirectory() as folder,
-        patch.object(registrar, "DurableWriter", writer_at_once),
+        patch.object(registrar, "GroupCommitWriter", writer_at_once),
         log_lines() as lines,
     ):
         told = frozen_cluster.play(
-            lambda cluster: story(Day(cluster, Path(folder), registrar_program, router_program), *arguments)
+            lambda cluster: story(
+                Day(cluster, Path(folder), registrar_program, router_program, operate), *arguments
+            )
         )
         return told, lines.getvalue()
 
@@ -249,13 +262,13 @@
 
 
 def calls_made() -> dict[str, list[str]]:
-    """By callee, first line and status: the first call over HTTP, and its answer."""
+    """By caller, callee, first line and status: the first call over HTTP, and its answer."""
     found: dict[str, list[str]] = {}
-    for callee, call, answer in day()[0].calls:
-        line, status = call.partition(b" HTTP/")[0].decode(), answer[9:12].decode()
+    for _, caller, callee, call, answer in day()[0].calls:
+        line, status = call.split(b"\r\n")[0].partition(b" HTTP/")[0].decode(), answer[9:12].decode()
         if answer:
-            shown = [call.decode("latin-1"), answer.decode("latin-1")]
-            found.setdefault(f"{callee}: {line} -> {status}", shown)
+            shown = [call.decode("latin-1")[:2000], answer.decode("latin-1")]
+            found.setdefault(f"{caller} > {callee}: {line} -> {status}", shown)
     return dict(sorted(found.items()))
 
 
@@ -269,7 +282,7 @@
     """What three registrars with these disks tell one another and an operator."""
     told, text = play(frozen_story.power_is_back, disks)
     incarnations = {each.value[2] for each in told.messages if each.kind == "ping"}
-    answers = [answer for _, call, answer in told.calls if call.startswith(b"GET /Configuration.Read")]
+    answers = [each.answer for each in told.calls if each.request.startswith(b"GET /Configuration.Read")]
     return {
         "incarnations": sorted(incarnations),
         "first view": min(int(each) for each in re.findall(r"event=view number=(\d+)", text)),
@@ -277,3 +290,37 @@
         "terms above": min(each.value[4] for each in told.messages if each.kind == "ballot ask"),
         "read": answers[0].decode(),
     }
+
+
+# The sender's process.
+
+
+def sender_journal(folder: Path) -> dict[str, Any]:
+    """The lines of a journal after SIGKILL, and as the next process makes it anew; without times."""
+    found = frozen_sender.run(frozen_sender.journal_of_a_life, SENDER, folder)
+    return frozen_sender.timeless(found)
+
+
+def sender_started_from(journal: list[Any], folder: Path) -> dict[str, Any]:
+    """What a sender makes of a recorded journal: its own, and the first request that it sends."""
+    return frozen_sender.run(
+        lambda machine: frozen_sender.started_from_journal(machine, journal), SENDER, folder
+    )
+
+
+def sender_hands_over(folder: Path) -> list[Any]:
+    """The frames that a sender hands over, with the types of their values."""
+    return [*map(frozen_sender.typed, frozen_sender.run(frozen_sender.handed_over_by, SENDER, folder))]
+
+
+def sender_takes_over(frames: list[Any], folder: Path) -> dict[str, Any]:
+    """What a sender that was given recorded frames hands over in its turn, and what its client hears."""
+    return frozen_sender.run(lambda machine: frozen_sender.handed_over_to(machine, frames), SENDER, folder)
+
+
+def sender_without_configuration() -> tuple[int, int]:
+    """Exit code, and lines on standard error, where the environment names no configuration."""
+    variables = {name: value for name, value in os.environ.items() if not name.startswith("BALANCER_")}
+    words = [sys.executable, "-m", SENDER]
+    ended = subprocess.run(words, cwd=ROOT, env=variables, capture_output=True, timeout=60, check=False)
+    return ended.returncode, ended.stderr.count(b"\n")
