--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -35,9 +35,9 @@
 HEARTBEAT_INTERVAL_S = 0.4  # s between beats to routers
 STALLED_WRITE_S = 0.6  # s that a write may wait for the disk before the machine says so
 LINK_TIMEOUT_S = 1.5  # s without an echo after which a link is opened anew
-DISCOVERY_LEASE_S = 1.2  # s; with no rest: the calls of two holders do no harm but their price
+DISCOVERY_LEASE_S = 1.2  # s; no lock delay: the calls of two holders do no harm but their price
 WEIGHTS_LEASE_S = 1.0  # s
-LEASE_REST_MARGIN_S = 0.4  # s added to the rest that the deployment asks for
+LOCK_DELAY_MARGIN_S = 0.4  # s added to the lock delay that the deployment asks for
 COUNTERS_LOG_INTERVAL_S = 10.0  # s between summaries of the counters
 MAX_EVENTS_PER_MESSAGE = 500  # parts in one message
 SHUTDOWN_RESERVE_S = 1.5  # s of the grace period kept for answers under way and the last writes
@@ -95,7 +95,7 @@
 
     def _make_core(self, me: Member) -> Core:
         settings = self.settings
-        rest = settings.bounds.lease_duration_ms / 1000 + LEASE_REST_MARGIN_S
+        lock_delay_s = settings.bounds.lease_duration_ms / 1000 + LOCK_DELAY_MARGIN_S
         return Core(
             me=me,
             seeds=settings.seeds,
@@ -106,7 +106,7 @@
             load=ReplicatedConfiguration.from_wire,
             leases={
                 "discovery": LeaseDurations(DISCOVERY_LEASE_S, 0.0),
-                "weights": LeaseDurations(WEIGHTS_LEASE_S, rest),
+                "weights": LeaseDurations(WEIGHTS_LEASE_S, lock_delay_s),
             },
             now=self.loop.time(),
             chance=random.Random(secrets.randbits(64)),
