--- /dev/null
+++ b/plumline/coordination/catch_up.py
@@ -0,0 +1,195 @@
+"""Catching up: how a replica that lacks entries gets them, or a snapshot where the log has them no longer.
+
+A learner, which is outside the chain, requests batches of committed entries from the members in turn, from
+the tail on. A member that lacks more than its predecessor's log has requests a snapshot from there. The
+server of either keeps nothing about the replicas that it serves.
+"""
+
+from collections.abc import Callable
+from typing import Any
+
+from plumline.coordination.chain_messages import (
+    CommittedEntries,
+    EntriesRequest,
+    SnapshotData,
+    SnapshotRequest,
+)
+from plumline.coordination.chain_role import ChainRole
+from plumline.coordination.environment import Environment
+from plumline.coordination.replica_storage import ReplicaStorage
+from plumline.coordination.snapshot_transfer import (
+    ChunkRequest,
+    Snapshot,
+    SnapshotChunk,
+    SnapshotFetch,
+    SnapshotSender,
+)
+from plumline.errors import PlumlineError
+
+CATCH_UP_BATCH_BYTES = 128 * 1024  # of packed entries in one batch, or a single larger entry
+MAX_CATCH_UP_TIMEOUT_S = 0.8  # until another batch is requested
+
+
+class CatchUpServer:
+    """Serves committed entries and snapshots from a member's log and state."""
+
+    def __init__(self, environment: Environment, storage: ReplicaStorage[Any]) -> None:
+        self._environment, self._storage = environment, storage
+        self._role = ChainRole.without_view()
+        self._now = 0.0
+        self._snapshots = SnapshotSender(self._current_state, self._log_continues_from)
+
+    def begin_view(self, role: ChainRole) -> None:
+        """Serve in a newer view."""
+        self._role = role
+
+    def tick(self, now: float) -> None:
+        """Take in the time and free a snapshot that nobody requests."""
+        self._now = now
+        self._snapshots.tick(now)
+
+    def on_entries_request(self, sender: str, request: EntriesRequest) -> None:
+        """Send the next batch, or the start of a snapshot if the log does not reach back so far."""
+        committed_index = self._storage.committed_index
+        after = request.after_index
+        if after < committed_index and not self._storage.log.continues_from(after):
+            self.on_snapshot_request(sender, ChunkRequest())
+            return
+        entries = self._storage.log.batch(after, committed_index, CATCH_UP_BATCH_BYTES)
+        more = bool(entries) and entries[-1].index < committed_index
+        pairs = [[entry.index, entry.change] for entry in entries]
+        batch = CommittedEntries(self._role.view_number, more, pairs)
+        self._environment.send(sender, batch.to_wire())
+
+    def on_snapshot_request(self, sender: str, request: ChunkRequest) -> None:
+        """Send a chunk of a snapshot."""
+        chunk = self._snapshots.chunk_for(self._now, request)
+        data = SnapshotData(self._role.view_number, chunk.to_wire())
+        self._environment.send(sender, data.to_wire())
+
+    def _current_state(self) -> tuple[int, Any]:
+        return self._storage.committed_index, self._storage.state.to_wire()
+
+    def _log_continues_from(self, index: int) -> bool:
+        return index == self._storage.committed_index or self._storage.log.continues_from(index)
+
+
+class CatchUpClient:
+    """Requests what this replica lacks; at most one request is out."""
+
+    def __init__(
+        self,
+        environment: Environment,
+        storage: ReplicaStorage[Any],
+        install_snapshot: Callable[[int, Any], None],
+        on_synced: Callable[[], None],
+    ) -> None:
+        """Take the calls for a snapshot that has come (its index and state in wire form), and for entries
+        that were synced."""
+        self._environment, self._storage = environment, storage
+        self._install_snapshot, self._on_synced = install_snapshot, on_synced
+        self._role = ChainRole.without_view()
+        self._now = 0.0
+        self.fetch = SnapshotFetch()
+        self._nearly_caught_up = False  # the newest batch was the last one
+        self._requests = -1  # counts the polls of a learner, to ask the members in turn
+
+    def begin_view(self, role: ChainRole) -> None:
+        """Request from the members of a newer view; a partial snapshot is kept."""
+        self._role = role
+        self._nearly_caught_up = False
+        self.fetch.begin_view()
+
+    def tick(self, now: float) -> None:
+        """Take in the time."""
+        self._now = now
+
+    def is_nearly_caught_up(self) -> bool:
+        """Whether a learner lacks no more than a batch."""
+        return self._nearly_caught_up and not self.fetch.in_progress
+
+    # Requests.
+
+    def poll(self) -> None:
+        """Request, or request again, what is lacking. A member without a partial snapshot gets entries from
+        its predecessor unasked."""
+        if self._role.is_learner():
+            self._poll_as_learner()
+        elif self.fetch.in_progress and self._role.predecessor and self.fetch.may_request(self._now):
+            self._request_chunk(self._role.predecessor)
+
+    def _poll_as_learner(self) -> None:
+        chain = self._role.view.chain if self._role.view is not None else ()
+        if not chain or not self.fetch.may_request(self._now):
+            return
+        addresses = [address for address, _ in chain]
+        if self.fetch.in_progress and self.fetch.source in addresses:
+            self._request_chunk(self.fetch.source)
+            return
+        self._requests += 1
+        source = addresses[-1 - self._requests % len(addresses)]
+        if self.fetch.in_progress:
+            self._request_chunk(source)
+        else:
+            self._request_entries(source)
+
+    def _request_entries(self, source: str) -> None:
+        self.fetch.source = source
+        self.fetch.timer.start(self._now, MAX_CATCH_UP_TIMEOUT_S)
+        request = EntriesRequest(self._role.view_number, self._storage.committed_index)
+        self._environment.send(source, request.to_wire())
+
+    def _request_chunk(self, source: str) -> None:
+        self._send_chunk_request(source, self.fetch.request(self._now, source))
+
+    def _send_chunk_request(self, source: str, chunk: ChunkRequest) -> None:
+        request = SnapshotRequest(self._role.view_number, chunk.index, chunk.digest, chunk.offset)
+        self._environment.send(source, request.to_wire())
+
+    # Replies.
+
+    def on_log_trimmed(self, sender: str) -> None:
+        """The predecessor's log no longer has what this member lacks."""
+        if self.fetch.may_request(self._now):
+            self._request_chunk(sender)
+
+    def on_snapshot_data(self, sender: str, chunk_wire: list[Any]) -> None:
+        """A chunk has come: request the next one, or install the snapshot if it is complete.
+
+        One that can't be read is given up and requested anew later.
+        """
+        try:
+            chunk = SnapshotChunk.from_wire(chunk_wire)
+            match self.fetch.on_chunk(self._now, sender, chunk, self._storage.committed_index):
+                case Snapshot() as snapshot:
+                    self._on_snapshot(sender, snapshot)
+                case ChunkRequest() as request:
+                    self._send_chunk_request(sender, request)
+        except PlumlineError:
+            self.fetch.reset()
+
+    def _on_snapshot(self, sender: str, snapshot: Snapshot) -> None:
+        if self._role.is_learner():
+            self._storage.discard_uncommitted()
+        self._install_snapshot(snapshot.id.index, snapshot.unpack())
+        if self._role.is_learner():
+            self._request_entries(sender)
+
+    def on_entries(self, sender: str, batch: CommittedEntries) -> None:
+        """A batch has come to this learner; the next is requested when its entries are synced."""
+        if self.fetch.awaits_reply_from(sender):
+            self.fetch.timer.on_reply(self._now)
+            self._nearly_caught_up = not batch.more
+        if batch.entries:
+            self._storage.discard_uncommitted()
+        for index, change in batch.entries:
+            if index == self._storage.last_index + 1:
+                self._storage.append_committed(index, change, lambda: self._on_entry_synced(sender))
+        self._storage.trim()
+
+    def _on_entry_synced(self, source: str) -> None:
+        self._on_synced()
+        batch_synced = self._storage.synced_index == self._storage.last_index
+        wanted = batch_synced and not self._nearly_caught_up
+        if self._role.is_learner() and wanted and not self.fetch.timer.awaiting_reply:
+            self._request_entries(source)
--- /dev/null
+++ b/plumline/coordination/chain_messages.py
@@ -0,0 +1,154 @@
+"""Messages between the replicas of a chain, and their one codec.
+
+On the wire a message is a list that begins with its kind and the number of the sender's view. A message
+counts only at a receiver that is in the same view.
+"""
+
+from typing import Any, NamedTuple
+
+from plumline.coordination.environment import Message
+from plumline.coordination.log import Change
+
+
+class ReplicateEntry(NamedTuple):
+    """To the successor: an entry that is synced at the sender."""
+
+    view_number: int
+    index: int
+    change: Change
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return ["chain-entry", *self]
+
+
+class LogTrimmed(NamedTuple):
+    """To the successor: the entries that it lacks are no longer in the log, it needs a snapshot."""
+
+    view_number: int
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return ["chain-behind", *self]
+
+
+class CatchUpTarget(NamedTuple):
+    """To a successor that is not caught up: it is once it has synced the entries up to this one."""
+
+    view_number: int
+    index: int
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return ["chain-floor", *self]
+
+
+class ProgressReport(NamedTuple):
+    """To the predecessor: how far the sender is."""
+
+    view_number: int
+    last_index: int
+    committed_index: int
+    caught_up: bool
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return ["chain-report", *self]
+
+
+class CommitNotice(NamedTuple):
+    """To the predecessor: the entries up to this one are committed."""
+
+    view_number: int
+    committed_index: int
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return ["chain-commit", *self]
+
+
+class SnapshotRequest(NamedTuple):
+    """To a member: send the chunk of this snapshot, or the first one of another."""
+
+    view_number: int
+    index: int
+    digest: str
+    offset: int
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return ["chain-pull", *self]
+
+
+class SnapshotData(NamedTuple):
+    """The reply to a snapshot request."""
+
+    view_number: int
+    chunk_wire: list[Any]  # fields of a `SnapshotChunk`, not checked yet
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return ["chain-piece", self.view_number, *self.chunk_wire]
+
+
+class EntriesRequest(NamedTuple):
+    """From a learner to a member: send committed entries after this one."""
+
+    view_number: int
+    after_index: int
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return ["chain-learn", *self]
+
+
+class CommittedEntries(NamedTuple):
+    """The reply to an entries request, if the log still has them."""
+
+    view_number: int
+    more: bool  # whether further committed entries follow
+    entries: list[list[Any]]  # [index, change] of each, in order
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return ["chain-lesson", *self]
+
+
+ChainMessage = (
+    ReplicateEntry
+    | LogTrimmed
+    | CatchUpTarget
+    | ProgressReport
+    | CommitNotice
+    | SnapshotRequest
+    | SnapshotData
+    | EntriesRequest
+    | CommittedEntries
+)
+
+
+def decode_message(wire: Message) -> ChainMessage | None:
+    """Return the typed message; None for a kind that is not the chain's, or fields of another type.
+
+    The view number is not checked: one that is no number equals no receiver's.
+    """
+    match wire:
+        case ["chain-entry", view_number, int(index), change]:
+            return ReplicateEntry(view_number, index, change)
+        case ["chain-commit", view_number, int(committed_index)]:
+            return CommitNotice(view_number, committed_index)
+        case ["chain-report", view_number, int(last_index), int(committed_index), bool(caught_up)]:
+            return ProgressReport(view_number, last_index, committed_index, caught_up)
+        case ["chain-floor", view_number, int(index)]:
+            return CatchUpTarget(view_number, index)
+        case ["chain-behind", view_number]:
+            return LogTrimmed(view_number)
+        case ["chain-learn", view_number, int(after_index)]:
+            return EntriesRequest(view_number, after_index)
+        case ["chain-lesson", view_number, bool(more), list(entries)]:
+            return CommittedEntries(view_number, more, entries)
+        case ["chain-pull", view_number, int(index), str(digest), int(offset)]:
+            return SnapshotRequest(view_number, index, digest, offset)
+        case ["chain-piece", view_number, *chunk_wire]:
+            return SnapshotData(view_number, chunk_wire)
+    return None
--- /dev/null
+++ b/plumline/coordination/chain_role.py
@@ -0,0 +1,56 @@
+"""The role that a view gives to a registrar: head, inner member or tail of the chain, or learner."""
+
+from dataclasses import dataclass
+
+from plumline.coordination.environment import Member
+from plumline.coordination.view import View
+
+
+@dataclass(frozen=True, slots=True)
+class ChainRole:
+    """A registrar's role in one view, and its neighbours in the chain."""
+
+    view: View | None  # None: none is known yet
+    position: int | None  # in the chain, from the head at 0 on; None: a learner
+    predecessor: str | None  # address of the next member towards the head
+    successor: str | None  # address of the next member towards the tail
+
+    @classmethod
+    def without_view(cls) -> "ChainRole":
+        """Return the role of a registrar that knows no view yet."""
+        return cls(None, None, None, None)
+
+    @classmethod
+    def in_view(cls, view: View, member: Member) -> "ChainRole":
+        """Return the member's role in the view."""
+        position = view.position(member)
+        if position is None:
+            return cls(view, None, None, None)
+        predecessor = view.chain[position - 1][0] if position > 0 else None
+        successor = view.chain[position + 1][0] if position + 1 < len(view.chain) else None
+        return cls(view, position, predecessor, successor)
+
+    @property
+    def view_number(self) -> int:
+        """Number of the view; 0 if none is known."""
+        return self.view.number if self.view is not None else 0
+
+    def is_member(self) -> bool:
+        """Whether it is in the chain."""
+        return self.position is not None
+
+    def is_learner(self) -> bool:
+        """Whether it is outside the chain."""
+        return self.position is None
+
+    def is_head(self) -> bool:
+        """Whether it orders the changes."""
+        return self.position == 0
+
+    def is_tail(self) -> bool:
+        """Whether it commits entries and answers reads."""
+        return self.position is not None and self.successor is None
+
+    def chain_length(self) -> int:
+        """Return the number of members; 0 if no view is known."""
+        return len(self.view.chain) if self.view is not None else 0
--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -73,7 +73,7 @@
     # Steps.
 
     def installed(self, view: View) -> None:
-        self.chain.install(view)
+        self.chain.install_view(view)
         for address, _ in (*view.acceptors, *view.chain):
             self.contacts.know(self.now, address)
         voters = [address for address, _ in view.acceptors] if self.me in view.acceptors else []
@@ -87,7 +87,7 @@
             self.contacts.know(now, address)
         self.formation.tick(now)
         view = self.views.view
-        present = self.chain.position is not None
+        present = self.chain.role.is_member()
         synced = (
             self.chain.synced_index if present else min(self.chain.synced_index, self.chain.committed_index)
         )
@@ -173,7 +173,7 @@
     def fresh(self, now: float) -> bool:
         """Whether what this registrar has is the newest, as far as a majority in touch shows."""
         view = self.views.view
-        if view is None or self.chain.position is None:
+        if view is None or self.chain.role.is_learner():
             return False
         if not self.contacts.know_views(now, view.acceptors):
             return False
--- a/plumline/coordination/log.py
+++ b/plumline/coordination/log.py
@@ -76,6 +76,17 @@
         first = self._entries[0].index
         return islice(self._entries, max(0, after + 1 - first), max(0, through + 1 - first))
 
+    def batch(self, after: int, through: int, max_bytes: int) -> list[Entry]:
+        """Return the first of these entries that fit into `max_bytes` as packed, and one at the least."""
+        entries: list[Entry] = []
+        total = 0
+        for entry in self.between(after, through):
+            total += entry.size
+            if total > max_bytes and entries:
+                break
+            entries.append(entry)
+        return entries
+
     def bytes_between(self, after: int, through: int) -> int:
         """Return the packed size of these entries."""
         return sum(entry.size for entry in self.between(after, through))
--- /dev/null
+++ b/plumline/coordination/reads.py
@@ -0,0 +1,50 @@
+"""Linearizable reads at the tail.
+
+All that was ever acknowledged is committed, and the tail commits first. So its state is new enough to answer
+a read, if it still is the tail of the newest view as the read is taken; a read barrier shows that.
+"""
+
+from collections.abc import Callable
+from typing import Generic
+
+from plumline.coordination.chain_role import ChainRole
+from plumline.coordination.environment import Environment
+from plumline.coordination.read_barrier import ReadBarrier
+from plumline.coordination.replica_storage import ReplicaStorage, State
+
+
+class LinearizableReads(Generic[State]):
+    """Answers reads from a replica's state, and asks the acceptors about its view."""
+
+    def __init__(self, environment: Environment, storage: ReplicaStorage[State]) -> None:
+        self._storage = storage
+        self._barrier = ReadBarrier(environment)
+        self._role = ChainRole.without_view()
+
+    def begin_view(self, role: ChainRole) -> None:
+        """Take on the role in a newer view; reads of the view before get no answer from here."""
+        self._role = role
+        self._barrier.deny_all()
+
+    def read(self, callback: Callable[[State | None], None], *, can_commit: bool) -> None:
+        """Call back with the state, or with None where this replica may not answer.
+
+        `can_commit`: whether the chain is long enough to commit. One that is too short may hold entries that
+        were committed before it became so and are not known here to be.
+        """
+        all_committed = can_commit or self._storage.committed_index == self._storage.synced_index
+        if not self._role.is_tail() or not self._storage.caught_up or not all_committed:
+            callback(None)
+            return
+        self.confirm_view(lambda confirmed: callback(self._storage.state if confirmed else None))
+
+    def confirm_view(self, callback: Callable[[bool], None]) -> None:
+        """Call back with True once a majority of the acceptors knows no view newer than this one's."""
+        if self._role.view is None:
+            callback(False)
+        else:
+            self._barrier.confirm(self._role.view, callback)
+
+    def on_confirmed(self, sender: str, nonce: int, view_number: int) -> None:
+        """An acceptor replies to a question of the barrier."""
+        self._barrier.on_confirmed(sender, nonce, view_number)
--- /dev/null
+++ b/plumline/coordination/replica_storage.py
@@ -0,0 +1,207 @@
+"""A replica's log and state, and what of them is on its disk.
+
+Entries run through three positions of the log: `last_index` (in memory), `synced_index` (on this disk) and
+`committed_index` (on the disks of the whole chain, applied to `state`). Nothing here sends a message: the
+caller does, in the callback that it gives with an entry or snapshot and that runs once this is synced.
+"""
+
+from collections.abc import Callable
+from typing import Any, Generic, Protocol, Self, TypeVar
+
+from plumline.coordination.chain_records import (
+    CaughtUpRecord,
+    ChainRecord,
+    DiscardPendingRecord,
+    DiscardRecord,
+    EntryRecord,
+    SnapshotRecord,
+    decode_record,
+)
+from plumline.coordination.environment import Environment, Record
+from plumline.coordination.log import Change, Entry, ReplicationLog
+
+#: Committed entries kept in memory for replicas that are behind; one further behind needs a snapshot.
+RETAINED_ENTRIES = 512
+RETAINED_BYTES = 4 * 1024 * 1024  # of entries as packed: about 16 MiB of memory
+
+
+class StateMachine(Protocol):
+    """The replicated state: immutable, and the same on every replica after the same entries."""
+
+    def check(self, change: Change) -> bool:
+        """Whether the change was applied before; raises PlumlineError if it must be refused."""
+
+    def apply(self, change: Change) -> Self:
+        """Return the state after the change."""
+
+    def to_wire(self) -> Any:  # noqa: ANN401
+        """Return a form that ormsgpack can pack and the `load` function can read."""
+
+
+State = TypeVar("State", bound=StateMachine)
+
+
+def _ignore() -> None:
+    """Nothing waits for the record to be synced."""
+
+
+class ReplicaStorage(Generic[State]):
+    """The log, the state before and after its uncommitted entries, and their records."""
+
+    def __init__(
+        self,
+        environment: Environment,
+        initial_state: State,
+        load: Callable[[Any], State],
+        on_applied: Callable[[int, Change | None], None],
+    ) -> None:
+        """Begin empty, for `restore`.
+
+        `load` makes a state from its wire form; `on_applied(index, change)` is called for each entry as it is
+        committed, and with None in place of the change where a snapshot replaces the state.
+        """
+        self._environment, self._load, self._on_applied = environment, load, on_applied
+        self.log = ReplicationLog()
+        self.state = initial_state  # with the committed entries
+        self.latest_state = initial_state  # with all entries of the log
+        self.committed_index = self.last_index = self.synced_index = 0
+        self.caught_up = False  # holds all that this view's predecessor held as the view began
+        #: Left the chain with uncommitted entries. The old tail may commit them yet, so they are kept until
+        #: the members of a newer chain tell what was committed.
+        self.discard_pending = False
+        self._generation = 0  # of the log; rises when entries are discarded, so that their syncs are ignored
+
+    # Durable state.
+
+    def restore(self, record: Record) -> None:
+        """Take in one record of the file, in the file's order. Unknown records are skipped."""
+        self._restore(decode_record(record))
+
+    def _restore(self, record: ChainRecord | None) -> None:
+        match record:
+            case SnapshotRecord():
+                self.state = self.latest_state = self._load(record.state_wire)
+                self.log.clear()
+                self.committed_index = self.last_index = self.synced_index = record.index
+            case EntryRecord() if record.index == self.last_index + 1:
+                self.log.append(record.index, record.change)
+                self.latest_state = self.latest_state.apply(record.change)
+                self.last_index = self.synced_index = record.index
+                self._apply_through(min(record.committed_index, self.synced_index), notify=False)
+            case CaughtUpRecord():
+                self.caught_up = record.caught_up
+            case DiscardPendingRecord():
+                self.discard_pending = True
+            case DiscardRecord():
+                self.discard_pending = False
+                self.discard_after(record.after_index)
+
+    def records(self) -> list[Record]:
+        """Return the records from which `restore` makes the present content."""
+        found = [SnapshotRecord(self.committed_index, self.state.to_wire()).to_wire()]
+        found += [
+            EntryRecord(entry.index, entry.change, self.committed_index).to_wire()
+            for entry in self.log.between(self.committed_index, self.last_index)
+        ]
+        found.append(CaughtUpRecord(self.caught_up).to_wire())
+        if self.discard_pending:
+            found.append(DiscardPendingRecord().to_wire())
+        return found
+
+    def _persist_through(self, index: int, record: Record, on_synced: Callable[[], None]) -> None:
+        """Write a record after which the log is on the disk up to `index`, unless it is discarded before."""
+        generation = self._generation
+
+        def synced() -> None:
+            if generation == self._generation:
+                self.synced_index = index
+                on_synced()
+
+        self._environment.persist(record, synced)
+
+    # Entries and snapshots.
+
+    def append(self, index: int, change: Change, on_synced: Callable[[Entry], None]) -> None:
+        """Add an uncommitted entry after the newest one."""
+        self.latest_state = self.latest_state.apply(change)
+        entry = self.log.append(index, change)
+        self.last_index = index
+        record = EntryRecord(index, change, self.committed_index).to_wire()
+        self._persist_through(index, record, lambda: on_synced(entry))
+
+    def append_committed(self, index: int, change: Change, on_synced: Callable[[], None]) -> None:
+        """Add an entry that is known to be committed, after a log without uncommitted ones."""
+        self.latest_state = self.latest_state.apply(change)
+        self.log.append(index, change)
+        self.last_index = self.committed_index = index
+        self.state = self.latest_state
+        self._on_applied(index, change)
+        self._persist_through(index, EntryRecord(index, change, index).to_wire(), on_synced)
+
+    def install_snapshot(self, index: int, state_wire: Any, on_synced: Callable[[], None]) -> None:  # noqa: ANN401
+        """Replace the whole content by a committed state from beyond the newest entry.
+
+        Raises what `load` raises, with nothing changed, if it can't read the state.
+        """
+        state = self._load(state_wire)
+        self._generation += 1
+        self.log.clear()
+        self.state = self.latest_state = state
+        self.committed_index = self.last_index = index
+        self._on_applied(index, None)
+        self._persist_through(index, SnapshotRecord(index, state_wire).to_wire(), on_synced)
+
+    def commit_through(self, index: int) -> bool:
+        """Apply the entries up to `index`, as far as they are synced here; return whether there were any."""
+        return self._apply_through(min(index, self.synced_index), notify=True)
+
+    def _apply_through(self, index: int, *, notify: bool) -> bool:
+        if index <= self.committed_index:
+            return False
+        for entry in list(self.log.between(self.committed_index, index)):
+            is_latest = entry.index == self.last_index
+            self.state = self.latest_state if is_latest else self.state.apply(entry.change)
+            self.committed_index = entry.index
+            if notify:
+                self._on_applied(entry.index, entry.change)
+        self.trim()
+        return True
+
+    def trim(self) -> None:
+        """Remove committed entries beyond what is retained."""
+        self.log.trim(self.committed_index, RETAINED_ENTRIES, RETAINED_BYTES)
+
+    # Uncommitted entries after a change of view.
+
+    def mark_discard_pending(self) -> None:
+        """Note, also on the disk, that uncommitted entries are to be discarded later, if there are any."""
+        if self.last_index > self.committed_index and not self.discard_pending:
+            self.discard_pending = True
+            self._environment.persist(DiscardPendingRecord().to_wire(), _ignore)
+
+    def discard_uncommitted(self) -> None:
+        """Discard the uncommitted entries if that is pending.
+
+        Only once members of a newer chain tell what was committed, or this one joins it. Not as soon as it
+        has left: the old tail may for a moment commit an entry of which the other copy is here.
+        """
+        if self.discard_pending:
+            self.discard_pending = False
+            self._environment.persist(DiscardRecord(self.committed_index).to_wire(), _ignore)
+            self.discard_after(self.committed_index)
+
+    def discard_after(self, index: int) -> None:
+        """Remove uncommitted entries above `index` from memory."""
+        self._generation += 1
+        self.log.truncate_after(index)
+        self.last_index = min(self.last_index, max(index, self.committed_index))
+        self.synced_index = min(self.synced_index, self.last_index)
+        self.latest_state = self.state
+        for entry in self.log.between(self.committed_index, self.last_index):
+            self.latest_state = self.latest_state.apply(entry.change)
+
+    def set_caught_up(self, caught_up: bool) -> None:
+        """Set whether it is caught up, also on the disk: the head may be lost while this one restarts."""
+        if caught_up != self.caught_up:
+            self.caught_up = caught_up
+            self._environment.persist(CaughtUpRecord(caught_up).to_wire(), _ignore)
--- a/plumline/coordination/replication.py
+++ b/plumline/coordination/replication.py
@@ -1,534 +1,368 @@
-"""The chain: entered at the head, answered from the tail.
+"""Chain replication of the log: changes enter at the head, commits begin at the tail.
 
-The head orders changes; every member syncs an entry before it passes it on; the tail commits what it has
-synced if the chain has copies enough, and the commit travels back up. Only committed entries reach
-`applied`. What was lost is sent again after a while, so lost messages cost time only.
+The head orders the changes. Every member syncs an entry to its disk before it forwards it to its successor.
+The tail commits what it has synced, if the chain is long enough, and the commit travels back to the head,
+which replies to the callers. Lost messages are repeated after a timeout, so they cost time only. (van Renesse
+and Schneider, "Chain Replication for Supporting High Throughput and Availability", OSDI 2004.)
 
-A predecessor's log always holds all that its successor's does; a view keeps the order of those that stay.
-Who is not in the chain is a learner: it holds committed entries only, and is then admitted as the new tail.
+Invariant: a member's log has all that its successor's has. A view keeps the order of the members that stay. A
+registrar outside the chain is a learner: it has committed entries only, and joins as the new tail.
 
-Whoever lacks entries that are no longer kept pulls a whole state piece by piece (`snapshot_transfer`).
-Entries go to a successor a window at a time, to a learner a lesson at a time, so what is on its way to a
-member is bounded.
+The other parts of a replica: `replica_storage` (log, state, records), `flow_control` (what a successor may be
+sent), `catch_up` (learners and snapshots), `reads` (linearizable reads), `chain_role` and `chain_messages`.
 """
 
-from collections.abc import Callable, Iterable
-from typing import Any
-
-from plumline.coordination.environment import Environment, Member, Message, Record
-from plumline.coordination.log import Entry, ReplicationLog
-from plumline.coordination.read_barrier import ReadBarrier
-from plumline.coordination.retry_timer import RetryTimer
-from plumline.coordination.snapshot_transfer import (
-    ChunkRequest,
-    Snapshot,
-    SnapshotChunk,
-    SnapshotFetch,
-    SnapshotSender,
+from collections.abc import Callable
+from typing import Any, Generic
+
+from plumline.coordination.catch_up import CatchUpClient, CatchUpServer
+from plumline.coordination.chain_messages import (
+    CatchUpTarget,
+    ChainMessage,
+    CommitNotice,
+    CommittedEntries,
+    EntriesRequest,
+    LogTrimmed,
+    ProgressReport,
+    ReplicateEntry,
+    SnapshotData,
+    SnapshotRequest,
+    decode_message,
 )
+from plumline.coordination.chain_role import ChainRole
+from plumline.coordination.environment import Environment, Member, Message, Record
+from plumline.coordination.flow_control import ReceiveWindow, SendWindow
+from plumline.coordination.log import Change, Entry, ReplicationLog
+from plumline.coordination.pending_replies import PendingReplies, SubmitCallback
+from plumline.coordination.reads import LinearizableReads
+from plumline.coordination.replica_storage import ReplicaStorage, State
+from plumline.coordination.snapshot_transfer import ChunkRequest
 from plumline.coordination.view import View
 from plumline.errors import PlumlineError, UnavailableError
 
-#: Committed entries kept in memory for those that follow; who is further behind gets the state.
-RETAINED_ENTRIES = 512
-RETAINED_BYTES = 4 * 1024 * 1024  # of them on the wire: about 16 MiB of memory
-REPORT_INTERVAL_S = 0.2  # s between reports to the predecessor
-WINDOW_BYTES = (
-    1024 * 1024
-)  # of entries that a successor may have been sent and not reported; one at the least
-CATCH_UP_BATCH_BYTES = 128 * 1024  # of entries in one lesson; one at the least
-CATCH_UP_RETRY_S = 0.8  # s at the most until the next one is asked for a lesson
-SubmitCallback = Callable[[PlumlineError | None], None]  # None: committed
+REPORT_INTERVAL_S = 0.2  # between reports to the predecessor; a learner polls as often
+
 
+class ChainReplica(Generic[State]):
+    """One registrar's replica: a member of the chain, or a learner outside it.
 
-class ChainReplica:
-    """`state` is any object with check(change) -> bool (True: taken before), apply(change) -> state,
-    to_wire(); `load` makes one from the wire. check raises PlumlineError for what may not be applied."""
+    Times are seconds of the local monotonic clock.
+    """
 
     def __init__(
         self,
-        me: Member,
-        copies: int,
-        effects: Environment,
-        empty: Any,  # noqa: ANN401
-        load: Callable[[Any], Any],
-        applied: Callable[[int, list[Any] | None], None],
+        local_member: Member,
+        replicas_needed: int,
+        environment: Environment,
+        initial_state: State,
+        load: Callable[[Any], State],
+        on_applied: Callable[[int, Change | None], None],
     ) -> None:
-        """`applied(number, change)` for each committed entry in order; with None where a whole state came."""
-        self.me, self.copies, self.effects, self.load, self.applied = me, copies, effects, load, applied
-        self.view: View | None = None
-        self.position: int | None = None  # in the chain; None: learner
-        self.log = ReplicationLog()  # the newest is `last`
-        self.state = empty  # committed
-        self.latest_state = empty  # with all entries of the log
-        self.committed_index = self.last_index = self.synced_index = 0
-        self.caught_up = False  # holds all that this view's predecessor held as it began
-        self.stale = False  # was taken out with uncommitted entries, to be dropped
-        self.floor: int | None = None  # number from which on it is
-        self.life = 0  # rises when entries are dropped or replaced: what was being written counts no more
-        self.waiting: dict[int, list[tuple[SubmitCallback, PlumlineError | None]]] = {}
-        self.reported = -1  # `last` that the successor told on its newest report; -1: it hasn't
-        self.sent = -1  # the newest entry that the successor was sent
-        self.resend = RetryTimer()  # for the successor to take what it was sent
-        self.unreported = 0  # bytes taken since the newest report
-        self.now = self.tick_at = 0.0
-        self.snapshots = SnapshotSender(
-            lambda: (self.committed_index, self.state.to_wire()),
-            lambda number: number == self.committed_index or self.log.continues_from(number),
+        """Begin as a learner without a view.
+
+        `replicas_needed`: length of the shortest chain that may commit. `load` makes a state from its wire
+        form. `on_applied(index, change)` is called for each committed entry in order, with None in place of
+        the change where a snapshot replaced the state.
+        """
+        self.local_member, self._replicas_needed = local_member, replicas_needed
+        self._environment = environment
+        self.role = ChainRole.without_view()
+        self.storage = ReplicaStorage(environment, initial_state, load, on_applied)
+        self.send_window = SendWindow()
+        self._receive_window = ReceiveWindow()
+        self._pending_replies = PendingReplies()
+        self._catch_up_target: int | None = None  # index from which on this member is caught up
+        self._reads = LinearizableReads(environment, self.storage)
+        self._catch_up_server = CatchUpServer(environment, self.storage)
+        self.catch_up = CatchUpClient(
+            environment, self.storage, self._install_snapshot, self._on_synced_progress
         )
-        self.transfer = SnapshotFetch()
-        self.near = False  # the newest lesson left nothing over
-        self.read_barrier = ReadBarrier(effects)
-        self.lessons = -1
+        self._now = self._next_report_at = 0.0
 
-    # Durable state.
+    # What others may know of it.
 
-    def restore(self, record: Record) -> None:
-        match record:
-            case ["base", int(number), wire]:
-                self.state = self.latest_state = self.load(wire)
-                self.log.clear()
-                self.committed_index = self.last_index = self.synced_index = number
-            case ["entry", int(number), change, int(committed)] if number == self.last_index + 1:
-                self.log.append(number, change)
-                self.latest_state = self.latest_state.apply(change)
-                self.last_index = self.synced_index = number
-                self.advance(min(committed, self.synced_index), quiet=True)
-            case ["caught-up", bool(caught_up)]:
-                self.caught_up = caught_up
-            case ["stale"]:
-                self.stale = True
-            case ["drop", int(number)]:
-                self.stale = False
-                self.drop_after(number)
+    @property
+    def state(self) -> State:
+        """The committed state."""
+        return self.storage.state
 
-    def records(self) -> list[Record]:
-        found: list[Record] = [["base", self.committed_index, self.state.to_wire()]]
-        found += [
-            ["entry", each.index, each.change, self.committed_index]
-            for each in self.log.between(self.committed_index, self.last_index)
-        ]
-        found.append(["caught-up", self.caught_up])
-        if self.stale:
-            found.append(["stale"])
-        return found
-
-    def drop_after(self, number: int) -> None:
-        """Forgets entries that may never have been committed."""
-        self.life += 1
-        self.log.truncate_after(number)
-        self.last_index = min(self.last_index, max(number, self.committed_index))
-        self.synced_index = min(self.synced_index, self.last_index)
-        self.latest_state = self.state
-        for each in self.log.between(self.committed_index, self.last_index):
-            self.latest_state = self.latest_state.apply(each.change)
-
-    # The view.
-
-    def install(self, view: View) -> None:
-        was_head = self.is_head()
-        self.view, self.position = view, view.position(self.me)
-        self.floor, self.reported, self.sent = None, -1, -1
-        self.resend, self.near = RetryTimer(), False
-        self.transfer.begin_view()
-        if (view.number == 1 and self.position is not None) or self.position is None:
-            self.set_caught_up(self.position is not None)
-        self.tick_at = 0.0
-        self.read_barrier.deny_all()
-        if was_head and self.position != 0:
-            self.fail_waiting()
-        if self.position is None:
-            if self.last_index > self.committed_index and not self.stale:
-                self.stale = True
-                self.effects.persist(["stale"], lambda: None)
-            return
-        if self.stale:
-            self.drop_uncommitted()
-        self.report()
-        self.commit_if_tail()
-
-    def drop_uncommitted(self) -> None:
-        """Once others tell what was committed, or this registrar joins the chain. Not as soon as it is taken
-        out: the old tail may commit for a moment yet what then only it would have on its disk."""
-        if self.stale:
-            self.stale = False
-            self.effects.persist(["drop", self.committed_index], lambda: None)
-            self.drop_after(self.committed_index)
-
-    def set_caught_up(self, caught_up: bool) -> None:
-        """Kept while it stays in the chain, also on the disk: a chain may lose its head as it restarts."""
-        if caught_up != self.caught_up:
-            self.caught_up = caught_up
-            self.effects.persist(["caught-up", caught_up], lambda: None)
-
-    def fail_waiting(self) -> None:
-        waiting, self.waiting = self.waiting, {}
-        for answers in waiting.values():
-            for answer, _ in answers:
-                answer(UnavailableError("the chain changed; whether the change is in force is not known"))
+    @property
+    def latest_state(self) -> State:
+        """The state with all entries of the log, also uncommitted ones."""
+        return self.storage.latest_state
+
+    @property
+    def log(self) -> ReplicationLog:
+        """The newest entries."""
+        return self.storage.log
+
+    @property
+    def committed_index(self) -> int:
+        """Index of the newest entry that is known here to be committed."""
+        return self.storage.committed_index
+
+    @property
+    def synced_index(self) -> int:
+        """Index of the newest entry that is on this disk with all before it."""
+        return self.storage.synced_index
+
+    @property
+    def last_index(self) -> int:
+        """Index of the newest entry in memory."""
+        return self.storage.last_index
+
+    @property
+    def caught_up(self) -> bool:
+        """Whether this member has all that may have been committed before its view."""
+        return self.storage.caught_up
 
     def is_head(self) -> bool:
-        return self.position == 0
+        """Whether it is the head of its view's chain."""
+        return self.role.is_head()
 
     def is_tail(self) -> bool:
-        return self.view is not None and self.position == len(self.view.chain) - 1
+        """Whether it is the tail of its view's chain."""
+        return self.role.is_tail()
 
-    def neighbour(self, step: int) -> str | None:
-        if self.view is None or self.position is None:
-            return None
-        at = self.position + step
-        return self.view.chain[at][0] if 0 <= at < len(self.view.chain) else None
+    def can_commit(self) -> bool:
+        """Whether the chain has as many members as must hold a committed entry."""
+        return self.role.view is not None and self.role.chain_length() >= self._replicas_needed
 
-    def view_number(self) -> int:
-        return self.view.number if self.view else 0
+    def status(self) -> int:
+        """Return what the pings report: 2 in the chain and caught up, 1 in the chain, 0 a learner that
+        lacks no more than a batch, -1 one that lacks more."""
+        if self.role.is_member():
+            return 1 + int(self.caught_up)
+        return 0 if self.catch_up.is_nearly_caught_up() else -1
 
-    def can_commit(self) -> bool:
-        return self.view is not None and len(self.view.chain) >= self.copies
+    # Durable state.
+
+    def restore(self, record: Record) -> None:
+        """Take in one record of the file, in the file's order, before the first step."""
+        self.storage.restore(record)
+
+    def records(self) -> list[Record]:
+        """Return the records from which `restore` makes the present content."""
+        return self.storage.records()
+
+    # Views.
+
+    def install_view(self, view: View) -> None:
+        """Take on the role in a newly decided view."""
+        was_head = self.is_head()
+        self.role = ChainRole.in_view(view, self.local_member)
+        self._catch_up_target = None
+        self.send_window = SendWindow()
+        self._catch_up_server.begin_view(self.role)
+        self.catch_up.begin_view(self.role)
+        if view.number == 1 or self.role.is_learner():
+            self.storage.set_caught_up(self.role.is_member())
+        self._next_report_at = 0.0
+        self._reads.begin_view(self.role)
+        if was_head and not self.is_head():
+            self._pending_replies.fail_all()
+        if self.role.is_learner():
+            self.storage.mark_discard_pending()
+            return
+        self.storage.discard_uncommitted()
+        self._report()
+        self._commit_if_tail()
+
+    # Changes, at the head.
 
-    # Changes.
+    def submit(self, change: Change, callback: SubmitCallback) -> None:
+        """Order the change, and call back with None once it is committed, or with what went wrong.
 
-    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
-        """At the head. `answer(None)` once it is committed, also if the same was taken before; else an error.
-        An error that rests on an entry not yet committed waits for that one."""
+        A repeated change is not applied again, but replied to as the first. A refusal may rest on an entry
+        that is not committed yet: then it waits for that one.
+        """
         if not self.is_head() or not self.can_commit():
-            answer(UnavailableError("this chain can't commit now"))
+            callback(UnavailableError("this chain can't commit now"))
             return
         error: PlumlineError | None = None
         try:
-            taken = self.latest_state.check(change)
-        except PlumlineError as found:
-            taken, error = True, found
-        if not taken:
-            self.append(self.last_index + 1, change)
-        if self.committed_index >= self.last_index:
-            if error is None:
-                answer(None)
-            else:  # a head that was taken out may know too little to refuse anything
-                told = UnavailableError("this chain may not be the present one")
-                self.confirm(lambda present: answer(error if present else told))
+            is_new = not self.latest_state.check(change)
+        except PlumlineError as refusal:
+            is_new, error = False, refusal
+        if is_new:
+            self._append(self.last_index + 1, change)
+        if self.committed_index < self.last_index:
+            self._pending_replies.add(self.last_index, callback, error)
+        elif error is None:
+            callback(None)
         else:
-            self.waiting.setdefault(self.last_index, []).append((answer, error))
-
-    def append(self, number: int, change: list[Any]) -> None:
-        self.latest_state = self.latest_state.apply(change)
-        entry = self.log.append(number, change)
-        self.last_index = number
-        life = self.life
-
-        def done() -> None:
-            if life == self.life:
-                self.synced_index = number
-                self.push()
-                self.note_taken(entry.size)
-                self.check_floor()
-                self.commit_if_tail()
-
-        self.effects.persist(["entry", number, change, self.committed_index], done)
-
-    def note_taken(self, size: int) -> None:
-        """Reports before the predecessor's window is used up."""
-        self.unreported += size
-        if self.unreported >= WINDOW_BYTES // 2:
-            self.report()
-
-    def commit_if_tail(self) -> None:
-        if self.is_tail() and self.caught_up and self.can_commit():
-            self.advance(self.synced_index)
-            if predecessor := self.neighbour(-1):
-                self.effects.send(predecessor, ["chain-commit", self.view_number(), self.committed_index])
-
-    def advance(self, number: int, quiet: bool = False) -> None:
-        """Commits up to `number`, which is synced here."""
-        number = min(number, self.synced_index)
-        if number <= self.committed_index:
-            return
-        for each in list(self.log.between(self.committed_index, number)):
-            newest = each.index == self.last_index
-            self.state = self.latest_state if newest else self.state.apply(each.change)
-            self.committed_index = each.index
-            if not quiet:
-                self.applied(each.index, each.change)
-        self.trim()
-        for n in [each for each in self.waiting if each <= self.committed_index]:
-            for answer, error in self.waiting.pop(n):
-                answer(error)
-
-    def trim(self) -> None:
-        self.log.trim(self.committed_index, RETAINED_ENTRIES, RETAINED_BYTES)
-
-    # Reports to the predecessor; what it sends for them.
-
-    def tick(self, now: float) -> None:
-        self.now = now
-        self.snapshots.tick(now)
-        if now >= self.tick_at:
-            self.tick_at = now + REPORT_INTERVAL_S
-            if self.position is None:
-                self.learn()
-            else:
-                self.pull_again()
-                self.report()
-                self.commit_if_tail()
-
-    def report(self) -> None:
-        self.unreported = 0
-        if predecessor := self.neighbour(-1):
-            told = ["chain-report", self.view_number(), self.last_index, self.committed_index, self.caught_up]
-            self.effects.send(predecessor, told)
-
-    def on_report(self, sender: str, last: int, committed: int, caught_up: bool) -> None:
-        if self.reported < 0:
-            self.sent = last
-        self.reported = min(self.reported, last)  # it may have lost in a restart what it had not synced
-        self.note_reported(last)
-        if self.caught_up and not caught_up:
-            self.effects.send(sender, ["chain-floor", self.view_number(), self.synced_index])
-        if last < self.sent and self.resend.may_send(self.now):
-            self.resend.start(self.now)
-            self.sent = last  # some of it was lost
-        self.push()
-        if committed > self.committed_index:
-            self.advance(committed)
-            if predecessor := self.neighbour(-1):
-                self.effects.send(predecessor, ["chain-commit", self.view_number(), self.committed_index])
-
-    def note_reported(self, last: int) -> None:
-        """The successor has all entries up to this one."""
-        self.sent = max(self.sent, last)
-        if last > self.reported:
-            self.reported = last
-            self.resend.on_reply(self.now)
-            if self.sent > last:
-                self.resend.start(self.now)
-
-    def push(self) -> None:
-        """Sends the successor what it lacks and is synced here, as far as its window reaches."""
-        successor = self.neighbour(1)
-        if successor is None or self.reported < 0 or self.sent >= self.synced_index:
-            return
-        if not self.log.continues_from(self.sent):
-            self.effects.send(successor, ["chain-behind", self.view_number()])
-            return
-        room = WINDOW_BYTES - self.log.bytes_between(self.reported, self.sent)
-        entries = list(self.log.between(self.sent, self.synced_index))
-        if self.sent > self.reported and entries[0].size > room:
-            return
-        for each in first_bytes(entries, room):
-            self.effects.send(successor, ["chain-entry", self.view_number(), each.index, each.change])
-            self.sent = each.index
-        if not self.resend.awaiting_reply:
-            self.resend.start(self.now)
-
-    def take_state(self, number: int, wire: Any) -> None:  # noqa: ANN401
-        """A whole committed state in place of entries that are no longer at hand."""
-        if number <= self.last_index:
-            self.advance(number)  # what follows it may be on its way to the tail already
+            self._refuse(error, callback)
+
+    def _refuse(self, error: PlumlineError, callback: SubmitCallback) -> None:
+        """Refuse once the view is confirmed: a head that was removed may know too little to refuse."""
+        unconfirmed = UnavailableError("this chain may not be the present one")
+        self._reads.confirm_view(lambda confirmed: callback(error if confirmed else unconfirmed))
+
+    # Replication: sync, then forward, then commit.
+
+    def _append(self, index: int, change: Change) -> None:
+        self.storage.append(index, change, self._on_entry_synced)
+
+    def _on_entry_synced(self, entry: Entry) -> None:
+        """Only what is synced here is forwarded, reported or committed."""
+        self._forward()
+        self._receive_window.add(entry.size)
+        if self._receive_window.report_is_due():
+            self._report()
+        self._on_synced_progress()
+
+    def _forward(self) -> None:
+        """Send the successor what it lacks and is synced here, as far as its window allows."""
+        successor = self.role.successor
+        if successor is None or not self.send_window.lacks(self.synced_index):
             return
-        state = self.load(wire)
-        self.life += 1
-        self.log.clear()
-        self.state = self.latest_state = state
-        self.committed_index = self.last_index = number
-        self.applied(number, None)
-        life = self.life
-
-        def done() -> None:
-            if life == self.life:
-                self.synced_index = number
-                self.report()
-                self.push()
-                self.check_floor()
-                self.commit_if_tail()
-
-        self.effects.persist(["base", number, wire], done)
-
-    def check_floor(self) -> None:
-        if self.floor is not None and self.synced_index >= self.floor and not self.caught_up:
-            self.set_caught_up(True)
-            self.commit_if_tail()
-
-    # Whole states, for a successor or a learner.
-
-    def pull(self, source: str) -> None:
-        """Asks for the piece that is wanted next."""
-        self.ask_piece(source, self.transfer.request(self.now, source))
-
-    def ask_piece(self, source: str, wanted: ChunkRequest) -> None:
-        self.effects.send(
-            source, ["chain-pull", self.view_number(), wanted.index, wanted.digest, wanted.offset]
-        )
-
-    def pull_again(self) -> None:
-        """In the chain: a state that the predecessor was asked for and did not send on."""
-        if (
-            self.transfer.in_progress
-            and self.transfer.may_request(self.now)
-            and (predecessor := self.neighbour(-1))
-        ):
-            self.pull(predecessor)
-
-    def on_behind(self, sender: str) -> None:
-        """The predecessor no longer keeps what is lacking here."""
-        if self.transfer.may_request(self.now):
-            self.pull(sender)
-
-    def on_pull(self, sender: str, wanted: ChunkRequest) -> None:
-        chunk = self.snapshots.chunk_for(self.now, wanted)
-        self.effects.send(sender, ["chain-piece", self.view_number(), *chunk.to_wire()])
-
-    def on_piece(self, sender: str, wire: list[Any]) -> None:
-        """Only a state from beyond what is held here is of use."""
-        try:
-            match self.transfer.on_chunk(
-                self.now, sender, SnapshotChunk.from_wire(wire), self.committed_index
-            ):
-                case Snapshot() as whole:
-                    if self.position is None:
-                        self.drop_uncommitted()
-                    self.take_state(whole.id.index, whole.unpack())
-                    if self.position is None:
-                        self.ask_lesson(sender)
-                case ChunkRequest() as wanted:
-                    self.ask_piece(sender, wanted)
-        except PlumlineError:
-            self.transfer.reset()
-
-    # Learning, outside the chain: committed entries only, from the tail.
-
-    def learn(self) -> None:
-        if self.view is None or not self.view.chain or not self.transfer.may_request(self.now):
-            return
-        if self.transfer.in_progress and self.in_chain(self.transfer.source):
-            self.pull(self.transfer.source)
+        view_number = self.role.view_number
+        if not self.log.continues_from(self.send_window.sent_index):
+            self._environment.send(successor, LogTrimmed(view_number).to_wire())
             return
-        self.lessons += 1  # each in turn, from the tail on: one may be gone
-        teacher, _ = self.view.chain[-1 - self.lessons % len(self.view.chain)]
-        if self.transfer.in_progress:
-            self.pull(teacher)
+        for entry in self.send_window.take_entries(self._now, self.log, self.synced_index):
+            message = ReplicateEntry(view_number, entry.index, entry.change)
+            self._environment.send(successor, message.to_wire())
+
+    def _on_synced_progress(self) -> None:
+        """More is synced here than before: this may make a member caught up, and the tail commits it."""
+        self._check_catch_up_target()
+        self._commit_if_tail()
+
+    def _check_catch_up_target(self) -> None:
+        target = self._catch_up_target
+        if target is not None and self.synced_index >= target and not self.caught_up:
+            self.storage.set_caught_up(True)
+            self._commit_if_tail()
+
+    def _commit_if_tail(self) -> None:
+        if self.is_tail() and self.caught_up and self.can_commit():
+            self._commit_through(self.synced_index)
+            self._notify_predecessor_of_commit()
+
+    def _commit_through(self, index: int) -> None:
+        """Commit up to `index`, as far as it is synced here, and reply to the callers that wait for it."""
+        if self.storage.commit_through(index):
+            self._pending_replies.release_through(self.committed_index)
+
+    def _notify_predecessor_of_commit(self) -> None:
+        if predecessor := self.role.predecessor:
+            notice = CommitNotice(self.role.view_number, self.committed_index)
+            self._environment.send(predecessor, notice.to_wire())
+
+    def _install_snapshot(self, index: int, state_wire: Any) -> None:  # noqa: ANN401
+        """Take a committed state in place of entries that the others' logs no longer have."""
+        if index <= self.last_index:
+            self._commit_through(index)  # the entries after it may be on their way to the tail: keep them
         else:
-            self.ask_lesson(teacher)
+            self.storage.install_snapshot(index, state_wire, self._on_snapshot_synced)
 
-    def in_chain(self, address: str) -> bool:
-        return self.view is not None and any(address == each for each, _ in self.view.chain)
+    def _on_snapshot_synced(self) -> None:
+        self._report()
+        self._forward()
+        self._on_synced_progress()
 
-    def ask_lesson(self, teacher: str) -> None:
-        self.transfer.source = teacher
-        self.transfer.timer.start(self.now, CATCH_UP_RETRY_S)
-        self.effects.send(teacher, ["chain-learn", self.view_number(), self.committed_index])
+    # Reports, from successor to predecessor.
 
-    def on_learn(self, sender: str, place: int) -> None:
-        if place < self.committed_index and not self.log.continues_from(place):
-            self.on_pull(sender, ChunkRequest())
+    def tick(self, now: float) -> None:
+        """Take in the time; report or poll if it is time to."""
+        self._now = now
+        self._catch_up_server.tick(now)
+        self.catch_up.tick(now)
+        if now < self._next_report_at:
             return
-        entries = list(first_bytes(list(self.log.between(place, self.committed_index)), CATCH_UP_BATCH_BYTES))
-        more = bool(entries) and entries[-1].index < self.committed_index
-        told = [[each.index, each.change] for each in entries]
-        self.effects.send(sender, ["chain-lesson", self.view_number(), more, told])
-
-    def on_lesson(self, sender: str, more: bool, entries: list[Any]) -> None:
-        if self.transfer.awaits_reply_from(sender):
-            self.transfer.timer.on_reply(self.now)
-            self.near = not more
-        if entries:
-            self.drop_uncommitted()
-        life = self.life
-        for n, change in entries:
-            if n != self.last_index + 1:
-                continue
-            self.latest_state = self.latest_state.apply(change)
-            self.log.append(n, change)
-            self.last_index = self.committed_index = n
-            self.state = self.latest_state
-            self.applied(n, change)
-            self.effects.persist(["entry", n, change, n], lambda n=n: self.lesson_synced(n, life, sender))
-        self.trim()
-
-    def lesson_synced(self, number: int, life: int, teacher: str) -> None:
-        if life != self.life:
+        self._next_report_at = now + REPORT_INTERVAL_S
+        self.catch_up.poll()
+        if self.role.is_member():
+            self._report()
+            self._commit_if_tail()
+
+    def _report(self) -> None:
+        self._receive_window.on_report_sent()
+        if predecessor := self.role.predecessor:
+            report = ProgressReport(
+                self.role.view_number, self.last_index, self.committed_index, self.caught_up
+            )
+            self._environment.send(predecessor, report.to_wire())
+
+    def _on_report(self, sender: str, report: ProgressReport) -> None:
+        self.send_window.on_report(self._now, report.last_index)
+        if self.caught_up and not report.caught_up:
+            target = CatchUpTarget(self.role.view_number, self.synced_index)
+            self._environment.send(sender, target.to_wire())
+        self._forward()
+        if report.committed_index > self.committed_index:
+            self._commit_through(report.committed_index)
+            self._notify_predecessor_of_commit()
+
+    def _on_commit_notice(self, notice: CommitNotice) -> None:
+        if notice.committed_index <= self.committed_index:
             return
-        self.synced_index = max(self.synced_index, number)
-        self.check_floor()
-        self.commit_if_tail()
-        level = self.near or self.synced_index < self.last_index
-        if self.position is None and not level and not self.transfer.timer.awaiting_reply:
-            self.ask_lesson(teacher)
-
-    def status(self) -> int:
-        """What its pings tell: 2 in the chain and caught up, 1 in the chain, 0 a learner that holds all but a
-        lesson, -1 one that lacks more."""
-        if self.position is not None:
-            return 1 + int(self.caught_up)
-        return 0 if self.near and not self.transfer.in_progress else -1
+        if self.send_window.is_open:
+            self.send_window.acknowledge(self._now, notice.committed_index)
+            self._forward()
+        self._commit_through(notice.committed_index)
+        self._notify_predecessor_of_commit()
 
     # Reads.
 
-    def read(self, answer: Callable[[Any], None]) -> None:
-        """At the tail: `answer(state)` once a majority of acceptors knows no newer view; `answer(None)`
-        where this is not a tail that may say."""
-        certain = self.can_commit() or self.committed_index == self.synced_index
-        if not self.is_tail() or not self.caught_up or not certain or self.view is None:
-            answer(None)
-            return
-        self.confirm(lambda present: answer(self.state if present else None))
-
-    def confirm(self, answer: Callable[[bool], None]) -> None:
-        """`answer(True)` once a majority of acceptors has said that it knows no newer view."""
-        if self.view is None:
-            answer(False)
-        else:
-            self.read_barrier.confirm(self.view, answer)
+    def read(self, callback: Callable[[State | None], None]) -> None:
+        """Call back with a state that has all changes acknowledged before; with None if it can't say."""
+        self._reads.read(callback, can_commit=self.can_commit())
 
     # Messages.
 
-    def on_message(self, sender: str, message: Message) -> bool:
-        match message:
-            case ["chain-entry", number, int(n), change]:
-                if number == self.view_number() and sender == self.neighbour(-1) and n == self.last_index + 1:
-                    self.append(n, change)
-            case ["chain-behind", number]:
-                if number == self.view_number() and sender == self.neighbour(-1):
-                    self.on_behind(sender)
-            case ["chain-pull", number, int(n), str(digest), int(offset)]:
-                if number == self.view_number() and self.position is not None:
-                    self.on_pull(sender, ChunkRequest(n, digest, offset))
-            case ["chain-piece", number, *wire]:
-                if number == self.view_number() and (self.position is None or sender == self.neighbour(-1)):
-                    self.on_piece(sender, wire)
-            case ["chain-floor", number, int(n)]:
-                if number == self.view_number() and sender == self.neighbour(-1):
-                    self.floor = n if self.floor is None else self.floor
-                    self.check_floor()
-            case ["chain-report", number, int(last), int(committed), bool(caught_up)]:
-                if number == self.view_number() and sender == self.neighbour(1):
-                    self.on_report(sender, last, committed, caught_up)
-            case ["chain-commit", number, int(n)]:
-                if number == self.view_number() and sender == self.neighbour(1) and n > self.committed_index:
-                    if self.reported >= 0:
-                        self.note_reported(n)
-                        self.push()
-                    self.advance(n)
-                    if predecessor := self.neighbour(-1):
-                        self.effects.send(
-                            predecessor, ["chain-commit", self.view_number(), self.committed_index]
-                        )
-            case ["chain-learn", number, int(place)]:
-                if number == self.view_number() and self.position is not None:
-                    self.on_learn(sender, place)
-            case ["chain-lesson", number, bool(more), list(entries)]:
-                if number == self.view_number() and self.position is None:
-                    self.on_lesson(sender, more, entries)
-            case ["view-checked", int(nonce), int(number)]:
-                self.read_barrier.on_confirmed(sender, nonce, number)
-            case _:
-                return False
+    def on_message(self, sender: str, wire: Message) -> bool:
+        """Handle a message of the chain or of its read barrier; return False if it is neither."""
+        match wire:
+            case ["view-checked", int(nonce), int(view_number)]:
+                self._reads.on_confirmed(sender, nonce, view_number)
+                return True
+        message = decode_message(wire)
+        if message is None:
+            return False
+        if message.view_number == self.role.view_number:
+            self._handle(sender, message)
         return True
 
-
-def first_bytes(entries: Iterable[Entry], most: int) -> Iterable[Entry]:
-    """The first of the entries, and those that follow while all are no longer than `most` bytes."""
-    taken = 0
-    for each in entries:
-        taken += each.size
-        if taken > most and taken > each.size:
+    def _handle(self, sender: str, message: ChainMessage) -> None:
+        """Handle a message of this view, if it is from whom such messages come from in this role."""
+        if self.role.is_learner():
+            self._handle_as_learner(sender, message)
             return
-        yield each
+        if sender == self.role.predecessor:
+            self._handle_from_predecessor(sender, message)
+        if sender == self.role.successor:
+            self._handle_from_successor(sender, message)
+        match message:
+            case EntriesRequest():
+                self._catch_up_server.on_entries_request(sender, message)
+            case SnapshotRequest(_, index, digest, offset):
+                self._catch_up_server.on_snapshot_request(sender, ChunkRequest(index, digest, offset))
+
+    def _handle_as_learner(self, sender: str, message: ChainMessage) -> None:
+        match message:
+            case CommittedEntries():
+                self.catch_up.on_entries(sender, message)
+            case SnapshotData():
+                self.catch_up.on_snapshot_data(sender, message.chunk_wire)
+
+    def _handle_from_predecessor(self, sender: str, message: ChainMessage) -> None:
+        match message:
+            case ReplicateEntry() if message.index == self.last_index + 1:
+                self._append(message.index, message.change)
+            case LogTrimmed():
+                self.catch_up.on_log_trimmed(sender)
+            case SnapshotData():
+                self.catch_up.on_snapshot_data(sender, message.chunk_wire)
+            case CatchUpTarget():
+                if self._catch_up_target is None:
+                    self._catch_up_target = message.index
+                self._check_catch_up_target()
+
+    def _handle_from_successor(self, sender: str, message: ChainMessage) -> None:
+        match message:
+            case CommitNotice():
+                self._on_commit_notice(message)
+            case ProgressReport():
+                self._on_report(sender, message)
--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -14,7 +14,7 @@
 from plumline.configuration import history as history_module
 from plumline.configuration.document import check
 from plumline.configuration.replicated_state import ReplicatedConfiguration, model_names
-from plumline.coordination import replication as replication_module
+from plumline.coordination import replica_storage as storage_module
 from plumline.coordination.environment import Message
 from plumline.errors import ConfigurationInvalidError, PlumlineError, VersionConflictError
 from plumline.registrar.forwarding import RequestForwarder
@@ -447,7 +447,7 @@
 def short_memory(remembered: int = 0) -> Iterator[None]:
     """Short logs, the state above in the cores, and, if given, few repeats remembered."""
     with ExitStack() as stack:
-        stack.enter_context(patch.object(replication_module, "RETAINED_ENTRIES", KEPT))
+        stack.enter_context(patch.object(storage_module, "RETAINED_ENTRIES", KEPT))
         stack.enter_context(patch.object(core_world, "Register", NamedState))
         if remembered:
             stack.enter_context(patch.object(history_module, "SEGMENT_CHANGES", 2))
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -83,14 +83,14 @@
 class TakesEntriesOfAnyView(ChainReplica):
     def on_message(self, sender: str, message: Message) -> bool:
         if message[0] in ("chain-entry", "chain-state"):
-            message = [message[0], self.view_number(), *message[2:]]
+            message = [message[0], self.role.view_number, *message[2:]]
         return super().on_message(sender, message)
 
 
 class TakesReportsOfAnyView(ChainReplica):
     def on_message(self, sender: str, message: Message) -> bool:
         if message[0] in ("chain-floor", "chain-report", "chain-commit"):
-            message = [message[0], self.view_number(), *message[2:]]
+            message = [message[0], self.role.view_number, *message[2:]]
         return super().on_message(sender, message)
 
 
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -12,10 +12,11 @@
 from typing import Any
 from unittest.mock import patch
 
-from plumline.coordination import replication as replication_module
+from plumline.coordination import replica_storage as storage_module
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.lease import LeaseDurations
+from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View
 from plumline.errors import PlumlineError, VersionConflictError
 from tests.core_register import NullEnvironment, Register, ViolationError
@@ -321,7 +322,7 @@
         core, view = node.core, self.newest
         if core is None or view is None or core.views.view != view:
             return False
-        return core.chain.position is not None and core.chain.caught_up and node.me in view.acceptors
+        return core.chain.role.is_member() and core.chain.caught_up and node.me in view.acceptors
 
     # Operators
 
@@ -443,7 +444,7 @@
 
 def on_disk(node: Node) -> tuple[str, ...]:
     """What a core that starts from this disk would hold, committed or not."""
-    found = replication_module.ChainReplica(
+    found = ChainReplica(
         node.me, 1, NullEnvironment(), Register(), Register.load, lambda number, change: None
     )
     for record in node.disk:
@@ -454,5 +455,5 @@
 
 @contextmanager
 def short_logs() -> Iterator[None]:
-    with patch.object(replication_module, "RETAINED_ENTRIES", KEPT):
+    with patch.object(storage_module, "RETAINED_ENTRIES", KEPT):
         yield
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -15,7 +15,8 @@
 from plumline.configuration.history import History, HistoryMatch
 from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.coordination.core import Core
-from plumline.coordination.replication import ChainReplica, SubmitCallback
+from plumline.coordination.pending_replies import SubmitCallback
+from plumline.coordination.replication import ChainReplica
 from plumline.errors import (
     ConfigurationInvalidError,
     PlumlineError,
--- a/tests/test_core_explorer.py
+++ b/tests/test_core_explorer.py
@@ -6,6 +6,7 @@
 import os
 import secrets
 from collections.abc import Callable, Iterator
+from operator import attrgetter
 from typing import Any
 
 import pytest
@@ -13,6 +14,7 @@
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member
 from plumline.coordination.formation import ASK_EVERY, Formation
+from plumline.coordination.replica_storage import ReplicaStorage
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import Ballot, View, Views
 from tests.core_register import ViolationError
@@ -39,17 +41,17 @@
 
 
 class CommitsAnywhere(ChainReplica):
-    def commit_if_tail(self) -> None:
+    def _commit_if_tail(self) -> None:
         if self.can_commit():
-            self.advance(self.synced_index)
+            self._commit_through(self.synced_index)
 
 
 class CaughtUpAtOnce(ChainReplica):
-    def install(self, view: View) -> None:
-        super().install(view)
-        if self.position is not None:
-            self.caught_up = True
-            self.commit_if_tail()
+    def install_view(self, view: View) -> None:
+        super().install_view(view)
+        if self.role.is_member():
+            self.storage.caught_up = True
+            self._commit_if_tail()
 
 
 class ReadsWithoutAsking(ChainReplica):
@@ -57,8 +59,8 @@
         answer(self.state if self.is_tail() and self.caught_up else None)
 
 
-class KeepsWhatToDrop(ChainReplica):
-    def drop_after(self, number: int) -> None:
+class KeepsWhatToDrop(ReplicaStorage):
+    def discard_after(self, number: int) -> None:
         pass
 
 
@@ -115,7 +117,7 @@
 
 def exchange(part: str, kind: type) -> Callable[[Core], None]:
     def mutate(core: Core) -> None:
-        getattr(core, part).__class__ = kind
+        attrgetter(part)(core).__class__ = kind
 
     return mutate
 
@@ -125,7 +127,6 @@
         CommitsAnywhere,
         CaughtUpAtOnce,
         ReadsWithoutAsking,
-        KeepsWhatToDrop,
         CommitsWithAnyCopies,
     )
     views = (
@@ -138,6 +139,7 @@
     for kind in chains:
         more = {"seeds": 1} if kind is CommitsWithAnyCopies else {}  # so the chain begins with one member
         yield pytest.param({"mutate": exchange("chain", kind), **more}, id=kind.__name__)
+    yield pytest.param({"mutate": exchange("chain.storage", KeepsWhatToDrop)}, id=KeepsWhatToDrop.__name__)
     for kind in views:
         yield pytest.param({"mutate": exchange("views", kind)}, id=kind.__name__)
     yield pytest.param({"mutate": exchange("formation", FormsWithAMajority)}, id=FormsWithAMajority.__name__)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from plumline.coordination.chain_messages import CommittedEntries
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.snapshot_transfer import Snapshot, SnapshotChunk
 from plumline.coordination.soft_state import SoftState
@@ -259,7 +260,7 @@
         world.put(number)
     chain = world.nodes["b"].core.chain
     again = ChainReplica(
-        chain.me, 2, NullEnvironment(), Register(), Register.load, lambda number, change: None
+        chain.local_member, 2, NullEnvironment(), Register(), Register.load, lambda number, change: None
     )
     for record in chain.records():
         again.restore(record)
@@ -320,16 +321,16 @@
     a, b, c = ("a", "a-1"), ("b", "b-1"), ("c", "c-1")
     recorder = Recorder()
     chain = chain_of(recorder)
-    chain.install(View(1, (a, b, c), (a, b)))
+    chain.install_view(View(1, (a, b, c), (a, b)))
     chain.submit(["set", 0, "c1"], lambda error: None)
-    chain.install(View(2, (a, b, c), (b, c)))
+    chain.install_view(View(2, (a, b, c), (b, c)))
     assert (chain.last_index, chain.committed_index) == (1, 0)  # b may commit it yet
     for records in (list(recorder.records), chain.records()):
         again = chain_of(Recorder())
         for record in records:
             again.restore(record)
         assert (again.last_index, again.committed_index) == (1, 0)
-        again.install(View(3, (a, b, c), (b, a)))
+        again.install_view(View(3, (a, b, c), (b, a)))
         assert (again.last_index, again.committed_index) == (0, 0)
-    chain.on_lesson(0, None, [[1, ["set", 0, "c2"]]])
+    chain.catch_up.on_entries("b", CommittedEntries(2, False, [[1, ["set", 0, "c2"]]]))
     assert chain.state.ids == ("c2",)
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -11,7 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plumline.coordination import replication as replication_module
+from plumline.coordination import catch_up as catch_up_module
+from plumline.coordination import flow_control as flow_control_module
+from plumline.coordination import replica_storage as storage_module
 from plumline.coordination import snapshot_transfer as transfer_module
 from plumline.coordination.log import ReplicationLog
 from plumline.coordination.retry_timer import INITIAL_TIMEOUT_S, MAX_TIMEOUT_S, RetryTimer
@@ -170,8 +172,8 @@
     """So small that every state takes several, as an explored one is only a few names."""
     with (
         patch.object(transfer_module, "CHUNK_BYTES", 12),
-        patch.object(replication_module, "WINDOW_BYTES", 40),
-        patch.object(replication_module, "CATCH_UP_BATCH_BYTES", 30),
+        patch.object(flow_control_module, "WINDOW_BYTES", 40),
+        patch.object(catch_up_module, "CATCH_UP_BATCH_BYTES", 30),
     ):
         yield
 
@@ -273,14 +275,14 @@
     world.settle()
     taken = bytes_of(world, *TRANSFER)[name]
     print("bytes", taken, "state", state, "seconds", round(world.now - began, 2))
-    assert taken < 1.1 * state + 2 * replication_module.CATCH_UP_BATCH_BYTES
+    assert taken < 1.1 * state + 2 * catch_up_module.CATCH_UP_BATCH_BYTES
     assert world.ids(name) == world.ids(other)
 
 
 def test_changes_of_a_megabyte_leave_a_bounded_log_and_come_once() -> None:
     world = without("c", 12, 1_000_000)
     for name in "ab":
-        assert world.nodes[name].core.chain.log.size_bytes() <= replication_module.RETAINED_BYTES
+        assert world.nodes[name].core.chain.log.size_bytes() <= storage_module.RETAINED_BYTES
     world.spy = True
     world.start(world.nodes["c"])
     world.settle()
@@ -312,7 +314,7 @@
     world.spy = True
     c = world.nodes["c"]
     world.start(c)
-    assert world.go(10.0, lambda: len(c.core.chain.transfer.receiver.data) > 600_000)
+    assert world.go(10.0, lambda: len(c.core.chain.catch_up.fetch.receiver.data) > 600_000)
     world.split("ab", "c")
     world.go(1.0)
     world.cut = set()
@@ -334,7 +336,7 @@
         world.go(0.01)
     chain = world.nodes["a"].core.chain
     most = chain.log.bytes_between(world.nodes["c"].core.chain.synced_index, chain.last_index)
-    assert most <= replication_module.CATCH_UP_BATCH_BYTES
+    assert most <= catch_up_module.CATCH_UP_BATCH_BYTES
 
 
 def test_a_successor_that_is_slow_is_sent_no_more_than_its_window() -> None:
@@ -352,10 +354,12 @@
     while len(told) < 40:
         assert world.now < 60.0
         world.go(0.005)
-        sent = head.core.chain.log.bytes_between(head.core.chain.reported, head.core.chain.sent)
+        chain = head.core.chain
+        window = chain.send_window
+        sent = chain.log.bytes_between(window.acknowledged_index, window.sent_index)
         most = max(most, sent)
     assert told == [None] * 40
-    assert replication_module.WINDOW_BYTES // 2 < most <= replication_module.WINDOW_BYTES
+    assert flow_control_module.WINDOW_BYTES // 2 < most <= flow_control_module.WINDOW_BYTES
     for name in "bc":
         sent = bytes_of(world, *TRANSFER)[name]
         assert sent < 1.1 * 40 * 100_000, name  # each entry once
