--- /dev/null
+++ b/plumline/registrar/message_handlers.py
@@ -0,0 +1,108 @@
+"""Dispatches what comes over internal connections: messages of other registrars, and of routers."""
+
+from collections.abc import Callable
+from typing import Any
+
+from plumline.coordination.core import Core
+from plumline.coordination.environment import Message
+from plumline.counters import Counters
+from plumline.registrar.forwarding import RequestForwarder
+from plumline.registrar.peer_messages import (
+    PromptEvents,
+    RefreshEndpoints,
+    SoftStateUpdate,
+    SubscriberReport,
+    ZoneAnnouncement,
+    peer_message_from_wire,
+)
+from plumline.registrar.publisher import FeedPublisher
+from plumline.registrar.router_directory import RouterDirectory
+from plumline.registrar.singleton_roles import SingletonRoles
+from plumline.registrar.soft_state_replication import SoftStateReplicator
+from plumline.registrar.subscriber_messages import PROMPT_EVENTS_KIND, REFRESH_ENDPOINTS_KIND
+from plumline.wire.frames import FrameLink
+from plumline.wire.mesh import Mesh
+
+
+class PeerMessageHandler:
+    """What other registrars send, and what this one sends to itself."""
+
+    def __init__(
+        self,
+        core: Core,
+        forwarder: RequestForwarder,
+        replicator: SoftStateReplicator,
+        routers: RouterDirectory,
+        roles: SingletonRoles,
+        zones: dict[str, str],
+        counters: Counters,
+        clock: Callable[[], float],
+    ) -> None:
+        """`zones`: of registrars, by address; filled here. `clock()`: s, steady."""
+        self.core, self.forwarder, self.replicator = core, forwarder, replicator
+        self.routers, self.roles, self.zones = routers, roles, zones
+        self.publisher, self.mesh = replicator.publisher, replicator.mesh
+        self.counters, self.clock = counters, clock
+
+    def on_link_up(self, address: str) -> None:
+        """Sends a registrar that has just been connected to what it can't know yet."""
+        own_zone = self.zones[self.mesh.me]
+        self.mesh.links[address].send(ZoneAnnouncement(own_zone).to_wire())
+        self.replicator.send_all_to(address)
+
+    def on_message(self, sender: str, message: Message) -> None:
+        """Dispatches a message by its kind; one that is unknown or malformed is counted and dropped."""
+        now = self.clock()
+        try:
+            if self.core.on_message(now, sender, message):
+                return
+            if self.forwarder.on_message(now, sender, message):
+                return
+            self._dispatch(now, sender, message)
+        except (ValueError, TypeError, IndexError, KeyError):
+            self.counters.add("frames.malformed")
+
+    def _dispatch(self, now: float, sender: str, message: Message) -> None:
+        match peer_message_from_wire(message):
+            case SoftStateUpdate() as update:
+                if self.replicator.on_peer_update(update):
+                    self.roles.on_soft_state_update(update.topic, update.value)
+            case SubscriberReport(routers):
+                self.routers.on_report(now, sender, routers)
+            case PromptEvents():
+                self.publisher.forward_prompt_events(message)
+            case RefreshEndpoints():
+                self.roles.refresh_endpoints()
+            case ZoneAnnouncement(zone):
+                self.zones[sender] = zone
+            case None:
+                self.counters.add("frames.unknown")
+
+
+class RouterMessageHandler:
+    """What routers send. A FrameError that is raised here ends the router's connection."""
+
+    def __init__(
+        self, publisher: FeedPublisher, roles: SingletonRoles, mesh: Mesh, clock: Callable[[], float]
+    ) -> None:
+        """`clock()`: s, steady."""
+        self.publisher, self.roles, self.mesh, self.clock = publisher, roles, mesh, clock
+
+    def on_connected(self, link: FrameLink) -> None:
+        """A router has connected."""
+        self.publisher.on_subscriber_connected(link, self.clock())
+
+    def on_message(self, link: FrameLink, message: list[Any]) -> None:
+        """Dispatches a message by its kind."""
+        if message == [REFRESH_ENDPOINTS_KIND]:
+            self.mesh.send_all(message)
+            self.roles.refresh_endpoints()
+        elif message[0] == PROMPT_EVENTS_KIND:
+            self.publisher.forward_prompt_events(message, link)
+            self.mesh.send_all(message)
+        else:
+            self.publisher.on_subscriber_message(link, message, self.clock())
+
+    def on_disconnected(self, link: FrameLink) -> None:
+        """A router's connection has ended."""
+        self.publisher.on_subscriber_disconnected(link)
--- a/plumline/wire/mesh.py
+++ b/plumline/wire/mesh.py
@@ -6,8 +6,7 @@
 
 import asyncio
 import random
-from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
 from plumline.counters import Counters
 from plumline.wire.frames import FrameLink, pack
@@ -17,28 +16,38 @@
 AGAIN_S = 0.25  # s, at about, until the next try
 ORDERED = frozenset({"chain-entry", "chain-lesson"})  # kinds that are of use only after those sent before
 
-Receive = Callable[[str, list[Any]], None]  # address of the sender, message
+
+class PeerHandler(Protocol):
+    """What the mesh does with other registrars' links."""
+
+    def on_link_up(self, address: str) -> None:
+        """A link to the registrar at this address has come up."""
+
+    def on_message(self, sender: str, message: list[Any]) -> None:
+        """The registrar at the address `sender`, which may be this one, has sent a message."""
+
+
+class ClientHandler(Protocol):
+    """What the mesh does with the connections of those that are no registrars."""
+
+    def on_connected(self, link: FrameLink) -> None:
+        """The other side has said who it is."""
+
+    def on_message(self, link: FrameLink, message: list[Any]) -> None:
+        """A message has come. Raises FrameError for one that ends the connection."""
+
+    def on_disconnected(self, link: FrameLink) -> None:
+        """The connection has ended."""
 
 
 class Mesh:
-    """`receive` gets registrars' messages; connections of others go to `followers`."""
-
-    def __init__(
-        self,
-        me: str,
-        greeting: list[Any],
-        receive: Receive,
-        on_link: Callable[[str], None],
-        on_follower: Callable[[FrameLink], None],
-        on_follower_message: Callable[[FrameLink, list[Any]], None],
-        on_follower_down: Callable[[FrameLink], None],
-        counters: Counters,
-    ) -> None:
-        """`on_link(address)`: a link to that registrar has come up."""
-        self.me, self.greeting, self.receive, self.counters = me, greeting, receive, counters
-        self.on_link = on_link
-        self.on_follower, self.on_follower_message = on_follower, on_follower_message
-        self.on_follower_down = on_follower_down
+    """Links to and from other registrars, whose messages go to one handler; those of others to another."""
+
+    def __init__(self, me: str, greeting: list[Any], counters: Counters) -> None:
+        """`me`: address of this registrar; `greeting`: its hello."""
+        self.me, self.greeting, self.counters = me, greeting, counters
+        self.peers: PeerHandler
+        self.clients: ClientHandler
         self.loop = asyncio.get_running_loop()
         self.links: dict[str, FrameLink] = {}  # opened here, up
         self.connecting: dict[str, asyncio.Task[None]] = {}
@@ -46,6 +55,10 @@
         self.incoming: set[FrameLink] = set()
         self.server: asyncio.Server | None = None
 
+    def attach(self, peers: PeerHandler, clients: ClientHandler) -> None:
+        """Sets the handlers; before the first message and before `listen`."""
+        self.peers, self.clients = peers, clients
+
     async def listen(self, address: tuple[str, int]) -> None:
         """Raises OSError."""
         self.server = await self.loop.create_server(self.accept, *address, reuse_address=True)
@@ -57,19 +70,19 @@
         assert link.peer is not None
         self.incoming.add(link)
         if link.peer["role"] != "registrar":
-            self.on_follower(link)
+            self.clients.on_connected(link)
 
     def heard(self, link: FrameLink, message: list[Any]) -> None:
         assert link.peer is not None
         if link.peer["role"] == "registrar":
-            self.receive(link.peer["address"], message)
+            self.peers.on_message(link.peer["address"], message)
         else:
-            self.on_follower_message(link, message)
+            self.clients.on_message(link, message)
 
     def went(self, link: FrameLink) -> None:
         self.incoming.discard(link)
         if link.peer is not None and link.peer["role"] != "registrar":
-            self.on_follower_down(link)
+            self.clients.on_disconnected(link)
 
     def want(self, addresses: set[str]) -> None:
         """The registrars to have links to."""
@@ -96,7 +109,7 @@
                 def up(link: FrameLink, greeted: "asyncio.Future[None]" = greeted) -> None:
                     greeted.set_result(None)
                     self.links[address] = link
-                    self.on_link(address)
+                    self.peers.on_link_up(address)
 
                 link = FrameLink(self.greeting, up, lambda *_: None, ended, self.counters)
                 try:
@@ -114,7 +127,7 @@
 
     def send(self, to: str, message: list[Any]) -> None:
         if to == self.me:
-            self.loop.call_soon(self.receive, self.me, message)
+            self.loop.call_soon(self.peers.on_message, self.me, message)
         elif link := self.links.get(to):
             link.send(message, ordered=message[0] in ORDERED)
 
--- a/tests/frozen_adapter.py
+++ b/tests/frozen_adapter.py
@@ -33,6 +33,7 @@
 from plumline import logs, settings
 from plumline.cli import main
 from plumline.errors import PlumlineError
+from plumline.registrar import durable_state
 from plumline.registrar import process as registrar
 from plumline.router import app as router
 from plumline.settings import from_environment
@@ -198,7 +199,7 @@
     """What a story of `frozen_story` leaves, and the log."""
     with (
         tempfile.TemporaryDirectory() as folder,
-        patch.object(registrar, "GroupCommitWriter", writer_at_once),
+        patch.object(durable_state, "GroupCommitWriter", writer_at_once),
         log_lines() as lines,
     ):
         told = frozen_cluster.play(
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from pathlib import Path
+from typing import Any
 from unittest.mock import patch
 
 from peers import play, soon
@@ -12,24 +13,38 @@
 from plumline.wire.mesh import Mesh
 
 
+class Peers:
+    """Says when the first link is up; drops messages."""
+
+    def __init__(self, up: "asyncio.Future[str]") -> None:
+        self.up = up
+
+    def on_link_up(self, address: str) -> None:
+        if not self.up.done():
+            self.up.set_result(address)
+
+    def on_message(self, sender: str, message: list[Any]) -> None:
+        pass
+
+
+class Clients:
+    """Drops everything."""
+
+    def on_connected(self, link: FrameLink) -> None:
+        pass
+
+    def on_message(self, link: FrameLink, message: list[Any]) -> None:
+        pass
+
+    def on_disconnected(self, link: FrameLink) -> None:
+        pass
+
+
 def mesh_of(up: "asyncio.Future[str]") -> Mesh:
     """One that wants no links yet; `up` gets the address of the first link that comes up."""
-
-    def linked(address: str) -> None:
-        if not up.done():
-            up.set_result(address)
-
-    greeting = hello("one", "registrar", "127.0.0.1:1", "zone")
-    return Mesh(
-        "127.0.0.1:1",
-        greeting,
-        lambda sender, message: None,
-        linked,
-        lambda link: None,
-        lambda link, message: None,
-        lambda link: None,
-        Counters(),
-    )
+    mesh = Mesh("127.0.0.1:1", hello("one", "registrar", "127.0.0.1:1", "zone"), Counters())
+    mesh.attach(Peers(up), Clients())
+    return mesh
 
 
 @patch.object(mesh_module, "HELLO_S", 0.05)
--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -28,7 +28,7 @@
 
 async def formed(registrar: RegistrarProcess) -> None:
     """Steps it by hand until it is the head of a chain of one."""
-    await registrar.known.wait()
+    await registrar.durable_state.wait_for_incarnation()
     now = registrar.loop.time()
     while not registrar.core.chain.caught_up:
         now += 0.05
@@ -44,13 +44,13 @@
     change = ["weights", {"Model": "m", "Version": 3}]
     first.core.chain.submit(change, lambda error: taken.set_result(error))
     assert await soon(taken) is None
-    first.writer.close()
+    first.durable_state.close()
     # What was the newest entry as it ended is committed as the next life begins, before any message came.
     second = RegistrarProcess(settings_for(tmp_path))
     assert second.core.me == first.core.me
     assert second.core.chain.state.weight_versions == {"m": 3}
     assert second.core.chain.is_head() and second.core.chain.caught_up
-    second.writer.close()
+    second.durable_state.close()
 
 
 @play
@@ -61,8 +61,8 @@
     assert second.core.me[0] == first.core.me[0]
     assert second.core.me[1] != first.core.me[1]
     assert second.core.views.view is None
-    first.writer.close()
-    second.writer.close()
+    first.durable_state.close()
+    second.durable_state.close()
 
 
 class Exchange:
@@ -88,17 +88,17 @@
         Exchange("POST", "/version-put", b'{"Model":"m","Version":1}'),
     ]
     for each in calls:
-        await soon(registrar.operators.serve(each))
+        await soon(registrar.operator_api.serve(each))
         assert each.answer is not None
         assert (each.answer[0], each.answer[1][b"Retry-After"]) == (503, b"0.3")
     cut_short = Exchange("POST", "/Configuration.Replace", b'{"Version":')
-    await soon(registrar.operators.serve(cut_short))  # no state could ever take this one
+    await soon(registrar.operator_api.serve(cut_short))  # no state could ever take this one
     assert cut_short.answer is not None and cut_short.answer[0] == 400
     await soon(formed(registrar))
     read = Exchange("GET", "/Configuration.Read")
-    await soon(registrar.operators.serve(read))
+    await soon(registrar.operator_api.serve(read))
     assert read.answer is not None and read.answer[0] == 503
-    registrar.writer.close()
+    registrar.durable_state.close()
 
 
 @play
@@ -108,7 +108,7 @@
 
     async def status(body: bytes, based_on: bytes, path: str = "/Configuration.Replace") -> int:
         exchange = Exchange("POST", path, body, based_on)
-        await soon(registrar.operators.serve(exchange))
+        await soon(registrar.operator_api.serve(exchange))
         assert exchange.answer is not None
         return exchange.answer[0]
 
@@ -119,7 +119,7 @@
     assert await status(b'{"Version":9}', b"5") == 503  # version 5 may be under way
     assert await status(b'{"Version":5}', b"3", "/Configuration.Amend") == 200
     assert await status(b'{"Version":3,"Limits":{}}', b"0") == 200
-    registrar.writer.close()
+    registrar.durable_state.close()
 
 
 @play
@@ -131,7 +131,7 @@
     assert registrar.loop.time() - began < SHUTDOWN_RESERVE_S
     assert registrar.core.keeper.leaving
     assert registrar.counters.get("leave.incomplete") == 0
-    registrar.writer.close()
+    registrar.durable_state.close()
 
 
 @play
@@ -146,7 +146,7 @@
         await soon(registrar.hand_over())
     assert "replica in the chain" in log.warning.call_args.args[0]
     assert registrar.counters.get("leave.incomplete") == 1
-    registrar.writer.close()
+    registrar.durable_state.close()
 
 
 @play
@@ -158,4 +158,4 @@
     await soon(registrar.hand_over())
     assert duties == []
     assert registrar.counters.get("leave.incomplete") == 0
-    registrar.writer.close()
+    registrar.durable_state.close()
