--- a/plumline/registrar/forwarding.py
+++ b/plumline/registrar/forwarding.py
@@ -94,9 +94,9 @@
         """Why no response can be had from that registrar now; None if one may come."""
         if address is None:
             return UnavailableError("no view of the core is known yet")
-        if not self.core.has_majority(now):
+        if not self.core.has_quorum_contact(now):
             return UnavailableError("this registrar is cut off from the majority; ask another")
-        if address != self.core.me[0] and not self.core.contacts.alive(now, address):
+        if address != self.core.me[0] and not self.core.failure_detector.is_alive(now, address):
             return UnavailableError(f"{address} is silent; ask another")
         return None
 
@@ -126,7 +126,8 @@
         return True
 
     def _on_write(self, now: float, sender: str, write: ForwardedWrite) -> None:
-        if not self.core.has_majority(now):  # else the change would wait here, to be dropped or applied late
+        # Without a quorum the change would wait here, to be dropped or applied late.
+        if not self.core.has_quorum_contact(now):
             error = UnavailableError("the head is cut off from the majority")
             self._respond(sender, write.key, error)
             return
@@ -137,7 +138,7 @@
         self.core.chain.submit(write.change, on_committed)
 
     def _on_read(self, now: float, sender: str, read: ForwardedRead) -> None:
-        if not self.core.has_majority(now):
+        if not self.core.has_quorum_contact(now):
             error = UnavailableError("the tail is cut off from the majority")
             self._respond(sender, read.key, error)
             return
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -125,7 +125,7 @@
             chance=random.Random(secrets.randbits(64)),
             applied=self._on_entry_committed,
             changed=_log_view,
-            known_elsewhere=lambda: self.publisher.highest_subscriber_index > 0,
+            is_configuration_known=lambda: self.publisher.highest_subscriber_index > 0,
         )
 
     def _on_entry_committed(self, index: int, change: list[object] | None) -> None:
@@ -148,14 +148,14 @@
                 self._publish_heartbeat(now)
             if report_timer.is_due(now):
                 self.mesh.send_all(SubscriberReport(self.publisher.live_subscribers(now)).to_wire())
-                self.mesh.want(set(self.core.contacts.peers))
+                self.mesh.want(set(self.core.failure_detector.peers))
             if counters_timer.is_due(now):
                 for line in self.counters.lines():
                     log.info(line)
             await asyncio.sleep(STEP_INTERVAL_S)
 
     def _step(self, now: float) -> None:
-        self.core.sick = self.durable_state.is_unhealthy(now)
+        self.core.disk_unhealthy = self.durable_state.is_unhealthy(now)
         if (changed := self.settings_file.changed(now)) is not None:
             self.core.set_seeds(changed.seeds)
         self.core.tick(now)
@@ -164,12 +164,12 @@
 
     def _renew_dead_links(self, now: float) -> None:
         for address in list(self.mesh.links):
-            if self.core.contacts.unheard_for(now, address) > LINK_TIMEOUT_S:
-                self.core.contacts.know(now, address)
+            if self.core.failure_detector.time_since_contact(now, address) > LINK_TIMEOUT_S:
+                self.core.failure_detector.add_peer(now, address)
                 self.mesh.renew(address)
 
     def _publish_heartbeat(self, now: float) -> None:
-        view = self.core.views.view
+        view = self.core.view_agreement.view
         chain = view.chain if view else ()
         registrars = [[member.address, self.zones.get(member.address, "")] for member in chain]
         self.publisher.publish_heartbeat(self.core.fresh(now), registrars, self.routers.live_routers(now))
@@ -236,9 +236,9 @@
 
     def _reachable_acceptors(self, now: float) -> str:
         """How many acceptors of the view this registrar reaches, of how many: "2/3"."""
-        view = self.core.views.view
+        view = self.core.view_agreement.view
         acceptors = view.acceptors if view else ()
-        reachable = sum(self.core.contacts.alive(now, member.address) for member in acceptors)
+        reachable = sum(self.core.failure_detector.is_alive(now, member.address) for member in acceptors)
         return f"{reachable}/{len(acceptors)}"
 
 
--- a/plumline/registrar/singleton_roles.py
+++ b/plumline/registrar/singleton_roles.py
@@ -14,7 +14,7 @@
 
 from plumline import logs
 from plumline.configuration.document import Document
-from plumline.configuration.routes import RouteTable
+from plumline.configuration.route_table import RouteTable
 from plumline.coordination.core import Core
 from plumline.coordination.lease import LeaseDurations
 from plumline.counters import Counters
@@ -82,7 +82,7 @@
             lambda: self._held_term(Lease.DISCOVERY) is not None,
             self._publish_cache_stores,
             clock,
-            on_changes=self._publish_store_events,
+            on_events=self._publish_store_events,
         )
         self.rollout = RolloutController(
             caller,
@@ -186,8 +186,8 @@
         """(host, port) by the store's name, of those that have an address."""
         if configuration is not self._configuration:
             self._configuration = configuration
-            stores = RouteTable(configuration).stores if configuration else {}
+            stores = RouteTable(configuration).cache_stores if configuration else {}
             self._addresses = {
-                name: store.store_address for name, store in stores.items() if store.store_address
+                name: store.cache_store_address for name, store in stores.items() if store.cache_store_address
             }
         return self._addresses
