--- a/plumline/registrar/forwarding.py
+++ b/plumline/registrar/forwarding.py
@@ -9,11 +9,12 @@
 import secrets
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from plumline.configuration.document import Document
 from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.coordination.core import Core
+from plumline.coordination.environment import Message
+from plumline.coordination.log import Change
 from plumline.errors import (
     ConfigurationInvalidError,
     PlumlineError,
@@ -40,8 +41,6 @@
 ACKNOWLEDGED = {"taken": True}
 KEY_BYTES = 8  # of a request's random key
 
-#: A change as the log holds it: its kind, then its operands.
-Change = list[Any]
 #: Gets an error, or None and the result: ACKNOWLEDGED, or the configuration (None where there is none yet).
 ResultCallback = Callable[[PlumlineError | None, Document | None], None]
 
@@ -58,7 +57,7 @@
 class RequestForwarder:
     """Forwards the requests that arrived here, and serves those that other registrars forward."""
 
-    def __init__(self, core: Core, send: Callable[[str, list[Any]], None]) -> None:
+    def __init__(self, core: Core, send: Callable[[str, Message], None]) -> None:
         """`send(address, message)`: to a registrar, also to this one."""
         self.core, self.send = core, send
         self.pending: dict[str, PendingRequest] = {}
@@ -112,7 +111,7 @@
 
     # Between registrars.
 
-    def on_message(self, now: float, sender: str, message: list[Any]) -> bool:
+    def on_message(self, now: float, sender: str, message: Message) -> bool:
         """False if the message is of no kind that belongs here."""
         match forwarding_message_from_wire(message):
             case ForwardedWrite() as write:
--- a/plumline/registrar/forwarding_messages.py
+++ b/plumline/registrar/forwarding_messages.py
@@ -7,18 +7,20 @@
 The key is the request's own, chosen at random by the registrar that forwards it.
 """
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 from plumline.configuration.document import Document
+from plumline.coordination.environment import Message
+from plumline.coordination.log import Change
 
 
 class ForwardedWrite(NamedTuple):
     """A change that the head is to submit to the chain."""
 
     key: str
-    change: list[Any]  # as the log holds it
+    change: Change
 
-    def to_wire(self) -> list[Any]:
+    def to_wire(self) -> Message:
         """The message's plain values."""
         return ["ask", self.key, ["submit", self.change]]
 
@@ -28,7 +30,7 @@
 
     key: str
 
-    def to_wire(self) -> list[Any]:
+    def to_wire(self) -> Message:
         """The message's plain values."""
         return ["ask", self.key, ["read"]]
 
@@ -41,7 +43,7 @@
     error_text: str  # empty where there is no error
     result: Document | None
 
-    def to_wire(self) -> list[Any]:
+    def to_wire(self) -> Message:
         """The message's plain values."""
         return ["answer", self.key, self.error_code, self.error_text, self.result]
 
@@ -50,7 +52,7 @@
 ForwardingMessage = ForwardedWrite | ForwardedRead | ForwardingResponse
 
 
-def forwarding_message_from_wire(message: list[Any]) -> ForwardingMessage | None:
+def forwarding_message_from_wire(message: Message) -> ForwardingMessage | None:
     """The typed message; None if it is of no kind, or not of the form, given above."""
     match message:
         case ["ask", str(key), ["submit", list(change)]]:
--- a/plumline/registrar/message_handlers.py
+++ b/plumline/registrar/message_handlers.py
@@ -1,7 +1,6 @@
 """Dispatches what comes over internal connections: messages of other registrars, and of routers."""
 
 from collections.abc import Callable
-from typing import Any
 
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Message
@@ -92,7 +91,7 @@
         """A router has connected."""
         self.publisher.on_subscriber_connected(link, self.clock())
 
-    def on_message(self, link: FrameLink, message: list[Any]) -> None:
+    def on_message(self, link: FrameLink, message: Message) -> None:
         """Dispatches a message by its kind."""
         if message == [REFRESH_ENDPOINTS_KIND]:
             self.mesh.send_all(message)
--- a/plumline/registrar/operator_api.py
+++ b/plumline/registrar/operator_api.py
@@ -7,9 +7,10 @@
 from plumline.configuration.document import Document, parse_document
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Message
+from plumline.coordination.log import Change
 from plumline.counters import Counters
 from plumline.errors import ConfigurationInvalidError, PlumlineError, UnavailableError
-from plumline.registrar.forwarding import Change, RequestForwarder, ResultCallback
+from plumline.registrar.forwarding import RequestForwarder, ResultCallback
 from plumline.wire.calls import BASED_ON_VERSION, CALLS
 from plumline.wire.exchange import Exchange
 
--- a/plumline/registrar/peer_messages.py
+++ b/plumline/registrar/peer_messages.py
@@ -9,6 +9,7 @@
 
 from typing import Any, NamedTuple
 
+from plumline.coordination.environment import Message
 from plumline.coordination.soft_state import Version
 from plumline.registrar.service_load import ServiceLoads
 
@@ -20,7 +21,7 @@
     version: Version
     value: Any
 
-    def to_wire(self) -> list[Any]:
+    def to_wire(self) -> Message:
         """The message's plain values; routers get them in the same form."""
         return ["topic", self.topic, list(self.version), self.value]
 
@@ -30,7 +31,7 @@
 
     routers: dict[str, ServiceLoads]
 
-    def to_wire(self) -> list[Any]:
+    def to_wire(self) -> Message:
         """The message's plain values."""
         return ["followers", self.routers]
 
@@ -41,7 +42,7 @@
     origin: str  # the router's node name, or the store's address
     events: list[Any]
 
-    def to_wire(self) -> list[Any]:
+    def to_wire(self) -> Message:
         """The message's plain values."""
         return ["news", self.origin, self.events]
 
@@ -49,7 +50,7 @@
 class RefreshEndpoints(NamedTuple):
     """The endpoint list is to be read again soon: a router has missed an endpoint."""
 
-    def to_wire(self) -> list[Any]:
+    def to_wire(self) -> Message:
         """The message's plain values."""
         return ["hurry"]
 
@@ -59,7 +60,7 @@
 
     zone: str
 
-    def to_wire(self) -> list[Any]:
+    def to_wire(self) -> Message:
         """The message's plain values."""
         return ["zone", self.zone]
 
@@ -67,7 +68,7 @@
 PeerMessage = SoftStateUpdate | SubscriberReport | PromptEvents | RefreshEndpoints | ZoneAnnouncement
 
 
-def peer_message_from_wire(message: list[Any]) -> PeerMessage | None:
+def peer_message_from_wire(message: Message) -> PeerMessage | None:
     """The typed message; None if it is of no kind, or not of the form, given above."""
     match message:
         case ["topic", str(topic), [int(term), int(count)], value]:
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -10,6 +10,7 @@
 from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
+from plumline.coordination.log import Change
 from plumline.coordination.soft_state import SoftState
 from plumline.coordination.view import View
 from plumline.counters import Counters
@@ -128,7 +129,7 @@
             is_configuration_known=lambda: self.publisher.highest_subscriber_index > 0,
         )
 
-    def _on_entry_committed(self, index: int, change: list[object] | None) -> None:
+    def _on_entry_committed(self, index: int, change: Change | None) -> None:
         """The entry of this number is committed; None: a whole state was installed in place of it."""
         self.publisher.on_entry_committed(index, change)
         self.roles.on_configuration_changed()
--- a/plumline/registrar/publish_buffer.py
+++ b/plumline/registrar/publish_buffer.py
@@ -6,14 +6,15 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
 
 from plumline.configuration.replicated_state import ReplicatedConfiguration
+from plumline.coordination.log import Change
 from plumline.registrar.subscriber_messages import ENTRY_KIND, SNAPSHOT_KIND
 from plumline.wire.frames import pack
 
 MAX_BUFFERED_BYTES = 1024 * 1024  # of packed entries; a subscriber that is further behind gets a snapshot
 SMALL_DELTA_BYTES = 16 * 1024  # entries of no more bytes are sent without packing a snapshot to compare with
+MAX_DELTA_PART = 4  # a cached snapshot is sent while the entries after it take a quarter of its bytes at most
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +43,7 @@
         self.entries.clear()
         self.size_bytes = 0
 
-    def append(self, index: int, change: list[Any]) -> None:
+    def append(self, index: int, change: Change) -> None:
         """Packs the entry of this number; one that doesn't follow the newest resets the buffer."""
         if index != self.newest_index + 1:
             self.reset(index)
@@ -76,9 +77,8 @@
     def snapshot(self) -> PackedMessage:
         """A whole state: the newest, or a cached earlier one that few bytes of entries lead on from."""
         cached = self._cached_snapshot
-        if cached is not None and (delta := self.entries_after(cached.index)) is not None:
-            if total_bytes(delta) <= max(SMALL_DELTA_BYTES, len(cached.data) // 4):
-                return cached
+        if cached is not None and self._is_near_newest(cached):
+            return cached
         index, state = self.committed_state()
         if index != self.newest_index:
             self.reset(index)
@@ -86,6 +86,13 @@
         self._cached_snapshot = PackedMessage(index, SNAPSHOT_KIND, data)
         return self._cached_snapshot
 
+    def _is_near_newest(self, snapshot: PackedMessage) -> bool:
+        """Whether few bytes of entries lead on from it: packing another would cost more than sending them."""
+        delta = self.entries_after(snapshot.index)
+        if delta is None:
+            return False
+        return total_bytes(delta) <= max(SMALL_DELTA_BYTES, len(snapshot.data) // MAX_DELTA_PART)
+
 
 def total_bytes(messages: list[PackedMessage]) -> int:
     """The size of the messages' frames together."""
--- a/plumline/registrar/publisher.py
+++ b/plumline/registrar/publisher.py
@@ -7,10 +7,11 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from typing import Any
 
 from plumline.configuration.difference import replace_as_amend
 from plumline.configuration.document import Document
+from plumline.coordination.environment import Message
+from plumline.coordination.log import Change
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.soft_state import SoftState
 from plumline.registrar.peer_messages import SoftStateUpdate
@@ -36,7 +37,7 @@
     link: FrameLink
     node: str
     sent_index: int = -1  # number of the newest entry it has or was sent; -1: it has not subscribed yet
-    last_heard: float = 0.0  # s, steady
+    last_seen: float = 0.0  # s, steady
     loads: ServiceLoads = field(default_factory=dict)  # of its last heartbeat
     is_primary: bool = False  # whether it takes entries and prompt events from this registrar
     has_soft_state: bool = False  # whether all soft state that was known has been sent to it
@@ -66,19 +67,19 @@
     def on_subscriber_connected(self, link: FrameLink, now: float) -> None:
         """A router has connected; it gets nothing before it subscribes."""
         assert link.peer is not None
-        self.subscribers[link] = Subscriber(link, link.peer["node"], last_heard=now)
+        self.subscribers[link] = Subscriber(link, link.peer["node"], last_seen=now)
         link.on_drained = self._on_link_drained
 
     def on_subscriber_disconnected(self, link: FrameLink) -> None:
         """A router's connection has ended."""
         self.subscribers.pop(link, None)
 
-    def on_subscriber_message(self, link: FrameLink, message: list[Any], now: float) -> None:
+    def on_subscriber_message(self, link: FrameLink, message: Message, now: float) -> None:
         """Raises FrameError for a message that a subscriber never sends."""
         subscriber = self.subscribers.get(link)
         if subscriber is None:
             return
-        subscriber.last_heard = now
+        subscriber.last_seen = now
         match subscriber_message_from_wire(message):
             case Subscribe(index):
                 self._subscribe(subscriber, index)
@@ -94,7 +95,7 @@
 
     # Entries.
 
-    def on_entry_committed(self, index: int, change: list[Any] | None) -> None:
+    def on_entry_committed(self, index: int, change: Change | None) -> None:
         """Publishes the committed entry of this number; None: a whole state was installed in place of it."""
         previous_index, previous = self._last_configuration
         if change is None:
@@ -144,7 +145,7 @@
         current = self.soft_state.values[topic]
         self.broadcast(SoftStateUpdate(topic, current.version, current.value).to_wire())
 
-    def broadcast(self, message: list[Any]) -> None:
+    def broadcast(self, message: Message) -> None:
         """Sends a message to every router that has subscribed."""
         if self.subscribers:
             data = pack(message)
@@ -152,7 +153,7 @@
                 if subscriber.sent_index >= 0:
                     subscriber.link.send_packed(message[0], data)
 
-    def forward_prompt_events(self, message: list[Any], origin: FrameLink | None = None) -> None:
+    def forward_prompt_events(self, message: Message, origin: FrameLink | None = None) -> None:
         """Sends a router's or a store's prompt events to all whose primary this is, except their origin.
 
         `message` is a `news` message as it came; of all messages these are the most, so it isn't parsed.
@@ -183,5 +184,5 @@
         return {
             subscriber.node: subscriber.loads
             for subscriber in self.subscribers.values()
-            if now - subscriber.last_heard < self.subscriber_timeout_s
+            if now - subscriber.last_seen < self.subscriber_timeout_s
         }
--- a/plumline/registrar/singleton_roles.py
+++ b/plumline/registrar/singleton_roles.py
@@ -72,14 +72,14 @@
         """`clock()`: s, steady."""
         self.core, self.replicator, self.publisher, self.mesh = core, replicator, publisher, mesh
         self.soft_state, self.counters, self.clock = replicator.soft_state, counters, clock
-        self.held_terms: dict[Lease, int | None] = {}  # as they were logged last
+        self.known_terms: dict[Lease, int | None] = {}  # held here, as of the last check
         self.store_addresses = StoreAddresses()
         caller = Caller(clock)
         self.discovery = EndpointDiscovery(settings, caller, self._may_discover, self._publish_endpoints)
         self.cache_stores = CacheStoreMonitor(
             caller,
             lambda: self.store_addresses.of(core.chain.state.configuration),
-            lambda: self._held_term(Lease.DISCOVERY) is not None,
+            lambda: self._active_term(Lease.DISCOVERY) is not None,
             self._publish_cache_stores,
             clock,
             on_events=self._publish_store_events,
@@ -87,7 +87,7 @@
         self.rollout = RolloutController(
             caller,
             settings.node_name,
-            lambda: self._held_term(Lease.WEIGHTS),
+            lambda: self._active_term(Lease.WEIGHTS),
             lambda: self.soft_state.get(Topic.ENDPOINTS) or [],
             lambda: core.chain.state.weight_versions,
             self._publish_rollout,
@@ -110,8 +110,8 @@
         """Wakes all loops when a lease was won or lost. `now`: s, steady."""
         for lease in Lease:
             term = self.core.lease_election.fencing_token(now, lease)
-            if term != self.held_terms.get(lease):
-                self.held_terms[lease] = term
+            if term != self.known_terms.get(lease):
+                self.known_terms[lease] = term
                 log.info(logs.words("lease", name=lease, term=term))
                 self.discovery.wake()
                 self.cache_stores.wake()
@@ -123,7 +123,7 @@
         self.cache_stores.wake()
 
     def on_soft_state_update(self, topic: str, value: Any) -> None:  # noqa: ANN401
-        """Another registrar has published this value."""
+        """Another registrar has published this value of a topic."""
         if topic == Topic.ROLLOUT:
             self.rollout.inherit(value)
         self.rollout.wake()
@@ -134,30 +134,30 @@
 
     # What the loops ask.
 
-    def _held_term(self, lease: Lease) -> int | None:
+    def _active_term(self, lease: Lease) -> int | None:
         """The term of the lease if this registrar may act for it right now."""
         return self.core.lease_election.fencing_token(self.clock(), lease)
 
     def _may_discover(self) -> bool:
         """Whether the lease is held, or no endpoint list is known, as after a loss of power: nobody can hold
         the lease for a while then, and routers can do nothing without a list."""
-        return self._held_term(Lease.DISCOVERY) is not None or self.soft_state.get(Topic.ENDPOINTS) is None
+        return self._active_term(Lease.DISCOVERY) is not None or self.soft_state.get(Topic.ENDPOINTS) is None
 
     # What the loops publish.
 
     def _publish_endpoints(self, endpoints: list[dict[str, Any]]) -> None:
-        if (term := self._held_term(Lease.DISCOVERY)) is not None:
+        if (term := self._active_term(Lease.DISCOVERY)) is not None:
             self.replicator.publish(Topic.ENDPOINTS, term, endpoints)
         elif self.soft_state.get(Topic.ENDPOINTS) is None and endpoints:
             self.replicator.publish_without_lease(Topic.ENDPOINTS, endpoints)
         self.rollout.wake()
 
     def _publish_cache_stores(self, stores: Mapping[str, dict[str, Any]]) -> None:
-        if (term := self._held_term(Lease.DISCOVERY)) is not None:
+        if (term := self._active_term(Lease.DISCOVERY)) is not None:
             self.replicator.publish(Topic.CACHE_STORES, term, stores)
 
     def _publish_rollout(self, states: Mapping[str, dict[str, Any]]) -> None:
-        if (term := self._held_term(Lease.WEIGHTS)) is not None:
+        if (term := self._active_term(Lease.WEIGHTS)) is not None:
             self.replicator.publish(Topic.ROLLOUT, term, states)
 
     def _publish_store_events(
--- a/plumline/registrar/subscriber_messages.py
+++ b/plumline/registrar/subscriber_messages.py
@@ -13,8 +13,9 @@
     ["beat", is_current, committed_index, registrars, router_count, loads]
 """
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
+from plumline.coordination.environment import Message
 from plumline.errors import FrameError
 from plumline.registrar.service_load import ServiceLoads, is_load_report
 
@@ -51,7 +52,7 @@
     router_count: int  # alive, at any registrar; at least 1
     loads: ServiceLoads  # the sum over these routers
 
-    def to_wire(self) -> list[Any]:
+    def to_wire(self) -> Message:
         """The message's plain values."""
         return ["beat", *self]
 
@@ -59,7 +60,7 @@
 SubscriberMessage = Subscribe | SelectPrimary | RouterHeartbeat
 
 
-def subscriber_message_from_wire(message: list[Any]) -> SubscriberMessage:
+def subscriber_message_from_wire(message: Message) -> SubscriberMessage:
     """The typed message. Raises FrameError for any other kind, and for a malformed one."""
     match message:
         case ["follow", int(index)]:
