--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What a registrar's request forwarder asks, whose answers it takes, and for how long it waits."""
+"""What a request forwarder sends, whose responses it accepts, and how long it waits."""
 
 from typing import Any
 
@@ -54,44 +54,44 @@
         self.core = Core()
         self.sent: list[tuple[str, list[Any]]] = []
         self.forwarder = RequestForwarder(self.core, lambda to, message: self.sent.append((to, message)))  # type: ignore[arg-type]
-        self.answers: list[tuple[PlumlineError | None, Any]] = []
+        self.results: list[tuple[PlumlineError | None, Any]] = []
 
     def submit(self, size: int = 0) -> str:
-        """The key of the question that went out."""
-        self.forwarder.submit(0.0, CHANGE, size, self.take)
+        """Returns the key of the request that was forwarded."""
+        self.forwarder.submit(0.0, CHANGE, size, self.on_result)
         return self.sent[-1][1][1]
 
-    def take(self, error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
-        self.answers.append((error, result))
+    def on_result(self, error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
+        self.results.append((error, result))
 
     def unavailable(self) -> bool:
-        return len(self.answers) == 1 and isinstance(self.answers[0][0], UnavailableError)
+        return len(self.results) == 1 and isinstance(self.results[0][0], UnavailableError)
 
 
-def test_a_change_goes_to_the_head_and_its_answer_comes_once() -> None:
+def test_a_change_goes_to_the_head_and_its_result_comes_once() -> None:
     scene = Scene()
     key = scene.submit()
     assert scene.sent == [("head", ["ask", key, ["submit", CHANGE]])]
     for _ in range(2):
         assert scene.forwarder.on_message(0.1, "head", ["answer", key, None, "", {"taken": True}])
     scene.forwarder.tick(60.0)
-    assert scene.answers == [(None, {"taken": True})]
+    assert scene.results == [(None, {"taken": True})]
 
 
 def test_an_error_keeps_its_type() -> None:
     scene = Scene()
     key = scene.submit()
     scene.forwarder.on_message(0.1, "head", ["answer", key, "version-conflict", "no", None])
-    assert isinstance(scene.answers[0][0], VersionConflictError) and scene.answers[0][0].text == "no"
+    assert isinstance(scene.results[0][0], VersionConflictError) and scene.results[0][0].text == "no"
 
 
-def test_an_answer_counts_only_from_whom_was_asked_and_in_time() -> None:
+def test_a_response_counts_only_from_the_registrar_asked_and_in_time() -> None:
     scene = Scene()
     key = scene.submit()
     scene.forwarder.on_message(0.1, "another", ["answer", key, "version-conflict", "no", None])
-    assert scene.answers == []
+    assert scene.results == []
     scene.forwarder.tick(FORWARD_TIMEOUT_S - 0.01)
-    assert scene.answers == []
+    assert scene.results == []
     scene.forwarder.tick(FORWARD_TIMEOUT_S)
     assert scene.unavailable()
     scene.forwarder.on_message(
@@ -100,17 +100,17 @@
     assert scene.unavailable()
 
 
-def test_a_large_body_is_waited_for_longer() -> None:
+def test_a_large_body_has_a_longer_timeout() -> None:
     scene = Scene()
     scene.submit(size=2 * LARGE_BODY_BYTES_PER_S)
     scene.forwarder.tick(FORWARD_TIMEOUT_S + 1.99)
-    assert scene.answers == []
+    assert scene.results == []
     scene.forwarder.tick(FORWARD_TIMEOUT_S + 2.0)
     assert scene.unavailable()
 
 
 @pytest.mark.parametrize("why", ["no view", "no majority", "silent head"])
-def test_what_can_not_be_answered_is_said_at_once(why: str) -> None:
+def test_a_request_that_cannot_be_served_fails_at_once(why: str) -> None:
     scene = Scene()
     if why == "no view":
         scene.core.chain_head = None
@@ -118,12 +118,12 @@
         scene.core.majority = False
     else:
         scene.core.failure_detector.silent.add("head")
-    scene.forwarder.submit(0.0, CHANGE, 4_000_000, scene.take)
+    scene.forwarder.submit(0.0, CHANGE, 4_000_000, scene.on_result)
     assert scene.unavailable() and not scene.sent
 
 
 @pytest.mark.parametrize("why", ["no majority", "silent head"])
-def test_a_question_that_is_out_ends_as_soon_as_that_is_known(why: str) -> None:
+def test_a_pending_request_fails_as_soon_as_its_registrar_is_unreachable(why: str) -> None:
     scene = Scene()
     scene.submit(size=4_000_000)
     if why == "no majority":
@@ -134,7 +134,7 @@
     assert scene.unavailable()
 
 
-def test_a_head_or_tail_without_a_majority_takes_nothing_in() -> None:
+def test_a_head_or_tail_without_a_quorum_accepts_nothing() -> None:
     scene = Scene()
     scene.core.majority = False
     for question in (["submit", CHANGE], ["read"]):
@@ -144,7 +144,7 @@
     assert not scene.core.chain.submitted and not scene.core.chain.reads
 
 
-def test_the_head_and_the_tail_answer_whoever_asked() -> None:
+def test_the_head_and_the_tail_respond_to_the_sender() -> None:
     scene = Scene()
     scene.forwarder.on_message(0.0, "asker", ["ask", "k", ["submit", CHANGE]])
     change, answer = scene.core.chain.submitted[0]
@@ -156,7 +156,7 @@
     assert scene.sent.pop()[1][2] == "unavailable"
 
 
-def test_other_messages_are_not_the_forwarders() -> None:
+def test_messages_of_other_kinds_are_not_handled() -> None:
     scene = Scene()
     for message in (["ping", 1], ["ask", 7, ["read"]], ["ask", "k", ["drop"]], ["answer", "k", 5, "", None]):
         assert not scene.forwarder.on_message(0.0, "x", message)
--- a/tests/test_forwarding_properties.py
+++ b/tests/test_forwarding_properties.py
@@ -1,5 +1,5 @@
-"""Asks between registrars, whose answers come late, twice, in any order, for nobody, or not at all: each has
-its own answer or none. In virtual time.
+"""Requests between registrars whose responses come late, twice, in any order, for nobody, or not at all: each
+request has its own result or an error. In virtual time.
 """
 
 import asyncio
@@ -120,7 +120,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 2**48))
-def test_each_ask_has_its_own_answer_or_none(seed: int) -> None:
+def test_each_request_has_its_own_result_or_an_error(seed: int) -> None:
     network: Network = virtual_net.run(lambda loop: play(loop, seed))
     submitted = network.chains[NAMES[0]].submitted
     assert len(submitted) == len(set(submitted))  # an ask goes out once
@@ -128,7 +128,7 @@
     assert network.answers > 0
 
 
-def test_keys_that_are_used_again_would_show(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reused_keys_would_show(monkeypatch: pytest.MonkeyPatch) -> None:
     keys = itertools.cycle("abcdef")
     monkeypatch.setattr(secrets, "token_hex", lambda _: next(keys))
     wrong = 0
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -26,7 +26,7 @@
 
 
 class FakeLink:
-    """Keeps what it was sent; a test says whether the router takes it."""
+    """Records what it was sent; a test says whether the router reads it."""
 
     def __init__(self, node: str) -> None:
         self.peer = {"node": node}
@@ -44,10 +44,10 @@
         self.busy = False
         self.on_drained(self)
 
-    def take(self) -> list[list[Any]]:
-        """The entries and states that came since the last look."""
-        found, self.frames = self.frames, []
-        messages = [Unpacker().feed(each)[0] for each in found]
+    def received(self) -> list[list[Any]]:
+        """The entries and snapshots that came since the last call."""
+        frames, self.frames = self.frames, []
+        messages = [Unpacker().feed(frame)[0] for frame in frames]
         return [message for message in messages if message[0] in ("entry", "state")]
 
 
@@ -55,20 +55,21 @@
     """Applies what it is sent as a router does."""
 
     def __init__(self, link: FakeLink) -> None:
-        self.link, self.place, self.state, self.bytes = link, 0, ReplicatedConfiguration(), 0
+        self.link, self.index, self.state, self.received_bytes = link, 0, ReplicatedConfiguration(), 0
 
-    def take(self) -> list[str]:
-        self.bytes += sum(map(len, self.link.frames))
+    def apply_received(self) -> list[str]:
+        """Returns the kinds of the messages."""
+        self.received_bytes += sum(map(len, self.link.frames))
         kinds = []
-        for kind, number, told in self.link.take():
+        for kind, index, content in self.link.received():
             kinds.append(kind)
             if kind == "state":
-                assert number > self.place
-                self.state = ReplicatedConfiguration.from_wire(told)
+                assert index > self.index
+                self.state = ReplicatedConfiguration.from_wire(content)
             else:
-                assert number == self.place + 1
-                self.state = self.state.apply(told)
-            self.place = number
+                assert index == self.index + 1
+                self.state = self.state.apply(content)
+            self.index = index
         return kinds
 
 
@@ -90,17 +91,17 @@
 
 
 class Scene:
-    """A chain with a publisher and some routers; the first follows it as its primary."""
+    """A chain with a publisher and some routers, all of which have it as their primary."""
 
     def __init__(self, routers: int = 1) -> None:
-        self.chain, self.fresh = FakeChain(), True
-        self.publisher = FeedPublisher(self.chain, SoftState(), 1.2, lambda: self.fresh)  # type: ignore[arg-type]
+        self.chain, self.is_current = FakeChain(), True
+        self.publisher = FeedPublisher(self.chain, SoftState(), 1.2, lambda: self.is_current)  # type: ignore[arg-type]
         self.routers = [self.join(f"n{at}") for at in range(routers)]
 
-    def join(self, node: str, place: int = 0, primary: bool = True) -> Router:
+    def join(self, node: str, index: int = 0, primary: bool = True) -> Router:
         link: Any = FakeLink(node)
         self.publisher.on_subscriber_connected(link, 0.0)
-        self.say(link, ["follow", place])
+        self.say(link, ["follow", index])
         if primary:
             self.say(link, ["primary", True])
         return Router(link)
@@ -113,54 +114,54 @@
             self.chain.commit(self.publisher, change)
 
 
-def test_entries_go_to_those_whose_primary_this_is_and_to_no_other() -> None:
+def test_entries_go_only_to_subscribers_that_chose_this_primary() -> None:
     scene = Scene()
     other = scene.join("other", primary=False)
     scene.commit(["replace", 0, document(1, 3)], amend(2, 0))
     scene.publisher.publish_heartbeat(True, [], {})
-    assert scene.routers[0].take() == ["entry", "entry"]
-    assert other.link.take() == []
+    assert scene.routers[0].apply_received() == ["entry", "entry"]
+    assert other.link.received() == []
     scene.say(other.link, ["follow", 0])
     scene.say(other.link, ["primary", True])
-    assert other.take() == ["entry", "entry"]
+    assert other.apply_received() == ["entry", "entry"]
     assert other.state.configuration == scene.chain.state.configuration
     scene.say(other.link, ["primary", False])
     scene.commit(amend(3, 0))
-    assert other.take() == []
+    assert other.apply_received() == []
 
 
 def test_a_registrar_that_may_lack_the_newest_entries_publishes_none() -> None:
     scene = Scene()
-    scene.fresh = False
+    scene.is_current = False
     scene.commit(["replace", 0, document(1, 3)])
     late = scene.join("late")
     scene.publisher.publish_heartbeat(False, [], {})
-    assert scene.routers[0].take() == late.take() == []
-    scene.fresh = True
+    assert scene.routers[0].apply_received() == late.apply_received() == []
+    scene.is_current = True
     scene.publisher.publish_heartbeat(True, [], {})
-    assert scene.routers[0].take() == late.take() == ["entry"]
+    assert scene.routers[0].apply_received() == late.apply_received() == ["entry"]
 
 
-def test_a_router_that_takes_nothing_gets_no_more_until_it_has_and_then_the_shortest() -> None:
+def test_a_slow_subscriber_gets_no_more_until_it_has_read_and_then_the_shortest() -> None:
     scene = Scene()
     router = scene.routers[0]
     scene.commit(["replace", 0, document(1, 50)])
-    assert router.take() == ["entry"]
+    assert router.apply_received() == ["entry"]
     router.link.busy = True
     scene.commit(*(amend(version, version % 50) for version in range(2, 400)))
     scene.publisher.publish_heartbeat(True, [], {})
-    assert router.take() == []
+    assert router.apply_received() == []
     router.link.drain()
-    assert router.take() == ["state"]  # 398 entries are longer
+    assert router.apply_received() == ["state"]  # 398 entries are longer
     assert router.state.configuration == scene.chain.state.configuration
     router.link.busy = True
     scene.commit(amend(400, 1), amend(401, 1))
     router.link.drain()
-    assert router.take() == ["entry", "entry"]
-    assert router.place == scene.chain.committed_index
+    assert router.apply_received() == ["entry", "entry"]
+    assert router.index == scene.chain.committed_index
 
 
-def test_asking_again_while_a_transfer_is_under_way_changes_nothing() -> None:
+def test_subscribing_again_during_a_transfer_changes_nothing() -> None:
     scene = Scene()
     scene.commit(["replace", 0, document(1, 2000)])
     router = scene.join("late")
@@ -174,7 +175,7 @@
     assert len(router.link.frames) == sent
 
 
-def test_a_thousand_changes_of_large_configurations_cost_a_router_little(
+def test_a_thousand_changes_of_large_configurations_cost_a_subscriber_few_bytes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     packed: list[str] = []
@@ -186,43 +187,43 @@
         scene.commit(amend(version, version % 4000))
     size = len(ormsgpack.packb(scene.chain.state.configuration))
     packed.clear()
-    behind = [scene.join(f"late{at}", place=1) for at in range(50)]
+    behind = [scene.join(f"late{at}", index=1) for at in range(50)]
     new = [scene.join(f"new{at}") for at in range(50)]
     for each in [*behind, *new]:
         if each in behind:
-            each.place, each.state = 1, ReplicatedConfiguration().apply(["replace", 0, document(1, 4000)])
-        each.take()
-        assert each.place == scene.chain.committed_index
+            each.index, each.state = 1, ReplicatedConfiguration().apply(["replace", 0, document(1, 4000)])
+        each.apply_received()
+        assert each.index == scene.chain.committed_index
         assert each.state.configuration == scene.chain.state.configuration
-        assert each.bytes < size / 5
+        assert each.received_bytes < size / 5
     assert packed == ["state"]  # one packed snapshot for all of them
     assert scene.publisher.buffer.size_bytes <= publish_buffer.MAX_BUFFERED_BYTES
 
 
-def test_a_replaced_configuration_is_told_as_what_it_changes() -> None:
+def test_a_replaced_configuration_is_published_as_what_it_changes() -> None:
     scene = Scene()
     scene.commit(["replace", 0, document(1, 4000)])
-    scene.routers[0].take()
-    before = scene.routers[0].bytes
+    scene.routers[0].apply_received()
+    before = scene.routers[0].received_bytes
     for version in range(2, 12):
         second = document(version, 4000)
         second["Routes"][version]["TimeoutMs"] = version
         scene.commit(["replace", version - 1, second])
-    assert scene.routers[0].take() == ["entry"] * 10
-    assert scene.routers[0].bytes - before < 10 * 1000
+    assert scene.routers[0].apply_received() == ["entry"] * 10
+    assert scene.routers[0].received_bytes - before < 10 * 1000
     assert scene.routers[0].state.configuration == scene.chain.state.configuration
 
 
-def test_after_a_whole_state_from_the_chain_routers_get_the_state() -> None:
+def test_after_a_snapshot_from_the_chain_subscribers_get_a_snapshot() -> None:
     scene = Scene()
     scene.commit(["replace", 0, document(1, 3)])
-    scene.routers[0].take()
+    scene.routers[0].apply_received()
     scene.chain.state = ReplicatedConfiguration().apply(["replace", 0, document(9, 3)])
     scene.chain.committed_index = 12
     scene.publisher.on_entry_committed(12, None)
-    assert scene.routers[0].take() == ["state"]
+    assert scene.routers[0].apply_received() == ["state"]
     scene.commit(amend(10, 2))
-    assert scene.routers[0].take() == ["entry"]
+    assert scene.routers[0].apply_received() == ["entry"]
     assert scene.routers[0].state.version == 10
 
 
@@ -233,21 +234,21 @@
     for version in range(2, 100):
         scene.commit(amend(version, version % 20))
         assert scene.publisher.buffer.size_bytes <= 2000
-    router = scene.join("late", place=1)
-    router.place = 1
-    assert router.take()[0] == "state"
-    assert router.place == scene.chain.committed_index
+    router = scene.join("late", index=1)
+    router.index = 1
+    assert router.apply_received()[0] == "state"
+    assert router.index == scene.chain.committed_index
 
 
-def test_who_joins_a_registrar_that_may_be_cut_off_gets_no_old_topics() -> None:
-    """They come with the first beat after it is fresh again, and once."""
+def test_a_subscriber_of_a_registrar_that_may_be_partitioned_gets_no_old_soft_state() -> None:
+    """It comes with the first heartbeat after the registrar is current again, and once."""
     scene = Scene(routers=0)
     scene.publisher.soft_state.update("roster", (3, 1), ["an endpoint"])
-    scene.fresh = False
+    scene.is_current = False
     link = scene.join("n").link
     scene.publisher.publish_heartbeat(False, [], {})
     assert topics_in(link) == []
-    scene.fresh = True
+    scene.is_current = True
     scene.publisher.publish_heartbeat(True, [], {})
     scene.publisher.publish_heartbeat(True, [], {})
     assert topics_in(link) == ["roster"]
--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -37,7 +37,7 @@
 
 
 @play
-async def test_a_registrar_goes_on_from_its_disk_and_commits_what_is_on_it(tmp_path: Path) -> None:
+async def test_a_registrar_recovers_from_its_disk_and_commits_what_is_on_it(tmp_path: Path) -> None:
     first = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(first))
     taken = first.loop.create_future()
@@ -45,7 +45,7 @@
     first.core.chain.submit(change, lambda error: taken.set_result(error))
     assert await soon(taken) is None
     first.durable_state.close()
-    # What was the newest entry as it ended is committed as the next life begins, before any message came.
+    # What was the newest entry as it ended is committed as the next process starts, before any message came.
     second = RegistrarProcess(settings_for(tmp_path))
     assert second.core.me == first.core.me
     assert second.core.chain.state.weight_versions == {"m": 3}
@@ -54,7 +54,9 @@
 
 
 @play
-async def test_a_registrar_without_its_disk_is_another_incarnation_and_no_member(tmp_path: Path) -> None:
+async def test_a_registrar_that_lost_its_disk_has_a_new_incarnation_and_no_view(
+    tmp_path: Path,
+) -> None:
     first = RegistrarProcess(settings_for(tmp_path / "one"))
     await soon(formed(first))
     second = RegistrarProcess(settings_for(tmp_path / "two"))
@@ -78,8 +80,8 @@
 
 
 @play
-async def test_a_registrar_that_knows_nothing_refuses_nothing(tmp_path: Path) -> None:
-    """It says at once that another should be asked: before it has a view, and before any configuration."""
+async def test_a_registrar_that_knows_nothing_rejects_nothing(tmp_path: Path) -> None:
+    """It sends callers to another at once: before it has a view, and before there is any configuration."""
     registrar = RegistrarProcess(settings_for(tmp_path))
     calls = [
         Exchange("GET", "/Configuration.Read"),
@@ -102,7 +104,7 @@
 
 
 @play
-async def test_orders_are_acknowledged_repeated_and_refused_over_http(tmp_path: Path) -> None:
+async def test_changes_are_acknowledged_repeated_and_rejected_over_http(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(registrar))
 
@@ -123,7 +125,7 @@
 
 
 @play
-async def test_a_registrar_that_is_alone_ends_without_waiting(tmp_path: Path) -> None:
+async def test_a_lone_registrar_shuts_down_without_waiting(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(registrar))
     began = registrar.loop.time()
@@ -135,7 +137,7 @@
 
 
 @play
-async def test_a_registrar_ends_within_the_grace_period_and_says_what_it_could_not_hand_over(
+async def test_shutdown_ends_within_the_grace_period_and_logs_what_was_not_handed_over(
     tmp_path: Path,
 ) -> None:
     settings = replace(settings_for(tmp_path), bounds=Bounds(grace_period_s=SHUTDOWN_RESERVE_S + 0.1))
@@ -150,7 +152,7 @@
 
 
 @play
-async def test_a_registrar_ends_as_soon_as_its_duties_are_handed_over(tmp_path: Path) -> None:
+async def test_shutdown_ends_as_soon_as_all_duties_are_handed_over(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(registrar))
     duties = [Duty.LEASE, Duty.REPLICA, Duty.ACCEPTOR, None]
