--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -28,7 +28,7 @@
 
 async def formed(registrar: RegistrarProcess) -> None:
     """Steps it by hand until it is the head of a chain of one."""
-    await registrar.known.wait()
+    await registrar.durable_state.wait_for_incarnation()
     now = registrar.loop.time()
     while not registrar.core.chain.caught_up:
         now += 0.05
@@ -37,32 +37,34 @@
 
 
 @play
-async def test_a_registrar_goes_on_from_its_disk_and_commits_what_is_on_it(tmp_path: Path) -> None:
+async def test_a_registrar_recovers_from_its_disk_and_commits_what_is_on_it(tmp_path: Path) -> None:
     first = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(first))
     taken = first.loop.create_future()
     change = ["weights", {"Model": "m", "Version": 3}]
     first.core.chain.submit(change, lambda error: taken.set_result(error))
     assert await soon(taken) is None
-    first.writer.close()
-    # What was the newest entry as it ended is committed as the next life begins, before any message came.
+    first.durable_state.close()
+    # What was the newest entry as it ended is committed as the next process starts, before any message came.
     second = RegistrarProcess(settings_for(tmp_path))
     assert second.core.me == first.core.me
     assert second.core.chain.state.weight_versions == {"m": 3}
     assert second.core.chain.is_head() and second.core.chain.caught_up
-    second.writer.close()
+    second.durable_state.close()
 
 
 @play
-async def test_a_registrar_without_its_disk_is_another_incarnation_and_no_member(tmp_path: Path) -> None:
+async def test_a_registrar_that_lost_its_disk_has_a_new_incarnation_and_no_view(
+    tmp_path: Path,
+) -> None:
     first = RegistrarProcess(settings_for(tmp_path / "one"))
     await soon(formed(first))
     second = RegistrarProcess(settings_for(tmp_path / "two"))
     assert second.core.me[0] == first.core.me[0]
     assert second.core.me[1] != first.core.me[1]
     assert second.core.view_agreement.view is None
-    first.writer.close()
-    second.writer.close()
+    first.durable_state.close()
+    second.durable_state.close()
 
 
 class Exchange:
@@ -78,8 +80,8 @@
 
 
 @play
-async def test_a_registrar_that_knows_nothing_refuses_nothing(tmp_path: Path) -> None:
-    """It says at once that another should be asked: before it has a view, and before any configuration."""
+async def test_a_registrar_that_knows_nothing_rejects_nothing(tmp_path: Path) -> None:
+    """It sends callers to another at once: before it has a view, and before there is any configuration."""
     registrar = RegistrarProcess(settings_for(tmp_path))
     calls = [
         Exchange("GET", "/Configuration.Read"),
@@ -88,27 +90,27 @@
         Exchange("POST", "/version-put", b'{"Model":"m","Version":1}'),
     ]
     for each in calls:
-        await soon(registrar.operators.serve(each))
+        await soon(registrar.operator_api.serve(each))
         assert each.answer is not None
         assert (each.answer[0], each.answer[1][b"Retry-After"]) == (503, b"0.3")
     cut_short = Exchange("POST", "/Configuration.Replace", b'{"Version":')
-    await soon(registrar.operators.serve(cut_short))  # no state could ever take this one
+    await soon(registrar.operator_api.serve(cut_short))  # no state could ever take this one
     assert cut_short.answer is not None and cut_short.answer[0] == 400
     await soon(formed(registrar))
     read = Exchange("GET", "/Configuration.Read")
-    await soon(registrar.operators.serve(read))
+    await soon(registrar.operator_api.serve(read))
     assert read.answer is not None and read.answer[0] == 503
-    registrar.writer.close()
+    registrar.durable_state.close()
 
 
 @play
-async def test_orders_are_acknowledged_repeated_and_refused_over_http(tmp_path: Path) -> None:
+async def test_changes_are_acknowledged_repeated_and_rejected_over_http(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(registrar))
 
     async def status(body: bytes, based_on: bytes, path: str = "/Configuration.Replace") -> int:
         exchange = Exchange("POST", path, body, based_on)
-        await soon(registrar.operators.serve(exchange))
+        await soon(registrar.operator_api.serve(exchange))
         assert exchange.answer is not None
         return exchange.answer[0]
 
@@ -119,11 +121,11 @@
     assert await status(b'{"Version":9}', b"5") == 503  # version 5 may be under way
     assert await status(b'{"Version":5}', b"3", "/Configuration.Amend") == 200
     assert await status(b'{"Version":3,"Limits":{}}', b"0") == 200
-    registrar.writer.close()
+    registrar.durable_state.close()
 
 
 @play
-async def test_a_registrar_that_is_alone_ends_without_waiting(tmp_path: Path) -> None:
+async def test_a_lone_registrar_shuts_down_without_waiting(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(registrar))
     began = registrar.loop.time()
@@ -131,11 +133,11 @@
     assert registrar.loop.time() - began < SHUTDOWN_RESERVE_S
     assert registrar.core.keeper.leaving
     assert registrar.counters.get("leave.incomplete") == 0
-    registrar.writer.close()
+    registrar.durable_state.close()
 
 
 @play
-async def test_a_registrar_ends_within_the_grace_period_and_says_what_it_could_not_hand_over(
+async def test_shutdown_ends_within_the_grace_period_and_logs_what_was_not_handed_over(
     tmp_path: Path,
 ) -> None:
     settings = replace(settings_for(tmp_path), bounds=Bounds(grace_period_s=SHUTDOWN_RESERVE_S + 0.1))
@@ -146,11 +148,11 @@
         await soon(registrar.hand_over())
     assert "replica in the chain" in log.warning.call_args.args[0]
     assert registrar.counters.get("leave.incomplete") == 1
-    registrar.writer.close()
+    registrar.durable_state.close()
 
 
 @play
-async def test_a_registrar_ends_as_soon_as_its_duties_are_handed_over(tmp_path: Path) -> None:
+async def test_shutdown_ends_as_soon_as_all_duties_are_handed_over(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
     await soon(formed(registrar))
     duties = [Duty.LEASE, Duty.REPLICA, Duty.ACCEPTOR, None]
@@ -158,4 +160,4 @@
     await soon(registrar.hand_over())
     assert duties == []
     assert registrar.counters.get("leave.incomplete") == 0
-    registrar.writer.close()
+    registrar.durable_state.close()
