--- a/plumline/store/__init__.py
+++ b/plumline/store/__init__.py
@@ -1,1 +1,1 @@
-"""The durable file of a process, and the thread that writes it."""
+"""Durable state of a process: a write-ahead log of checksummed records, and the writers in front of it."""
--- a/plumline/store/log_writers.py
+++ b/plumline/store/log_writers.py
@@ -1,7 +1,7 @@
-"""Writers of a WriteAheadLog: in a thread beside the event loop, at once, or to nowhere.
+"""Writers of a WriteAheadLog: with group commit in a thread, synchronously, or to nowhere.
 
-All have the interface of LogWriter. The owner changes its memory first and submits after, so that an image
-of the memory contains everything submitted so far.
+The owner changes its memory first and submits the records after, so that a snapshot of the memory contains
+everything submitted so far.
 """
 
 import asyncio
@@ -9,62 +9,103 @@
 import threading
 from collections import deque
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import NamedTuple, Protocol
 
 from plumline.errors import StoreError
-from plumline.store.write_ahead_log import WriteAheadLog
+from plumline.store.write_ahead_log import Record, WriteAheadLog
 
-RETRY_INTERVAL_S = 0.3
-CLOSE_TIMEOUT_S = 1.0
+RETRY_INTERVAL_S = 0.3  # between attempts to compact a failed log
+CLOSE_TIMEOUT_S = 1.0  # that a stalled disk may hold up the end of the process
 
-Done = Callable[[], None]
-Image = Callable[[], list[Any]]
+SyncedCallback = Callable[[], None]
+TakeSnapshot = Callable[[], list[Record]]
 
 
 class LogWriter(Protocol):
-    """What a state machine's owner needs of a writer."""
+    """What the owner of durable state needs of a writer."""
 
-    failure: StoreError | None
+    failure: StoreError | None  # why nothing can be written now; None while the disk works
 
-    def submit(self, records: list[Any], done: Done) -> None:
-        """Queue the records; `done` is called, in order, once they are synced."""
+    def submit(self, records: list[Record], on_synced: SyncedCallback) -> None:
+        """Queue the records; `on_synced` is called once they are durable, in the order of submits."""
 
     def oldest_pending_age_s(self, now: float) -> float:
-        """Seconds that the oldest submit not yet done has waited by `now` (steady clock); 0 if none."""
+        """Seconds that the oldest submit not yet durable has waited by `now` (steady clock); 0 if none."""
 
     def close(self) -> None:
         """Write what is queued, if the disk lets it, and stop."""
 
 
+class _Pending(NamedTuple):
+    submitted_at: float  # steady seconds
+    on_synced: SyncedCallback
+
+
+class _PendingQueue:
+    """The submits that are not durable yet, oldest first."""
+
+    def __init__(self) -> None:
+        self._queue: deque[_Pending] = deque()
+
+    def __len__(self) -> int:
+        return len(self._queue)
+
+    def append(self, now: float, on_synced: SyncedCallback) -> None:
+        self._queue.append(_Pending(now, on_synced))
+
+    def take(self) -> SyncedCallback:
+        """The callback of the oldest, which leaves the queue."""
+        return self._queue.popleft().on_synced
+
+    def oldest_age_s(self, now: float) -> float:
+        return max(0.0, now - self._queue[0].submitted_at) if self._queue else 0.0
+
+
+class _Snapshot(NamedTuple):
+    """What the loop's thread answers to the request for a snapshot."""
+
+    records: list[Record] | StoreError
+    covered: int  # pending submits whose records the snapshot contains
+
+
 class GroupCommitWriter:
-    """One thread does the blocking calls. Everything else belongs to the thread of `loop`."""
+    """One thread makes the blocking calls: all that was submitted during a sync goes into the next one.
 
-    def __init__(self, file: WriteAheadLog, loop: asyncio.AbstractEventLoop, image: Image) -> None:
-        """`file` is open already. `image` is called in the loop's thread."""
+    Everything else belongs to the thread of the event loop. After a failure the log is compacted from a
+    snapshot, again and again until it works; what was submitted meanwhile is covered by the snapshot.
+    """
+
+    def __init__(
+        self, log: WriteAheadLog, loop: asyncio.AbstractEventLoop, take_snapshot: TakeSnapshot
+    ) -> None:
+        """`log` is open already. `take_snapshot` is called in the loop's thread."""
         self.failure: StoreError | None = None
-        self._file = file
+        self._log = log
         self._loop = loop
-        self._image = image
-        self._pending: deque[tuple[float, Done]] = deque()  # loop's thread only
+        self._take_snapshot = take_snapshot
+        self._pending = _PendingQueue()  # loop's thread only
         self._changed = threading.Condition()  # guards all below
-        self._queue: list[list[Any]] = []
-        self._answer: tuple[list[Any] | StoreError, int] | None = None
+        self._batches: list[list[Record]] = []
+        self._snapshot: _Snapshot | None = None
         self._closing = False
         self._thread = threading.Thread(target=self._run, name="store", daemon=True)
         self._thread.start()
 
-    def submit(self, records: list[Any], done: Done) -> None:
-        """Queue the records; `done` runs in the loop's thread after the sync, in the order of submits."""
+    def submit(self, records: list[Record], on_synced: SyncedCallback) -> None:
+        """Queue the records; `on_synced` runs in the loop's thread after the sync, in the order of submits.
+
+        Raises StoreError once the writer is closed.
+        """
         with self._changed:
             if self._closing:
                 raise StoreError("the writer is closed")
-            self._pending.append((self._loop.time(), done))
-            self._queue.append(records)
+            self._pending.append(self._loop.time(), on_synced)
+            self._batches.append(records)
             self._changed.notify()
 
     def oldest_pending_age_s(self, now: float) -> float:
-        """Seconds that the oldest submit not yet done has waited; 0 if none."""
-        return max(0.0, now - self._pending[0][0]) if self._pending else 0.0
+        """Seconds that the oldest submit not yet durable has waited by `now` (loop time); 0 if none."""
+        return self._pending.oldest_age_s(now)
 
     def close(self) -> None:
         """Sync what is queued and stop, within CLOSE_TIMEOUT_S: a stalled disk doesn't hold up the end."""
@@ -73,52 +114,58 @@
             self._changed.notify()
         self._thread.join(CLOSE_TIMEOUT_S)
         if not self._thread.is_alive():
-            self._file.close()
+            self._log.close()
 
-    def _finish(self, count: int) -> None:
+    # In the loop's thread.
+
+    def _acknowledge(self, count: int) -> None:
         for _ in range(count):
-            _, done = self._pending.popleft()
+            on_synced = self._pending.take()
             try:
-                done()
+                on_synced()
             except Exception as error:
                 # One owner's fault may not keep the others from hearing of their own records.
-                self._loop.call_exception_handler({"message": "done callback failed", "exception": error})
+                self._loop.call_exception_handler(
+                    {"message": "on_synced callback failed", "exception": error}
+                )
 
-    def _take_image(self) -> None:
+    def _answer_with_snapshot(self) -> None:
         try:
-            image: list[Any] | StoreError = self._image()
+            records: list[Record] | StoreError = self._take_snapshot()
         except Exception as error:
-            image = StoreError(f"the image can't be taken: {error!r}")
+            records = StoreError(f"the snapshot can't be taken: {error!r}")
         with self._changed:
-            self._queue.clear()
-            self._answer = (image, len(self._pending))
+            self._batches.clear()
+            self._snapshot = _Snapshot(records, len(self._pending))
             self._changed.notify()
 
-    def _call(self, call: Callable[..., None], *args: int) -> None:
-        """In the loop's thread; nothing if the loop has ended."""
+    # In the writer's thread.
+
+    def _call_in_loop(self, call: Callable[..., None], *args: int) -> None:
+        """Have it called in the loop's thread; nothing if the loop has ended."""
         with contextlib.suppress(RuntimeError):
             self._loop.call_soon_threadsafe(call, *args)
 
     def _run(self) -> None:
         while True:
             with self._changed:
-                self._changed.wait_for(lambda: self._queue or self._closing)
-                batches, self._queue = self._queue, []
+                self._changed.wait_for(lambda: self._batches or self._closing)
+                batches, self._batches = self._batches, []
             if not batches:
                 return
             try:
-                self._file.append([record for batch in batches for record in batch])
+                self._log.append([record for batch in batches for record in batch])
             except StoreError as error:
                 self.failure = error
-                if not self._heal():
+                if not self._compact_until_it_works():
                     return
             else:
-                self._call(self._finish, len(batches))
-                if self._file.needs_compaction and not self._compact() and not self._heal():
+                self._call_in_loop(self._acknowledge, len(batches))
+                if self._log.needs_compaction and not self._compact() and not self._compact_until_it_works():
                     return
 
-    def _heal(self) -> bool:
-        """Rewrite until it works; False once the writer is closing."""
+    def _compact_until_it_works(self) -> bool:
+        """True once a compaction has succeeded, False once the writer is closing."""
         while True:
             with self._changed:
                 if self._changed.wait_for(lambda: self._closing, RETRY_INTERVAL_S):
@@ -127,35 +174,35 @@
                 return True
 
     def _compact(self) -> bool:
-        """Rewrite from an image taken in the loop's thread; what was submitted before it is done by that."""
+        """Compact with a snapshot taken in the loop's thread; acknowledges what was submitted before it."""
         with self._changed:
-            self._answer = None
-            self._call(self._take_image)
-            self._changed.wait_for(lambda: self._answer is not None or self._closing)
-            if self._answer is None:
+            self._snapshot = None
+            self._call_in_loop(self._answer_with_snapshot)
+            self._changed.wait_for(lambda: self._snapshot is not None or self._closing)
+            if self._snapshot is None:
                 return False
-            image, covered = self._answer
+            records, covered = self._snapshot
         try:
-            if isinstance(image, StoreError):
-                raise image
-            self._file.compact(image)
+            if isinstance(records, StoreError):
+                raise records
+            self._log.compact(records)
         except StoreError as error:
             self.failure = error
             return False
         self.failure = None
-        self._call(self._finish, covered)
+        self._call_in_loop(self._acknowledge, covered)
         return True
 
 
-class _InTurn:
-    """Calls each `done` in order, also when one of them submits again."""
+class _OrderedCalls:
+    """Makes each call after the one before it has returned, also when one of them asks for another."""
 
     def __init__(self) -> None:
-        self._ready: deque[Done] = deque()
+        self._ready: deque[SyncedCallback] = deque()
         self._calling = False
 
-    def call(self, done: Done) -> None:
-        self._ready.append(done)
+    def call(self, callback: SyncedCallback) -> None:
+        self._ready.append(callback)
         if self._calling:
             return
         self._calling = True
@@ -167,65 +214,73 @@
 
 
 class SynchronousWriter:
-    """Writes within `submit`. After a failure each submit, or `retry`, tries to rewrite."""
+    """Writes within `submit`. After a failure each submit, or `retry`, tries to compact the log."""
 
-    def __init__(self, file: WriteAheadLog, image: Image, clock: Callable[[], float] = lambda: 0.0) -> None:
+    def __init__(
+        self, log: WriteAheadLog, take_snapshot: TakeSnapshot, clock: Callable[[], float] = lambda: 0.0
+    ) -> None:
+        """`log` is open already; `clock` gives steady seconds."""
         self.failure: StoreError | None = None
-        self._file = file
-        self._image = image
+        self._log = log
+        self._take_snapshot = take_snapshot
         self._clock = clock
-        self._pending: deque[tuple[float, Done]] = deque()
-        self._in_turn = _InTurn()
+        self._pending = _PendingQueue()
+        self._calls = _OrderedCalls()
 
-    def submit(self, records: list[Any], done: Done) -> None:
-        self._pending.append((self._clock(), done))
+    def submit(self, records: list[Record], on_synced: SyncedCallback) -> None:
+        """Write and sync the records; `on_synced` is called before this returns, unless the disk fails."""
+        self._pending.append(self._clock(), on_synced)
         if self.failure:
             self.retry()
             return
         try:
-            self._file.append(records)
+            self._log.append(records)
         except StoreError as error:
             self.failure = error
             return
-        self._finish()
-        if self._file.needs_compaction:
+        self._acknowledge_all()
+        if self._log.needs_compaction:
             self.retry()
 
     def retry(self) -> None:
-        """Rewrite from the image; on success everything pending is done."""
+        """Compact with a snapshot; on success everything pending is durable."""
         try:
-            self._file.compact(self._image())
+            self._log.compact(self._take_snapshot())
         except StoreError as error:
             self.failure = error
             return
         self.failure = None
-        self._finish()
+        self._acknowledge_all()
 
     def oldest_pending_age_s(self, now: float) -> float:
-        return max(0.0, now - self._pending[0][0]) if self._pending else 0.0
+        """Seconds that the oldest submit not yet durable has waited by `now` (the clock); 0 if none."""
+        return self._pending.oldest_age_s(now)
 
     def close(self) -> None:
-        self._file.close()
+        """Close the log; nothing is queued but what a failed disk refused."""
+        self._log.close()
 
-    def _finish(self) -> None:
-        ready = [done for _, done in self._pending]
-        self._pending.clear()
-        for done in ready:
-            self._in_turn.call(done)
+    def _acknowledge_all(self) -> None:
+        callbacks = [self._pending.take() for _ in range(len(self._pending))]
+        for callback in callbacks:
+            self._calls.call(callback)
 
 
 class VolatileWriter:
-    """Keeps nothing: for a process without a folder. Everything is done at once."""
+    """Stores nothing: for a process without a data directory. Everything counts as durable at once."""
 
     def __init__(self) -> None:
+        """Needs neither log nor loop."""
         self.failure: StoreError | None = None
-        self._in_turn = _InTurn()
+        self._calls = _OrderedCalls()
 
-    def submit(self, records: list[Any], done: Done) -> None:
-        self._in_turn.call(done)
+    def submit(self, records: list[Record], on_synced: SyncedCallback) -> None:
+        """Call `on_synced`, after those of earlier submits."""
+        self._calls.call(on_synced)
 
     def oldest_pending_age_s(self, now: float) -> float:
+        """0: nothing is ever pending."""
         return 0.0
 
     def close(self) -> None:
-        """Nothing to end."""
+        """Do nothing: there is no file."""
--- a/plumline/store/write_ahead_log.py
+++ b/plumline/store/write_ahead_log.py
@@ -1,4 +1,4 @@
-"""An append-only file of checksummed records.
+"""A write-ahead log: an append-only file of checksummed records, with compaction.
 
 Layout, all numbers little-endian. Header: magic, format, salt, synced length, CRC32 of these. Then records:
 length of the value (u32), marker, CRC32 (u32, started from the salt, over what follows), sequence (u64,
@@ -7,10 +7,14 @@
 The rule by which a torn tail is told from damage: each append is one batch, written only after the batch
 before it was synced, and never after a failure. So only the last batch can be torn by a loss of power, and
 any part of it may be missing. Reading stops at the first bad record; the batch that it belongs to is
-dropped whole (a batch is there wholly or not at all). It is damage, and StoreCorruptedError, if
-- the bad record lies within the synced length of the header (what the last rewrite wrote), or
+dropped as a whole (a batch is there completely or not at all). It is damage, and StoreCorruptedError, if
+- the bad record lies within the synced length of the header (what the last compaction wrote), or
 - after it a valid record of a later batch is found, which proves that the bad one had been synced.
 Damage in the very last batch can't be told from a torn one and counts as torn.
+
+A failed fsync may leave pages that count as written and aren't on the disk (Rebello et al., "Can
+Applications Recover from fsync Failures?", USENIX ATC 2020). So after a failure only a compaction, which
+writes a new file, makes the log usable again.
 """
 
 import contextlib
@@ -20,39 +24,59 @@
 import zlib
 from collections.abc import Iterator
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import ormsgpack
 
 from plumline.errors import StoreCorruptedError, StoreError, StoreFullError
 
+Record = Any  # any value that MessagePack can carry
+
 MAX_RECORD_BYTES = 16 * 1024 * 1024
-COMPACTION_MIN_BYTES = 1024 * 1024
-COMPACTION_GROWTH_FACTOR = 4
+COMPACTION_MIN_BYTES = 1024 * 1024  # a shorter file is left alone
+COMPACTION_GROWTH_FACTOR = 4  # so many times as long as after the last compaction
 
 _MAGIC = b"PLSTOR"
-_FORMAT = 1
-_HEADER = struct.Struct("<6sHIQ")
-_CHECK = struct.Struct("<I")
-_HEADER_SIZE = _HEADER.size + _CHECK.size
+_FORMAT_VERSION = 1
+_FILE_HEADER = struct.Struct("<6sHIQ")  # magic, format, salt, synced length
+_CHECKSUM = struct.Struct("<I")
+_FILE_HEADER_BYTES = _FILE_HEADER.size + _CHECKSUM.size
 _MARKER = b"\xa5Rc\x1e"
-_RECORD = struct.Struct("<I4sI")
-_PLACE = struct.Struct("<QII")
-_PREFIX_SIZE = _RECORD.size + _PLACE.size
-_FULL = frozenset({errno.ENOSPC, errno.EDQUOT})
+_MARKER_OFFSET = 4  # of the marker in a record, after the length
+_RECORD_HEADER = struct.Struct("<I4sI")  # length, marker, checksum
+_BATCH_POSITION = struct.Struct("<QII")  # sequence, index, count
+_PREFIX_BYTES = _RECORD_HEADER.size + _BATCH_POSITION.size
+_DISK_FULL = frozenset({errno.ENOSPC, errno.EDQUOT})
+_FILE_MODE = 0o600
+
+
+class _ValidRecord(NamedTuple):
+    """What the prefix of a valid record says, and the offset of its end."""
+
+    sequence: int
+    index: int  # within its batch
+    count: int  # of records in the batch
+    end: int
+
+
+class _Replayed(NamedTuple):
+    """The contents of a file: the records of all complete batches, and the offset where the last one ends."""
 
+    records: list[Record]
+    end: int
 
-def _store_error(error: OSError, doing: str) -> StoreError:
-    kind = StoreFullError if error.errno in _FULL else StoreError
-    return kind(f"{doing}: {error.strerror or error}")
 
+def _store_error(error: OSError, operation: str) -> StoreError:
+    kind = StoreFullError if error.errno in _DISK_FULL else StoreError
+    return kind(f"{operation}: {error.strerror or error}")
 
-def _header(salt: int, synced: int) -> bytes:
-    head = _HEADER.pack(_MAGIC, _FORMAT, salt, synced)
-    return head + _CHECK.pack(zlib.crc32(head))
 
+def _file_header(salt: int, synced: int) -> bytes:
+    header = _FILE_HEADER.pack(_MAGIC, _FORMAT_VERSION, salt, synced)
+    return header + _CHECKSUM.pack(zlib.crc32(header))
 
-def _encode(records: list[Any], salt: int, sequence: int) -> bytes:
+
+def _encode_batch(records: list[Record], salt: int, sequence: int) -> bytes:
     """One batch as bytes; StoreError for a value that can't be encoded or is too long."""
     parts: list[bytes] = []
     for index, record in enumerate(records):
@@ -62,56 +86,63 @@
             raise StoreError(f"a record can't be encoded: {error}") from error
         if len(value) > MAX_RECORD_BYTES:
             raise StoreError(f"a record of {len(value)} bytes is too long")
-        body = _PLACE.pack(sequence + index, index, len(records)) + value
-        parts += (_RECORD.pack(len(value), _MARKER, zlib.crc32(body, salt)), body)
+        body = _BATCH_POSITION.pack(sequence + index, index, len(records)) + value
+        parts += (_RECORD_HEADER.pack(len(value), _MARKER, zlib.crc32(body, salt)), body)
     return b"".join(parts)
 
 
-def _record_at(data: bytes, at: int, salt: int) -> tuple[int, int, int, int] | None:
-    """(sequence, index, count, end) of the valid record that begins at byte `at`; None if there is none."""
-    if at < 0 or at + _PREFIX_SIZE > len(data):
+def _valid_record_at(data: bytes, offset: int, salt: int) -> _ValidRecord | None:
+    """The valid record that begins at this offset; None if there is none."""
+    if offset < 0 or offset + _PREFIX_BYTES > len(data):
         return None
-    length, marker, check = _RECORD.unpack_from(data, at)
-    end = at + _PREFIX_SIZE + length
+    length, marker, checksum = _RECORD_HEADER.unpack_from(data, offset)
+    end = offset + _PREFIX_BYTES + length
     if marker != _MARKER or length > MAX_RECORD_BYTES or end > len(data):
         return None
-    if zlib.crc32(memoryview(data)[at + _RECORD.size : end], salt) != check:
+    body_offset = offset + _RECORD_HEADER.size
+    if zlib.crc32(memoryview(data)[body_offset:end], salt) != checksum:
         return None
-    return *_PLACE.unpack_from(data, at + _RECORD.size), end
+    return _ValidRecord(*_BATCH_POSITION.unpack_from(data, body_offset), end)
 
 
-def _valid_after(data: bytes, start: int, salt: int) -> Iterator[tuple[int, int]]:
-    """(sequence, index) of each valid record that begins at `start` or later, wherever it begins."""
-    found = data.find(_MARKER, start)
-    while found >= 0:
-        record = _record_at(data, found - 4, salt)
-        if record:
-            yield record[0], record[1]
-        found = data.find(_MARKER, found + 1)
+def _valid_records_after(data: bytes, start: int, salt: int) -> Iterator[_ValidRecord]:
+    """Each valid record that begins at `start` or later, at whatever offset."""
+    marker = data.find(_MARKER, start)
+    while marker >= 0:
+        record = _valid_record_at(data, marker - _MARKER_OFFSET, salt)
+        if record is not None:
+            yield record
+        marker = data.find(_MARKER, marker + 1)
 
 
 class WriteAheadLog:
-    """The file `name`.log in `folder`. All calls block; one thread at a time may use it."""
+    """The file `name`.log in `folder`. All calls block; one thread at a time may use it.
+
+    `size` is the length of the file in bytes. `failed` is set from a failure until a compaction succeeds;
+    nothing can be appended meanwhile.
+    """
 
     def __init__(self, folder: Path, name: str = "state") -> None:
+        """Touches no disk; `open` does."""
         self._folder = folder
         self._path = folder / f"{name}.log"
-        self._rewrite_path = folder / f"{name}.log.rewrite"
+        self._replacement_path = folder / f"{name}.log.rewrite"
         self._fd = -1
         self._salt = 0
-        self._sequence = 0
-        self._rewritten = 0
+        self._next_sequence = 0
+        self._compacted_size = 0  # bytes that the last compaction left
         self.size = 0
         self.failed = False
 
-    def open(self) -> list[Any]:
-        """Create the file, or replay it: the values in order, all of them durable when this returns.
+    def open(self) -> list[Record]:
+        """Create the file, or replay it: the records in order, all of them durable when this returns.
 
-        StoreCorruptedError: see above. StoreError: the disk doesn't let it be read or made.
+        Raises StoreCorruptedError for a damaged file (see the module), StoreError where the disk doesn't let
+        it be read or created.
         """
         try:
             self._folder.mkdir(parents=True, exist_ok=True)
-            self._rewrite_path.unlink(missing_ok=True)
+            self._replacement_path.unlink(missing_ok=True)
             exists = self._path.exists()
         except OSError as error:
             raise _store_error(error, "open") from error
@@ -119,36 +150,43 @@
             self.compact([])
             return []
         try:
-            data = self._path.read_bytes()
-            values, end = self._replay(data)
-            if end > self._rewritten:
-                # A sync of an earlier life may have failed: then what is read here may be in the page cache
-                # only, and no later sync of this file would write it.
-                with contextlib.suppress(StoreError):
-                    self.compact(values)
-                    return values
-                data = self._path.read_bytes()
-                values, end = self._replay(data)
-            self.close()
-            self._fd = os.open(self._path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
-            if end < len(data):
-                os.ftruncate(self._fd, end)
-            # What a killed process had written but not synced is about to be relied upon.
-            os.fsync(self._fd)
-            self._sync_folder()
+            return self._open_existing()
         except OSError as error:
             self.failed = True
             raise _store_error(error, "open") from error
+
+    def _open_existing(self) -> list[Record]:
+        data = self._path.read_bytes()
+        records, end = self._replay(data)
+        if end > self._compacted_size:
+            # A sync of an earlier incarnation may have failed: then what is read here may be in the page
+            # cache only, and no later sync of this file would write it.
+            with contextlib.suppress(StoreError):
+                self.compact(records)
+                return records
+            data = self._path.read_bytes()
+            records, end = self._replay(data)
+        self.close()
+        self._fd = os.open(self._path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
+        if end < len(data):
+            os.ftruncate(self._fd, end)
+        # What a killed process had written but not synced is about to be relied upon.
+        os.fsync(self._fd)
+        self._sync_folder()
         self.size, self.failed = end, False
-        return values
+        return records
+
+    def append(self, records: list[Record]) -> None:
+        """Write and sync one batch.
 
-    def append(self, records: list[Any]) -> None:
-        """Write and sync one batch. StoreFullError, StoreError: it may be there; broken until a rewrite."""
+        Raises StoreFullError, StoreError: the batch may or may not be on the disk, and the log has failed.
+        A record that can't be encoded or is too long (StoreError) leaves the log as it was.
+        """
         if self.failed or self._fd < 0:
-            raise StoreError("the file is broken until it is rewritten")
+            raise StoreError("the log has failed; it takes no records until it is compacted")
         if not records:
             return
-        data = _encode(records, self._salt, self._sequence)
+        data = _encode_batch(records, self._salt, self._next_sequence)
         self.failed = True
         try:
             written = os.write(self._fd, data)
@@ -158,44 +196,46 @@
         except OSError as error:
             raise _store_error(error, "append") from error
         self.failed = False
-        self._sequence += len(records)
+        self._next_sequence += len(records)
         self.size += len(data)
 
-    def compact(self, records: list[Any]) -> None:
-        """Put exactly these values in place of the whole contents, all or nothing; heals a broken file."""
+    def compact(self, snapshot: list[Record]) -> None:
+        """Put exactly these records in place of the whole contents, all or nothing; repairs a failed log.
+
+        Raises StoreFullError, StoreError: the old contents, or all of the new ones, are on the disk.
+        """
         salt = int.from_bytes(os.urandom(4), "little")
-        body = _encode(records, salt, 0)
-        size = _HEADER_SIZE + len(body)
-        fd = -1
-        try:
-            fd = os.open(
-                self._rewrite_path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600
-            )
-            written = os.write(fd, _header(salt, size) + body)
-            if written != size:
-                raise StoreFullError(f"rewrite: {written} of {size} bytes written")
-            os.fsync(fd)
-            # From here on the old descriptor may be that of a file without a name.
-            self.failed = True
-            os.rename(self._rewrite_path, self._path)
-            self._sync_folder()
-        except (OSError, StoreError) as error:
-            if fd >= 0:
-                os.close(fd)
-            with contextlib.suppress(OSError):
-                self._rewrite_path.unlink(missing_ok=True)
-            if isinstance(error, StoreError):
-                raise
-            raise _store_error(error, "rewrite") from error
+        body = _encode_batch(snapshot, salt, 0)
+        size = _FILE_HEADER_BYTES + len(body)
+        with contextlib.ExitStack() as on_failure:
+            on_failure.callback(self._remove_replacement)
+            try:
+                fd = os.open(
+                    self._replacement_path,
+                    os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC,
+                    _FILE_MODE,
+                )
+                on_failure.callback(os.close, fd)
+                written = os.write(fd, _file_header(salt, size) + body)
+                if written != size:
+                    raise StoreFullError(f"compact: {written} of {size} bytes written")
+                os.fsync(fd)
+                # From here on the old descriptor may be that of a file without a name.
+                self.failed = True
+                os.rename(self._replacement_path, self._path)
+                self._sync_folder()
+            except OSError as error:
+                raise _store_error(error, "compact") from error
+            on_failure.pop_all()
         self.close()
-        self._fd, self._salt, self._sequence = fd, salt, len(records)
-        self.size = self._rewritten = size
+        self._fd, self._salt, self._next_sequence = fd, salt, len(snapshot)
+        self.size = self._compacted_size = size
         self.failed = False
 
     @property
     def needs_compaction(self) -> bool:
-        """The file is long beside what the last rewrite left."""
-        return self.size > max(COMPACTION_MIN_BYTES, COMPACTION_GROWTH_FACTOR * self._rewritten)
+        """Whether the file is long beside what the last compaction left."""
+        return self.size > max(COMPACTION_MIN_BYTES, COMPACTION_GROWTH_FACTOR * self._compacted_size)
 
     def close(self) -> None:
         """Close the descriptor; appends are refused from then on."""
@@ -203,40 +243,58 @@
             os.close(self._fd)
             self._fd = -1
 
+    def _remove_replacement(self) -> None:
+        with contextlib.suppress(OSError):
+            self._replacement_path.unlink(missing_ok=True)
+
     def _sync_folder(self) -> None:
+        """Make the name of the file durable."""
         fd = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
         finally:
             os.close(fd)
 
-    def _replay(self, data: bytes) -> tuple[list[Any], int]:
-        """The values of all whole batches and where the last of these ends."""
-        if len(data) < _HEADER_SIZE:
-            raise StoreCorruptedError("the header is cut short")
-        magic, version, salt, synced = _HEADER.unpack_from(data)
-        if data[:_HEADER_SIZE] != _header(salt, synced) or magic != _MAGIC or version != _FORMAT:
-            raise StoreCorruptedError("the header is not one of this format")
-        values: list[Any] = []
-        batch: list[Any] = []
-        at = end = _HEADER_SIZE
+    def _replay(self, data: bytes) -> _Replayed:
+        """The complete batches of a file's contents; takes over its salt, sequence and compacted size."""
+        salt, synced = _read_file_header(data)
+        records: list[Record] = []
+        batch: list[Record] = []
+        offset = end = _FILE_HEADER_BYTES
         sequence = 0
-        while (record := _record_at(data, at, salt)) is not None:
-            number, index, count, following = record
-            if number != sequence or index != len(batch) or index >= count:
+        while (record := _valid_record_at(data, offset, salt)) is not None:
+            if record.sequence != sequence or record.index != len(batch) or record.index >= record.count:
                 break
-            batch.append(ormsgpack.unpackb(memoryview(data)[at + _PREFIX_SIZE : following]))
-            at, sequence = following, sequence + 1
-            if index + 1 == count:
-                values += batch
-                batch, end = [], at
-        if at < len(data):
-            for number, index in _valid_after(data, at, salt):
-                if number - index > sequence:
-                    raise StoreCorruptedError(
-                        f"record {sequence} at byte {at} is bad, record {number} is not"
-                    )
+            batch.append(ormsgpack.unpackb(memoryview(data)[offset + _PREFIX_BYTES : record.end]))
+            offset, sequence = record.end, sequence + 1
+            if record.index + 1 == record.count:
+                records += batch
+                batch, end = [], offset
+        _require_torn_tail(data, offset, salt, sequence)
         if end < synced:
-            raise StoreCorruptedError(f"record {sequence} at byte {at} is bad and had been synced")
-        self._salt, self._sequence, self._rewritten = salt, sequence - len(batch), synced
-        return values, end
+            raise StoreCorruptedError(f"record {sequence} at byte {offset} is bad and had been synced")
+        self._salt, self._next_sequence, self._compacted_size = salt, sequence - len(batch), synced
+        return _Replayed(records, end)
+
+
+def _read_file_header(data: bytes) -> tuple[int, int]:
+    """Salt and synced length. Raises StoreCorruptedError."""
+    if len(data) < _FILE_HEADER_BYTES:
+        raise StoreCorruptedError("the header is cut short")
+    magic, version, salt, synced = _FILE_HEADER.unpack_from(data)
+    if (
+        data[:_FILE_HEADER_BYTES] != _file_header(salt, synced)
+        or magic != _MAGIC
+        or version != _FORMAT_VERSION
+    ):
+        raise StoreCorruptedError("the header is not one of this format")
+    return salt, synced
+
+
+def _require_torn_tail(data: bytes, offset: int, salt: int, sequence: int) -> None:
+    """Raises StoreCorruptedError if a later batch than that of the bad record at `offset` is in the file."""
+    for later in _valid_records_after(data, offset, salt):
+        if later.sequence - later.index > sequence:
+            raise StoreCorruptedError(
+                f"record {sequence} at byte {offset} is bad, record {later.sequence} is not"
+            )
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The record file against torn tails, damage and failing disks; the writers' order and healing."""
+"""The write-ahead log against torn tails, damage and failing disks; the writers' order and recovery."""
 
 import asyncio
 import errno
@@ -44,7 +44,7 @@
         file.close()
 
 
-def test_replay_and_going_on(tmp_path: Path) -> None:
+def test_replay_then_append(tmp_path: Path) -> None:
     written(tmp_path)
     file = WriteAheadLog(tmp_path)
     assert file.open() == FLAT
@@ -54,43 +54,43 @@
     assert reopened(tmp_path) == [*FLAT, "more"]
 
 
-def test_every_cut_drops_the_torn_batch_whole_and_can_be_appended_to(tmp_path: Path) -> None:
+def test_every_truncation_drops_the_torn_batch_and_can_be_appended_to(tmp_path: Path) -> None:
     path, sizes = written(tmp_path)
     data = path.read_bytes()
-    for cut in range(sizes[0], sizes[-1]):
-        path.write_bytes(data[:cut])
-        whole = sum(size <= cut for size in sizes[1:])
-        left = [record for batch in BATCHES[:whole] for record in batch]
+    for length in range(sizes[0], sizes[-1]):
+        path.write_bytes(data[:length])
+        complete = sum(size <= length for size in sizes[1:])
+        left = [record for batch in BATCHES[:complete] for record in batch]
         file = WriteAheadLog(tmp_path)
-        assert file.open() == left, cut
+        assert file.open() == left, length
         file.append(["after"])
         file.close()
-        assert reopened(tmp_path) == [*left, "after"], cut
+        assert reopened(tmp_path) == [*left, "after"], length
 
 
 def test_any_bad_byte_of_the_last_batch_is_a_torn_tail(tmp_path: Path) -> None:
     path, sizes = written(tmp_path)
     data = bytearray(path.read_bytes())
-    for at in range(sizes[-2], sizes[-1]):
+    for offset in range(sizes[-2], sizes[-1]):
         bad = data.copy()
-        bad[at] ^= 0x40
+        bad[offset] ^= 0x40
         path.write_bytes(bad)
-        assert reopened(tmp_path) == FLAT[:3], at
+        assert reopened(tmp_path) == FLAT[:3], offset
 
 
 def test_any_bad_byte_before_the_last_batch_is_damage(tmp_path: Path) -> None:
     path, sizes = written(tmp_path)
     data = path.read_bytes()
-    for at in range(sizes[-2]):
+    for offset in range(sizes[-2]):
         bad = bytearray(data)
-        bad[at] ^= 0x01
+        bad[offset] ^= 0x01
         path.write_bytes(bad)
         with pytest.raises(StoreCorruptedError):
             reopened(tmp_path)
         assert path.read_bytes() == bad
 
 
-def test_damage_in_what_a_rewrite_left_is_never_a_torn_tail(tmp_path: Path) -> None:
+def test_damage_in_what_a_compaction_left_is_never_a_torn_tail(tmp_path: Path) -> None:
     file = WriteAheadLog(tmp_path)
     file.open()
     file.compact(FLAT)
@@ -115,8 +115,8 @@
     assert reopened(tmp_path) == FLAT
 
 
-def test_records_of_an_older_file_are_not_taken_for_later_ones(tmp_path: Path) -> None:
-    """Blocks that a file had before a rewrite may turn up behind the new one."""
+def test_records_of_an_older_file_are_not_read_as_later_ones(tmp_path: Path) -> None:
+    """Blocks that a file had before a compaction may turn up behind the new one."""
     path, _ = written(tmp_path)
     older = path.read_bytes()
     file = WriteAheadLog(tmp_path)
@@ -127,7 +127,7 @@
     assert reopened(tmp_path) == ["new"]
 
 
-def test_leftover_of_a_rewrite_is_removed(tmp_path: Path) -> None:
+def test_leftover_of_a_compaction_is_removed(tmp_path: Path) -> None:
     written(tmp_path)
     (tmp_path / "state.log.rewrite").write_bytes(b"half")
     assert reopened(tmp_path) == FLAT
@@ -148,7 +148,7 @@
     assert reopened(tmp_path) == ["good"]
 
 
-def test_wants_rewrite(tmp_path: Path) -> None:
+def test_needs_compaction(tmp_path: Path) -> None:
     file = WriteAheadLog(tmp_path)
     file.open()
     block = "x" * 300_000
@@ -208,7 +208,7 @@
         ("short", 0, StoreFullError),
     ],
 )
-def test_after_a_failure_only_a_rewrite_helps(
+def test_after_a_failure_only_a_compaction_helps(
     tmp_path: Path, disk: Disk, call: str, number: int, kind: type[StoreError]
 ) -> None:
     file = WriteAheadLog(tmp_path)
@@ -237,7 +237,7 @@
 
 
 @pytest.mark.parametrize("call", ["write", "fsync", "rename"])
-def test_a_rewrite_that_fails_leaves_the_old_contents(tmp_path: Path, disk: Disk, call: str) -> None:
+def test_a_failed_compaction_leaves_the_old_contents(tmp_path: Path, disk: Disk, call: str) -> None:
     written(tmp_path)
     file = WriteAheadLog(tmp_path)
     file.open()
@@ -285,14 +285,14 @@
         file.append(["in the page cache only"])
     file.close()
     cache.failing = False
-    told = reopened(tmp_path)
-    assert told[0] == "kept"
+    replayed = reopened(tmp_path)
+    assert replayed[0] == "kept"
     cache.lose_power(tmp_path / "state.log")
-    assert reopened(tmp_path) == told
+    assert reopened(tmp_path) == replayed
 
 
 @pytest.mark.parametrize("call", ["write", "rename"])
-def test_a_file_that_can_not_be_rewritten_as_it_is_opened_is_read_as_it_is(
+def test_a_file_that_can_not_be_compacted_on_opening_is_read_as_it_is(
     tmp_path: Path, disk: Disk, call: str
 ) -> None:
     written(tmp_path)
@@ -315,31 +315,31 @@
 
 
 class Owner:
-    """Puts values in memory, then submits them; hears what is done."""
+    """Puts values in memory, then submits them; hears what is synced."""
 
     def __init__(self) -> None:
         self.memory: list[Any] = []
-        self.done: list[Any] = []
+        self.synced: list[Any] = []
         self.waiting: dict[int, asyncio.Event] = {}
         self.writer: Any = None
 
-    def image(self) -> list[Any]:
+    def snapshot(self) -> list[Any]:
         return list(self.memory)
 
     def put(self, value: Any) -> None:  # noqa: ANN401
         self.memory.append(value)
-        self.writer.submit([value], lambda: self._hear(value))
+        self.writer.submit([value], lambda: self._on_synced(value))
 
-    def _hear(self, value: Any) -> None:  # noqa: ANN401
-        self.done.append(value)
+    def _on_synced(self, value: Any) -> None:  # noqa: ANN401
+        self.synced.append(value)
         for count, event in self.waiting.items():
-            if len(self.done) >= count:
+            if len(self.synced) >= count:
                 event.set()
 
     async def until(self, count: int) -> None:
-        """Until so many are done."""
+        """Until so many are synced."""
         event = self.waiting[count] = asyncio.Event()
-        if len(self.done) >= count:
+        if len(self.synced) >= count:
             event.set()
         await asyncio.wait_for(event.wait(), 10)
 
@@ -348,7 +348,7 @@
     file = WriteAheadLog(folder)
     file.open()
     owner = Owner()
-    owner.writer = GroupCommitWriter(file, asyncio.get_running_loop(), owner.image)
+    owner.writer = GroupCommitWriter(file, asyncio.get_running_loop(), owner.snapshot)
     return owner, file
 
 
@@ -363,11 +363,11 @@
         disk.calls.clear()
         for value in range(1, 50):
             owner.put(value)
-        assert owner.done == []
+        assert owner.synced == []
         assert owner.writer.oldest_pending_age_s(loop.time() + 5.0) >= 5.0
         disk.go.set()
         await owner.until(50)
-        assert owner.done == list(range(50))
+        assert owner.synced == list(range(50))
         assert disk.calls.count("fdatasync") == 2  # the stalled one, then all others in one batch
         assert owner.writer.oldest_pending_age_s(loop.time() + 5.0) == 0.0
         owner.writer.close()
@@ -377,14 +377,14 @@
     assert reopened(tmp_path) == list(range(50))
 
 
-def test_nothing_is_done_before_the_sync(tmp_path: Path, disk: Disk) -> None:
+def test_nothing_is_acknowledged_before_the_sync(tmp_path: Path, disk: Disk) -> None:
     async def main() -> None:
         owner, _ = await start(tmp_path)
         at_sync: list[list[Any]] = []
         real = log_module.os.fdatasync
 
         def sync(fd: int) -> None:
-            at_sync.append(list(owner.done))
+            at_sync.append(list(owner.synced))
             real(fd)
 
         log_module.os.fdatasync = sync
@@ -401,7 +401,7 @@
     asyncio.run(main())
 
 
-def test_a_broken_disk_heals_by_a_rewrite(
+def test_a_failed_log_is_repaired_by_compaction(
     tmp_path: Path, disk: Disk, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(writers_module, "RETRY_INTERVAL_S", 0.01)
@@ -410,31 +410,31 @@
         owner, file = await start(tmp_path)
         owner.put("before")
         await owner.until(1)
-        images = 0
+        snapshots = 0
         tried = asyncio.Event()
-        real = owner.image
+        real = owner.snapshot
 
-        def image() -> list[Any]:
-            nonlocal images
-            images += 1
-            if images == 3:
+        def snapshot() -> list[Any]:
+            nonlocal snapshots
+            snapshots += 1
+            if snapshots == 3:
                 owner.put("during")
                 tried.set()
             return real()
 
-        owner.writer._image = image
+        owner.writer._take_snapshot = snapshot
         disk.fail = {"fdatasync": errno.ENOSPC, "fsync": errno.ENOSPC}
         owner.put("failed")
         owner.put("queued")
         await asyncio.wait_for(tried.wait(), 10)
-        assert owner.done == ["before"]
+        assert owner.synced == ["before"]
         assert isinstance(owner.writer.failure, StoreFullError)
         disk.fail = {}
         await owner.until(4)
         assert owner.writer.failure is None
         owner.put("after")
         await owner.until(5)
-        assert owner.done == ["before", "failed", "queued", "during", "after"]
+        assert owner.synced == ["before", "failed", "queued", "during", "after"]
         assert not file.failed
         owner.writer.close()
 
@@ -449,9 +449,9 @@
         owner, file = await start(tmp_path)
         for value in range(200):
             owner.memory = [value]
-            owner.writer.submit(["x" * 100, value], lambda value=value: owner._hear(value))
+            owner.writer.submit(["x" * 100, value], lambda value=value: owner._on_synced(value))
             await owner.until(value + 1)
-        assert owner.done == list(range(200))
+        assert owner.synced == list(range(200))
         owner.writer.close()
         assert file.size < 5000
 
@@ -484,7 +484,7 @@
         owner.put(1)
         assert await asyncio.to_thread(disk.stalled.wait, 10)
         owner.writer.close()
-        assert owner.done == []
+        assert owner.synced == []
 
     try:
         asyncio.run(main())
@@ -492,7 +492,7 @@
         disk.go.set()
 
 
-def test_a_done_that_fails_does_not_silence_the_others(tmp_path: Path) -> None:
+def test_a_failing_callback_does_not_keep_the_others_from_theirs(tmp_path: Path) -> None:
     async def main() -> None:
         owner, _ = await start(tmp_path)
         faults: list[dict[str, Any]] = []
@@ -506,35 +506,35 @@
     asyncio.run(main())
 
 
-def test_immediate_writer(tmp_path: Path, disk: Disk) -> None:
+def test_synchronous_writer(tmp_path: Path, disk: Disk) -> None:
     file = WriteAheadLog(tmp_path)
     file.open()
     owner = Owner()
-    owner.writer = SynchronousWriter(file, owner.image, lambda: 5.0)
+    owner.writer = SynchronousWriter(file, owner.snapshot, lambda: 5.0)
     owner.put("one")
-    assert owner.done == ["one"]
+    assert owner.synced == ["one"]
     disk.fail = {"fdatasync": errno.EIO, "fsync": errno.EIO}
     owner.put("two")
     owner.put("three")
-    assert owner.done == ["one"]
+    assert owner.synced == ["one"]
     assert isinstance(owner.writer.failure, StoreError)
     assert owner.writer.oldest_pending_age_s(7.0) == 2.0
     disk.fail = {}
     owner.writer.retry()
-    assert owner.done == ["one", "two", "three"]
+    assert owner.synced == ["one", "two", "three"]
     assert owner.writer.failure is None
     owner.writer.close()
     assert reopened(tmp_path) == ["one", "two", "three"]
 
 
-def test_memory_writer_calls_in_order_also_from_within() -> None:
+def test_volatile_writer_calls_in_order_also_from_within() -> None:
     writer = VolatileWriter()
-    heard: list[str] = []
+    calls: list[str] = []
 
     def first() -> None:
-        writer.submit([], lambda: heard.append("second"))
-        heard.append("first")
+        writer.submit([], lambda: calls.append("second"))
+        calls.append("first")
 
     writer.submit([], first)
-    assert heard == ["first", "second"]
+    assert calls == ["first", "second"]
     assert writer.oldest_pending_age_s(1.0) == 0.0
