--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -11,10 +11,19 @@
 from plumline.coordination.environment import Environment, Member, Message, Record
 from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
 from plumline.coordination.keeper import Duty, Keeper
-from plumline.coordination.lease import LeaseDurations, LeaseElection, Persist, Send
+from plumline.coordination.lease import (
+    LEASE_MESSAGE_KIND,
+    TERM_RECORD_KIND,
+    LeaseDurations,
+    LeaseElection,
+    Persist,
+    Send,
+)
 from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
 from plumline.coordination.replication import ChainReplica
-from plumline.coordination.view import View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
+from plumline.coordination.view_messages import RECORD_KINDS as VIEW_RECORD_KINDS
 
 
 class Core:
@@ -38,12 +47,14 @@
     ) -> None:
         self.me, self.seeds, self.environment, self.now = me, seeds, environment, now
         self.changed, self.leases = changed, tuple(leases)
-        self.views = Views(me, environment, self.installed)
+        self.view_agreement = ViewAgreement(me, environment, self.installed)
         self.chain = ChainReplica(me, copies, environment, empty, load, applied)
         self.failure_detector = FailureDetector(me, environment)
-        self.keeper = Keeper(me, self.views, self.failure_detector, chance, copies)
-        self.bootstrap = Bootstrap(me, seeds, first_start, environment, self.views, is_configuration_known)
-        self.lease_election = LeaseElection(me[0], leases, now, chance)
+        self.keeper = Keeper(me, self.view_agreement, self.failure_detector, chance, copies)
+        self.bootstrap = Bootstrap(
+            me, seeds, first_start, environment, self.view_agreement, is_configuration_known
+        )
+        self.lease_election = LeaseElection(me[0], leases, chance)
         self.disk_unhealthy = False
 
     def set_seeds(self, seeds: list[str]) -> None:
@@ -57,19 +68,19 @@
         """From a file's records, before the first step."""
         lease_records = []
         for record in records:
-            if record[0] in ("view", "promise", "accept"):
-                self.views.restore(record)
-            elif record[0] == "ballot":
+            if record[0] in VIEW_RECORD_KINDS:
+                self.view_agreement.restore(record)
+            elif record[0] == TERM_RECORD_KIND:
                 lease_records.append(record)
             else:
                 self.chain.restore(record)
         self.lease_election.restore(lease_records)
-        if self.views.view is not None:
-            self.installed(self.views.view)
+        if self.view_agreement.view is not None:
+            self.installed(self.view_agreement.view)
             self.stop_granting_leases()
 
     def records(self) -> list[Record]:
-        return [*self.views.records(), *self.chain.records(), *self.lease_election.records()]
+        return [*self.view_agreement.records(), *self.chain.records(), *self.lease_election.records()]
 
     # Steps.
 
@@ -87,7 +98,7 @@
         for address in self.seeds:
             self.failure_detector.add_peer(now, address)
         self.bootstrap.tick(now)
-        view = self.views.view
+        view = self.view_agreement.view
         present = self.chain.position is not None
         synced = (
             self.chain.synced_index if present else min(self.chain.synced_index, self.chain.committed_index)
@@ -114,21 +125,21 @@
         self.now = now
         if self.failure_detector.on_message(now, sender, message):
             if message[0] == "ping":
-                self.views.heard_number(sender, message[3])
+                self.view_agreement.on_peer_view_number(sender, message[3])
             return True
         if message[0] == "view-check":
             _, nonce, number = message
-            if self.views.is_present(number) and self.views.may_accept():
+            if self.view_agreement.knows_no_successor(number) and self.view_agreement.is_acceptor():
                 self.environment.send(sender, ["view-checked", nonce, number])
             return True
-        if self.views.on_message(sender, message):
+        if self.view_agreement.on_message(sender, message):
             self.stop_granting_leases()
             return True
         if self.chain.on_message(sender, message):
             return True
         if self.bootstrap.on_message(sender, message):
             return True
-        if message[0] == "ballot":
+        if message[0] == LEASE_MESSAGE_KIND:
             self.lease_election.on_message(now, sender, message[1:])
             self.perform_lease_actions()
             return True
@@ -136,13 +147,13 @@
 
     def stop_granting_leases(self) -> None:
         """Whoever has accepted the next view votes for no lease in the present one."""
-        if self.views.view is not None and self.views.accepted is not None:
-            self.lease_election.stop_granting(self.views.view.number)
+        if self.view_agreement.view is not None and self.view_agreement.accepted is not None:
+            self.lease_election.stop_granting(self.view_agreement.view.number)
 
     def perform_lease_actions(self) -> None:
         for action in self.lease_election.take_actions():
             if isinstance(action, Send):
-                self.environment.send(action.to, ["ballot", *action.message])
+                self.environment.send(action.to, [LEASE_MESSAGE_KIND, *action.message])
             else:
                 self.environment.persist(
                     action.record, lambda action=action: self.lease_record_synced(action)
@@ -151,7 +162,7 @@
     def lease_record_synced(self, action: Persist) -> None:
         self.lease_election.on_synced(action.record)
         for to, message in action.send_after:
-            self.environment.send(to, ["ballot", *message])
+            self.environment.send(to, [LEASE_MESSAGE_KIND, *message])
 
     def campaign(self, now: float, lease: str) -> None:
         """Makes this registrar a candidate for the lease, until it leaves."""
@@ -175,7 +186,7 @@
 
     def fresh(self, now: float) -> bool:
         """Whether what this registrar has is the newest, as far as a majority in touch shows."""
-        view = self.views.view
+        view = self.view_agreement.view
         if view is None or self.chain.position is None:
             return False
         if not self.failure_detector.has_quorum_of_reported_views(now, view.acceptors):
@@ -188,13 +199,13 @@
 
     def has_quorum_contact(self, now: float) -> bool:
         """Whether a majority of the acceptors answered this registrar lately."""
-        view = self.views.view
+        view = self.view_agreement.view
         return view is not None and self.failure_detector.has_quorum_contact(now, view.acceptors)
 
     def head(self) -> str | None:
-        view = self.views.view
+        view = self.view_agreement.view
         return view.chain[0][0] if view and view.chain else None
 
     def tail(self) -> str | None:
-        view = self.views.view
+        view = self.view_agreement.view
         return view.chain[-1][0] if view and view.chain else None
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -1,21 +1,23 @@
 """Cores with one guard taken out: each must be found by the schedules, or by an example by hand."""
 
 from collections.abc import Callable
+from operator import attrgetter
 from typing import Any
 
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.keeper import Duty, Keeper
-from plumline.coordination.lease import LeaseElection
+from plumline.coordination.lease.voter import Voter
 from plumline.coordination.replication import ChainReplica
-from plumline.coordination.view import View, Views
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
 
 
 def exchange(part: str, kind: type) -> Callable[[Core], None]:
     """A call that makes the part of a core one of that class."""
 
     def mutate(core: Core) -> None:
-        getattr(core, part).__class__ = kind
+        attrgetter(part)(core).__class__ = kind
 
     return mutate
 
@@ -63,18 +65,18 @@
         return True
 
 
-class GrantsAfterAccepting(LeaseElection):
+class GrantsAfterAccepting(Voter):
     def stop_granting(self, view: int) -> None:
         pass
 
 
-class ForgetsPromises(Views):
+class ForgetsPromises(ViewAgreement):
     def restore(self, record: Record) -> None:
         if record[0] != "promise":
             super().restore(record)
 
 
-class ForgetsAccepted(Views):
+class ForgetsAccepted(ViewAgreement):
     def restore(self, record: Record) -> None:
         if record[0] != "accept":
             super().restore(record)
@@ -97,6 +99,11 @@
 def mutation(name: str) -> dict[str, Any]:
     """Keywords of a schedule whose cores are without that guard."""
     kind = globals()[name]
-    parts = {Keeper: "keeper", LeaseElection: "lease_election", Views: "views", ChainReplica: "chain"}
+    parts = {
+        Keeper: "keeper",
+        Voter: "lease_election.voter",
+        ViewAgreement: "view_agreement",
+        ChainReplica: "chain",
+    }
     part = next(part for base, part in parts.items() if issubclass(kind, base))
     return {"mutate": exchange(part, kind)}
