--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -78,12 +78,12 @@
 
 
 @pytest.mark.parametrize("raw", UNREADABLE.values(), ids=UNREADABLE.keys())
-def test_unreadable_bodies_are_refused(raw: bytes) -> None:
+def test_unreadable_bodies_are_rejected(raw: bytes) -> None:
     with pytest.raises(ConfigurationInvalidError):
         parse_document(raw)
 
 
-def test_parse_gives_back_what_was_sent() -> None:
+def test_parse_returns_the_document_as_sent() -> None:
     sent = document(Deep=json.loads("[" * 60 + "]" * 60))
     assert parse_document(json.dumps(sent).encode()) == sent
     assert parse_document(json.dumps(sent, ensure_ascii=False).encode()) == sent
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize(("fields", "word"), INVALID.values(), ids=INVALID.keys())
-def test_invalid_documents_are_refused_without_effect(fields: Document, word: str) -> None:
+def test_invalid_documents_are_rejected_without_effect(fields: Document, word: str) -> None:
     body = document(3) | fields
     with pytest.raises(ConfigurationInvalidError) as error:
         validate(body)
@@ -175,7 +175,7 @@
     ],
     ids=[name for name, (fields, _) in INVALID.items() if all(isinstance(v, list) for v in fields.values())],
 )
-def test_invalid_items_are_refused_in_an_amend_as_well(fields: Document, word: str) -> None:
+def test_invalid_items_are_rejected_in_an_amend_as_well(fields: Document, word: str) -> None:
     state = ReplicatedConfiguration().apply(["replace", 0, document(1)])
     before = copy.deepcopy(state)
     (section, items), *_ = fields.items()
@@ -187,12 +187,12 @@
     assert state == before
 
 
-def test_missing_version_is_refused() -> None:
+def test_missing_version_is_rejected() -> None:
     with pytest.raises(ConfigurationInvalidError, match="Version"):
         validate({"Routes": []})
 
 
-def test_every_fault_is_told_and_no_key() -> None:
+def test_every_fault_is_reported_and_no_api_key() -> None:
     body = document(
         Routes=[route("r1", TimeoutMs=0, PathPrefix="x"), route("r2", Service="s9")],
         Tenants=[{"Name": "t1", "ApiKeys": ["secret"]}, {"Name": "t2", "ApiKeys": ["secret"]}],
@@ -215,10 +215,10 @@
 
 @pytest.mark.parametrize("based_on", [0, 1, 3, -1, True, "2", None])
 def test_a_change_on_another_version_conflicts(based_on: object) -> None:
-    present = document(2)
+    current = document(2)
     for change in (replace_document, amend_document):
         with pytest.raises(VersionConflictError):
-            change(present, based_on, document(5) if change is replace_document else {"Version": 5})  # type: ignore[arg-type]
+            change(current, based_on, document(5) if change is replace_document else {"Version": 5})  # type: ignore[arg-type]
 
 
 def test_the_first_configuration() -> None:
@@ -230,7 +230,7 @@
 
 
 @pytest.mark.parametrize("version", [1, 2])
-def test_a_version_not_above_the_present_one_is_invalid(version: int) -> None:
+def test_a_version_not_above_the_current_one_is_invalid(version: int) -> None:
     for kind, body in (("replace", document(version)), ("amend", {"Version": version})):
         state = ReplicatedConfiguration().apply(["replace", 0, document(2)])
         with pytest.raises(ConfigurationInvalidError, match="Version"):
@@ -258,7 +258,7 @@
 
 
 @pytest.mark.parametrize("body", AMENDMENTS_INVALID.values(), ids=AMENDMENTS_INVALID.keys())
-def test_invalid_amends_are_refused_without_effect(body: Document) -> None:
+def test_invalid_amends_are_rejected_without_effect(body: Document) -> None:
     state = ReplicatedConfiguration().apply(["replace", 0, document(2)])
     before = copy.deepcopy(state)
     with pytest.raises(ConfigurationInvalidError, match="allowed"):
@@ -267,8 +267,8 @@
 
 
 def test_an_amend_replaces_in_place_adds_removes_and_sets() -> None:
-    present = document(2)
-    before = copy.deepcopy(present)
+    current = document(2)
+    before = copy.deepcopy(current)
     body = {
         "Version": 9,
         "Upserts": {"Routes": [route("r3"), route("r1", TimeoutMs=5)], "Later2": [{"Name": "n"}]},
@@ -277,13 +277,13 @@
         "Flag": True,
     }
     sent = copy.deepcopy(body)
-    new = amend_document(present, 2, body)
-    assert (present, body) == (before, sent)
+    new = amend_document(current, 2, body)
+    assert (current, body) == (before, sent)
     assert new["Routes"] == [route("r1", TimeoutMs=5), route("r2"), route("r3")]
-    assert new["Routes"][1] is present["Routes"][1]
+    assert new["Routes"][1] is current["Routes"][1]
     assert new["Tenants"] == before["Tenants"][1:] and new["Later2"] == [{"Name": "n"}]
     assert (new["Version"], new["Limits"], new["Flag"]) == (9, {"IdleTimeoutMs": 7}, True)
-    assert new["Later"] is present["Later"] and new.keys().isdisjoint({"Upserts", "Removals", "Later3"})
+    assert new["Later"] is current["Later"] and new.keys().isdisjoint({"Upserts", "Removals", "Later3"})
     validate(new)
 
 
@@ -321,28 +321,28 @@
         state = new
 
 
-def shuffled(value: Any, chance: random.Random) -> Any:  # noqa: ANN401
+def shuffled(value: Any, rng: random.Random) -> Any:  # noqa: ANN401
     if isinstance(value, dict):
-        items = [(key, shuffled(each, chance)) for key, each in value.items()]
-        chance.shuffle(items)
+        items = [(key, shuffled(item, rng)) for key, item in value.items()]
+        rng.shuffle(items)
         return dict(items)
-    return [shuffled(each, chance) for each in value] if isinstance(value, list) else value
+    return [shuffled(item, rng) for item in value] if isinstance(value, list) else value
 
 
 @given(st.randoms(use_true_random=False))
-def test_the_digest_ignores_the_order_of_keys_alone(chance: random.Random) -> None:
+def test_the_digest_ignores_the_order_of_keys_alone(rng: random.Random) -> None:
     body = document()
-    assert change_digest("replace", 0, shuffled(body, chance)) == change_digest("replace", 0, body)
+    assert change_digest("replace", 0, shuffled(body, rng)) == change_digest("replace", 0, body)
 
 
-def test_the_digest_tells_changes_apart() -> None:
-    marks = [
+def test_different_changes_have_different_digests() -> None:
+    digests = [
         change_digest(kind, based_on, body)
         for kind in ("replace", "amend")
         for based_on in (0, 1)
         for body in ({"a": 1}, {"a": 1.0}, {"a": True}, {"a": "1"}, {"a": [1]}, {"a": None}, {})
     ]
-    assert len(set(marks)) == len(marks)
+    assert len(set(digests)) == len(digests)
 
 
 def test_two_changes_on_one_version_and_a_repeat() -> None:
@@ -357,7 +357,7 @@
     assert later.version == 8 and later.check(one) is True and later.apply(one) is later
 
 
-def test_a_repeat_of_a_change_too_old_to_remember_is_never_refused() -> None:
+def test_a_repeat_of_a_change_too_old_to_remember_is_never_rejected() -> None:
     state = ReplicatedConfiguration().apply(["replace", 0, {"Version": 1}])
     changes = [
         ["amend", version, {"Version": version + 1}]
@@ -375,7 +375,7 @@
             state.check(change)
 
 
-def test_a_change_on_a_version_that_may_still_come_is_not_refused() -> None:
+def test_a_change_on_a_version_that_may_still_come_is_not_rejected() -> None:
     # A copy of it that arrives after that version would be taken.
     early = ["amend", 5, {"Version": 9}]
     state = ReplicatedConfiguration().apply(["replace", 0, {"Version": 3}])
@@ -384,7 +384,7 @@
     assert state.apply(["amend", 3, {"Version": 5}]).check(early) is False
 
 
-def test_a_repeat_is_known_after_changes_of_the_other_kind() -> None:
+def test_a_repeat_is_recognised_after_changes_of_the_other_kind() -> None:
     replaced_once = ["replace", 0, document(2)]
     amended_once = ["amend", 2, {"Version": 4}]
     state = (
@@ -397,7 +397,7 @@
         state.check(["amend", 2, {"Version": 4.0}])
 
 
-def test_named_versions_of_weights() -> None:
+def test_named_weight_versions() -> None:
     state = ReplicatedConfiguration()
     change = ["weights", {"Model": "m1", "Version": 3}]
     assert state.check(change) is False
@@ -423,12 +423,12 @@
         {"Model": "m1", "Version": 2**63},
     ],
 )
-def test_invalid_named_versions(named: Document) -> None:
+def test_invalid_named_weight_versions(named: Document) -> None:
     with pytest.raises(ConfigurationInvalidError, match="allowed"):
         ReplicatedConfiguration().apply(["replace", 0, document()]).check(["weights", named])
 
 
-def test_a_version_of_a_model_that_may_still_be_named_is_not_refused() -> None:
+def test_a_version_of_a_model_that_may_still_be_named_is_not_rejected() -> None:
     # A copy of it that arrives after such a configuration would be taken.
     change = ["weights", {"Model": "later", "Version": 2}]
     state = ReplicatedConfiguration().apply(["replace", 0, document(1)])
@@ -439,19 +439,19 @@
     assert state.check(change) is False
 
 
-def test_models_are_free_while_none_is_listed() -> None:
+def test_any_model_is_accepted_while_none_is_listed() -> None:
     change = ["weights", {"Model": "unknown", "Version": 2}]
     assert ReplicatedConfiguration().check(change) is False
     assert ReplicatedConfiguration().apply(["replace", 0, {"Version": 1}]).check(change) is False
 
 
 @pytest.mark.parametrize("change", [[], ["drop"], ["replace", 0], ["replace", 0, []], ["weights", []]])
-def test_unknown_changes_are_refused(change: list[Any]) -> None:
+def test_unknown_changes_are_rejected(change: list[Any]) -> None:
     with pytest.raises(ConfigurationInvalidError):
         ReplicatedConfiguration().check(change)
 
 
-def test_the_shared_cache_generation_rises_when_a_tenant_leaves_the_shared_pool() -> None:
+def test_the_shared_cache_generation_rises_when_a_tenant_leaves_the_shared_cache() -> None:
     def tenant(name: str, isolated: bool) -> Document:
         return {"Name": name, "Isolated": isolated}
 
@@ -477,7 +477,7 @@
     assert generations == [0, 0, 1, 1, 1, 2, 2, 2]
 
 
-def test_the_state_survives_the_wire() -> None:
+def test_the_state_survives_serialization() -> None:
     state = (
         ReplicatedConfiguration()
         .apply(["weights", {"Model": "m1", "Version": 2}])
@@ -501,12 +501,12 @@
         ReplicatedConfiguration().to_wire() | {"history": [0, [1, 2]]},
     ],
 )
-def test_what_is_no_state_is_refused(wire: object) -> None:
+def test_malformed_states_are_rejected(wire: object) -> None:
     with pytest.raises(ReplicatedStateInvalidError):
         ReplicatedConfiguration.from_wire(wire)
 
 
-def test_who_only_follows_gets_no_history_and_refuses_nothing_by_it() -> None:
+def test_a_subscriber_gets_no_history_and_rejects_nothing_by_it() -> None:
     first, second = ["replace", 0, document(2)], ["amend", 2, {"Version": 5}]
     state = ReplicatedConfiguration().apply(first)
     follower = ReplicatedConfiguration.from_wire(state.to_wire(history=False))
@@ -516,7 +516,7 @@
         follower.check(first)
 
 
-def test_a_state_of_an_earlier_release_keeps_its_repeats() -> None:
+def test_a_state_of_an_earlier_release_recognises_its_repeats() -> None:
     changes = [["replace", 0, document(2)], ["amend", 2, {"Version": 5}], ["amend", 5, {"Version": 6}]]
     state = ReplicatedConfiguration()
     for change in changes:
@@ -541,7 +541,7 @@
     path=st.one_of(prefixes, prefixes.map(lambda p: p[:-1]), st.text("/ab?", max_size=12)),
     query=st.sampled_from(["", "?x=/a/b/"]),
 )
-def test_match_agrees_with_a_search_of_all(places: set[Any], host: str, path: str, query: str) -> None:
+def test_match_agrees_with_a_linear_search(places: set[Any], host: str, path: str, query: str) -> None:
     listed = [route(f"r{i}", Host=h, PathPrefix=p) for i, (h, p) in enumerate(sorted(places))]
     table = RouteTable(document(Routes=listed))
     bare = path.split("?")[0]
@@ -552,7 +552,7 @@
     assert table.match(host.upper() + ":8080", path + query) is found
 
 
-def test_a_route_with_everything_and_one_with_nothing() -> None:
+def test_a_route_with_all_fields_and_one_with_defaults() -> None:
     full = {
         "Name": "r",
         "Host": "H.Example:80",
@@ -603,15 +603,15 @@
     assert [each.idempotent for each in table.routes] == [False, False]
 
 
-def test_pick_follows_the_weights() -> None:
+def test_choose_service_follows_the_weights() -> None:
     weights = [{"Service": s, "Weight": w} for s, w in (("x", 0), ("a", 1), ("b", 2), ("a", 1), ("y", 0))]
     services = [{"Name": name} for name in ("x", "a", "b", "y")]
     table = RouteTable({"Version": 1, "Routes": [route(TrafficSplit=weights)], "Services": services})
-    picked = Counter(table.routes[0].choose_service(random.Random(seed)) for seed in range(4000))
-    assert picked.keys() == {"a", "b"} and abs(picked["a"] - 2000) < 200
+    chosen = Counter(table.routes[0].choose_service(random.Random(seed)) for seed in range(4000))
+    assert chosen.keys() == {"a", "b"} and abs(chosen["a"] - 2000) < 200
 
 
-class Edge(random.Random):
+class FixedRandom(random.Random):
     def __init__(self, value: float) -> None:
         super().__init__()
         self.value = value
@@ -621,15 +621,15 @@
 
 
 @given(st.lists(st.floats(0, 1e9) | st.integers(0, 3), min_size=2, max_size=6).filter(lambda w: sum(w) > 0))
-def test_pick_never_takes_a_weight_of_zero(weights: list[float]) -> None:
+def test_choose_service_never_takes_a_weight_of_zero(weights: list[float]) -> None:
     splits = [{"Service": f"s{i}", "Weight": weight} for i, weight in enumerate(weights)]
     services = [{"Name": f"s{i}"} for i in range(len(weights))]
     found = RouteTable({"Version": 1, "Routes": [route(TrafficSplit=splits)], "Services": services}).routes[0]
     for value in (0.0, 0.5, 1 - 2**-53):
-        assert weights[int(found.choose_service(Edge(value))[1:])] > 0
+        assert weights[int(found.choose_service(FixedRandom(value))[1:])] > 0
 
 
-def test_tenants_services_stores_and_limits() -> None:
+def test_tenants_services_cache_stores_and_limits() -> None:
     table = RouteTable(document())
     assert table.tenant_of("k2") == Tenant("t1") and table.tenant_of("k3") == Tenant("t2", priority=1)
     assert table.tenant_of("k9") is None and table.has_tenants
@@ -656,13 +656,13 @@
     assert not RouteTable({"Version": 1}).has_tenants
 
 
-def test_a_new_table_lends_what_stays_from_the_one_before() -> None:
-    present = document(1)
-    table = RouteTable(present)
+def test_a_new_table_reuses_unchanged_routes() -> None:
+    current = document(1)
+    table = RouteTable(current)
     new = RouteTable(
-        amend_document(present, 1, {"Version": 2, "Upserts": {"Routes": [route("r1", TimeoutMs=9)]}}), table
+        amend_document(current, 1, {"Version": 2, "Upserts": {"Routes": [route("r1", TimeoutMs=9)]}}), table
     )
     one, two = new.match("a.example", "/r1/"), new.match("a.example", "/r2/")
     assert one is not None and one.timeout_ms == 9 and two is table.match("a.example", "/r2/")
-    gone = RouteTable(amend_document(present, 1, {"Version": 2, "Removals": {"Routes": ["r2"]}}), table)
+    gone = RouteTable(amend_document(current, 1, {"Version": 2, "Removals": {"Routes": ["r2"]}}), table)
     assert gone.match("a.example", "/r2/") is None
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -1,4 +1,4 @@
-"""A Replace told to routers as what it changes, and a table of routes made by the difference."""
+"""A Replace sent to subscribers as an Amend, and the route table made from the one before it."""
 
 from typing import Any
 
@@ -13,11 +13,11 @@
 NAMES = st.sampled_from("abcdef")
 
 
-def route(name: str, place: int, timeout: int) -> Document:
+def route(name: str, position: int, timeout: int) -> Document:
     return {
         "Name": name,
-        "Host": f"h{place % 2}",
-        "PathPrefix": "/" + "x" * place + "/",
+        "Host": f"h{position % 2}",
+        "PathPrefix": "/" + "x" * position + "/",
         "Service": "s",
         "TimeoutMs": timeout,
     }
@@ -26,8 +26,11 @@
 @st.composite
 def documents(draw: st.DrawFn, version: int) -> Document:
     names = draw(st.lists(NAMES, unique=True))
-    places = draw(st.permutations(range(6)))
-    routes = [route(name, place, draw(st.integers(1, 2))) for name, place in zip(names, places, strict=False)]
+    positions = draw(st.permutations(range(6)))
+    routes = [
+        route(name, position, draw(st.integers(1, 2)))
+        for name, position in zip(names, positions, strict=False)
+    ]
     tenants = [
         {"Name": name, "ApiKeys": [f"key-{name}"], "Isolated": draw(st.booleans())}
         for name in draw(st.lists(NAMES, unique=True))
@@ -43,51 +46,53 @@
 
 
 @given(documents(1), documents(2))
-def test_the_difference_leads_to_the_same_state(first: Document, second: Document) -> None:
+def test_the_shortened_change_leads_to_the_same_state(first: Document, second: Document) -> None:
     state = ReplicatedConfiguration().apply(["replace", 0, first])
     change = ["replace", 1, second]
-    whole, told = state.apply(change), state.apply(replace_as_amend(first, change))
-    assert told.configuration == whole.configuration
-    assert (told.shared_cache_generation, told.departed_tenants, told.version) == (
-        whole.shared_cache_generation,
-        whole.departed_tenants,
-        whole.version,
+    by_replace, by_amend = state.apply(change), state.apply(replace_as_amend(first, change))
+    assert by_amend.configuration == by_replace.configuration
+    assert (by_amend.shared_cache_generation, by_amend.departed_tenants, by_amend.version) == (
+        by_replace.shared_cache_generation,
+        by_replace.departed_tenants,
+        by_replace.version,
     )
 
 
-def looks(table: RouteTable) -> Any:  # noqa: ANN401
+def lookups(table: RouteTable) -> Any:  # noqa: ANN401
     found = [
         table.match(f"h{host}", "/" + "x" * length + "/rest") for host in range(2) for length in range(8)
     ]
     keys = [table.tenant_of(f"key-{name}") for name in "abcdef"]
-    aims: dict[str, float] = {}
-    for each in table.routes:
-        for service, _ in each.traffic_split:
-            aims[service] = min(aims.get(service, each.latency_target_ms), each.latency_target_ms)
-    assert table.shortest_latency_targets() == aims
+    shortest_targets: dict[str, float] = {}
+    for each_route in table.routes:
+        for service, _ in each_route.traffic_split:
+            shortest_targets[service] = min(
+                shortest_targets.get(service, each_route.latency_target_ms), each_route.latency_target_ms
+            )
+    assert table.shortest_latency_targets() == shortest_targets
     return found, keys, table.routes, table.services, table.limits, table.version, table.reserved_shares
 
 
 @given(documents(1), documents(2))
-def test_a_table_made_by_the_difference_is_as_one_made_anew(first: Document, second: Document) -> None:
+def test_an_amended_table_equals_one_made_anew(first: Document, second: Document) -> None:
     earlier = RouteTable(first)
-    before = looks(earlier)
+    before = lookups(earlier)
     change = replace_as_amend(first, ["replace", 1, second])
     state = ReplicatedConfiguration().apply(["replace", 0, first]).apply(change)
     if change[0] == "amend" and state.configuration is not None:
-        assert looks(earlier.with_amendment(state.configuration, change[2])) == looks(
+        assert lookups(earlier.with_amendment(state.configuration, change[2])) == lookups(
             RouteTable(state.configuration)
         )
-    assert looks(earlier) == before
+    assert lookups(earlier) == before
 
 
-def test_one_changed_route_of_thousands_is_told_alone_and_leaves_the_others() -> None:
+def test_one_changed_route_of_thousands_is_sent_alone_and_the_others_are_reused() -> None:
     first = {
         "Version": 1,
-        "Routes": [route(f"r{at}", at, 1) for at in range(3000)],
+        "Routes": [route(f"r{index}", index, 1) for index in range(3000)],
         "Services": [{"Name": "s"}],
     }
-    second = {**first, "Version": 2, "Routes": [dict(each) for each in first["Routes"]]}
+    second = {**first, "Version": 2, "Routes": [dict(item) for item in first["Routes"]]}
     second["Routes"][70] = route("r70", 70, 2)
     change = replace_as_amend(first, ["replace", 1, second])
     assert change == [
@@ -103,7 +108,7 @@
     assert same == 2999
 
 
-def test_what_an_amend_can_not_do_is_told_whole() -> None:
+def test_what_an_amend_can_not_express_stays_a_replace() -> None:
     first = {"Version": 1, "Routes": [], "Services": [{"Name": "s"}], "Limits": {}}
     without = ["replace", 1, {"Version": 2, "Routes": [], "Services": [{"Name": "s"}]}]
     assert replace_as_amend(first, without) is without
