--- a/plumline/checks.py
+++ b/plumline/checks.py
@@ -1,37 +1,38 @@
-"""Checks of files: each finds every fault at once and names key, value and what is allowed."""
+"""Checks of files for the command line: each finds every fault at once."""
 
 import re
 from collections.abc import Callable
-from typing import Any
+from pathlib import Path
 
-from plumline.configuration.document import parse_document
+from plumline.configuration.document import Document, parse_document
 from plumline.configuration.validation import validate
 from plumline.errors import PlumlineError
 
+_FAULT_LINE = re.compile(r"(?P<key>.*?): (?P<value>.*) is not allowed; allowed: (?P<allowed>.*)")
+
 
 def read_file(path: str) -> bytes:
-    """The whole content of the file."""
-    with open(path, "rb") as file:
-        return file.read()
+    """The contents of the file. Raises OSError."""
+    return Path(path).read_bytes()
 
 
-def whole_document(path: str) -> dict[str, Any]:
-    """The valid configuration in the file; ConfigurationInvalidError names every fault."""
-    found = parse_document(read_file(path))
-    validate(found)
-    return found
+def load_configuration(path: str) -> Document:
+    """The valid configuration in the file. Raises OSError; ConfigurationInvalidError with every fault."""
+    document = parse_document(read_file(path))
+    validate(document)
+    return document
 
 
-def faults_by(test: Callable[[str], Any], path: str) -> list[str]:
-    """The faults, a line each, that `test` raises for the file."""
+def collect_faults(load: Callable[[str], object], path: str) -> list[str]:
+    """The faults, a line each, for which `load` rejects the file; none if it loads."""
     try:
-        test(path)
+        load(path)
     except PlumlineError as error:
         return error.text.split("\n")
     return []
 
 
-def fault_parts(line: str) -> dict[str, str]:
-    """A fault's key, value and allowed values apart; one of another form as its text alone."""
-    found = re.fullmatch(r"(?P<key>.*?): (?P<value>.*) is not allowed; allowed: (?P<allowed>.*)", line)
+def split_fault_line(line: str) -> dict[str, str]:
+    """A fault's text, and its key, value and allowed values; of a line of another form the text alone."""
+    found = _FAULT_LINE.fullmatch(line)
     return {"text": line, **(found.groupdict() if found else {})}
--- a/plumline/cli.py
+++ b/plumline/cli.py
@@ -53,7 +53,7 @@
     else:
         from plumline.registrar.process import run
     try:
-        asyncio.run(run(loaded, settings.SettingsFile(os.environ.get(settings.VARIABLE))))
+        asyncio.run(run(loaded, settings.SettingsFile(os.environ.get(settings.SETTINGS_VARIABLE))))
     except PlumlineError as error:
         stop(error, EXIT_FAILED)
 
@@ -91,7 +91,7 @@
     """A process's settings file (TOML)."""
     from plumline import checks, settings
 
-    report_faults(checks.faults_by(settings.load, path), as_json)
+    report_faults(checks.collect_faults(settings.load, path), as_json)
 
 
 @check.command("configuration")
@@ -101,7 +101,7 @@
     """A whole configuration (JSON), as `configuration replace` sends it."""
     from plumline import checks
 
-    report_faults(checks.faults_by(checks.whole_document, path), as_json)
+    report_faults(checks.collect_faults(checks.load_configuration, path), as_json)
 
 
 @check.command("deploy")
@@ -116,10 +116,10 @@
 
 def report_faults(faults: list[str], as_json: bool) -> None:
     """Prints the faults and ends with the exit code that belongs to them."""
-    from plumline.checks import fault_parts
+    from plumline.checks import split_fault_line
 
     if as_json:
-        click.echo(json.dumps({"valid": not faults, "faults": [fault_parts(each) for each in faults]}))
+        click.echo(json.dumps({"valid": not faults, "faults": [split_fault_line(each) for each in faults]}))
     else:
         click.echo("\n".join(faults) or "no fault")
     sys.exit(EXIT_FAULTS if faults else 0)
@@ -198,9 +198,9 @@
     path: str, addresses: tuple[Address, ...], based_on: int, patience: float, as_json: bool
 ) -> None:
     """Puts a whole configuration in place. It is checked here before it is sent."""
-    from plumline.checks import whole_document
+    from plumline.checks import load_configuration
 
-    change("configuration_replace", whole_document, path, addresses, based_on, patience, as_json)
+    change("configuration_replace", load_configuration, path, addresses, based_on, patience, as_json)
 
 
 @configuration.command("amend")
@@ -231,11 +231,11 @@
     """What a `replace` by FILE would change; exit 0: nothing, 1: something. Keys of tenants stay hidden."""
     import dataclasses
 
-    from plumline.checks import whole_document
+    from plumline.checks import load_configuration
     from plumline.operator_calls import differences, shown
 
     try:
-        wanted = whole_document(path)
+        wanted = load_configuration(path)
     except PlumlineError as error:
         stop(error, EXIT_FAULTS)
     found = list(differences(present(addresses, patience), wanted))
--- a/plumline/counters.py
+++ b/plumline/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what happened, by name; a summary of them is logged now and then."""
+"""Counts of events, by name; the processes log a summary of them every few seconds."""
 
 from collections.abc import Iterator, MutableMapping
 
@@ -6,37 +6,37 @@
 class Counters:
     """Counts by name, from 0 at the start of the process."""
 
-    __slots__ = ("_counts", "_told")
+    __slots__ = ("_counts", "_reported")
 
     def __init__(self) -> None:
         self._counts: dict[str, int] = {}
-        self._told: dict[str, int] = {}
+        self._reported: dict[str, int] = {}
 
-    def add(self, name: str, n: int = 1) -> None:
-        """Counts `n` more."""
-        self._counts[name] = self._counts.get(name, 0) + n
+    def add(self, name: str, count: int = 1) -> None:
+        """Count so many more under the name."""
+        self._counts[name] = self._counts.get(name, 0) + count
 
     def get(self, name: str) -> int:
         """The count; 0 if nothing was counted."""
         return self._counts.get(name, 0)
 
-    def under(self, group: str) -> MutableMapping[str, int]:
-        """The counts named GROUP.KEY as a mapping by KEY, for whoever counts in a plain one."""
-        return CounterGroup(self._counts, f"{group}.")
+    def group(self, name: str) -> MutableMapping[str, int]:
+        """The counts called NAME.KEY as a mapping by KEY, for code that counts in a plain mapping."""
+        return CounterGroup(self._counts, f"{name}.")
 
     def snapshot(self) -> dict[str, int]:
         """All counts as they are now."""
         return dict(self._counts)
 
-    def lines(self) -> list[str]:
-        """A line for each count that has changed since the last call, by name."""
-        found = [
-            f"counter={name} total={count} change={count - self._told.get(name, 0)}"
+    def changed_lines(self) -> list[str]:
+        """A log line for each count that has changed since the last call, sorted by name."""
+        lines = [
+            f"counter={name} total={count} change={count - self._reported.get(name, 0)}"
             for name, count in sorted(self._counts.items())
-            if count != self._told.get(name, 0)
+            if count != self._reported.get(name, 0)
         ]
-        self._told = dict(self._counts)
-        return found
+        self._reported = dict(self._counts)
+        return lines
 
 
 class CounterGroup(MutableMapping[str, int]):
--- a/plumline/deploy_file.py
+++ b/plumline/deploy_file.py
@@ -1,4 +1,7 @@
-"""Checks of the deploy file: its keys, the packages that its build needs, and its roles."""
+"""Checks of the deploy file: its keys, the packages that its build needs, and its roles.
+
+A role is a program that runs on one class of machines, on a share of them or a count.
+"""
 
 import re
 import shlex
@@ -19,15 +22,15 @@
 
 MACHINE_CLASSES = ("edge", "core")
 CALLERS = ("edge", "control_plane")
-ROLES_ON_A_MACHINE = 2
+MAX_ROLES_ON_A_MACHINE = 2
 
 # The Debian packages that bring each program which a build may call. `python3 -m pip` fetches over HTTPS.
 PROGRAM_PACKAGES: Mapping[str, tuple[str, ...]] = {
     "python3": ("python3",),
     "python3 -m pip": ("python3", "python3-pip", "ca-certificates"),
 }
-# Part of the shell itself; the shell is in Debian's essential set, which every machine has.
-SHELL_WORDS = frozenset(
+# Keywords and builtins of the shell; the shell is in Debian's essential set, which every machine has.
+SHELL_BUILTINS = frozenset(
     "[ : ! cd do done echo elif else exit export fi for if set test then true false while".split()
 )
 REDIRECTIONS = "<>"
@@ -37,8 +40,8 @@
     "the name of a Debian package",
     lambda value: isinstance(value, str) and re.fullmatch(r"[a-z0-9][a-z0-9+.-]+", value) is not None,
 )
-DEPLOY_FILE = ObjectSchema({"build": NAME, "packages": list_of(PACKAGE_NAME), "roles": OBJECT}, {})
-ROLE = ObjectSchema(
+DEPLOY_FILE_SCHEMA = ObjectSchema({"build": NAME, "packages": list_of(PACKAGE_NAME), "roles": OBJECT}, {})
+ROLE_SCHEMA = ObjectSchema(
     {
         "run": Rule(
             "a program and its arguments", lambda value: isinstance(value, str) and bool(value.split())
@@ -55,34 +58,34 @@
     },
 )
 
-Role = dict[str, Any]
+Role = dict[str, Any]  # the table of one role, as the file has it
 
 
 def deploy_faults(raw: bytes) -> list[str]:
-    """Every fault of a deploy file: its keys, its packages, then what no class of machines can bear."""
+    """Every fault of a deploy file: its keys, its packages, then conflicts between its roles."""
     try:
         deploy = tomllib.loads(raw.decode("utf-8"))
     except ValueError as error:
         return [f"the file can't be read as TOML: {error}"]
-    faults = DEPLOY_FILE.faults(deploy)
+    faults = DEPLOY_FILE_SCHEMA.faults(deploy)
     if not faults:
         faults += package_faults(deploy["build"], deploy["packages"])
     roles = deploy.get("roles")
-    sound: dict[str, Role] = {}
+    valid_roles: dict[str, Role] = {}
     for name, role in roles.items() if isinstance(roles, dict) else ():
-        found = role_faults(f"roles.{name}", role)
+        found = _role_faults(f"roles.{name}", role)
         if not found:
-            sound[name] = role
+            valid_roles[name] = role
         faults += found
     for machine_class in MACHINE_CLASSES:
-        here = {name: role for name, role in sound.items() if role["on"] == machine_class}
-        faults += class_faults(machine_class, here)
+        roles_of_class = {name: role for name, role in valid_roles.items() if role["on"] == machine_class}
+        faults += _machine_class_faults(machine_class, roles_of_class)
     return faults
 
 
 def package_faults(build: str, packages: list[str]) -> list[str]:
     """A fault for each program of the build line that no listed package brings, and for each repetition."""
-    faults = []
+    faults: list[str] = []
     if len(set(packages)) < len(packages):
         faults.append(fault_line("packages", packages, "a list that names each package once"))
     try:
@@ -116,7 +119,7 @@
         if set(word) <= set(SEPARATORS):
             is_target = bool(set(word) & set(REDIRECTIONS))
             if not is_target:
-                yield from program_of(command)
+                yield from _program_of(command)
                 command = []
         elif is_target:
             is_target = False
@@ -124,11 +127,11 @@
             command.append(word)
 
 
-def program_of(command: list[str]) -> Iterator[str]:
-    """The program that one command calls; none for the shell's own words and assignments."""
+def _program_of(command: list[str]) -> Iterator[str]:
+    """The program that one command calls; none for the shell's own builtins and for assignments."""
     while command and (re.match(r"\w+=", command[0]) or command[0] in ("if", "then", "else", "do", "!")):
         command = command[1:]
-    if not command or command[0] in SHELL_WORDS:
+    if not command or command[0] in SHELL_BUILTINS:
         return
     if command[0] == "python3" and command[1:2] == ["-m"] and len(command) > 2:
         yield " ".join(command[:3])
@@ -136,31 +139,31 @@
         yield command[0]
 
 
-def role_faults(key: str, role: object) -> list[str]:
+def _role_faults(key: str, role: object) -> list[str]:
     """The faults of one role's table, which stands under the key."""
     if not isinstance(role, dict):
         return [fault_line(key, role, OBJECT.allowed)]
-    faults = ROLE.faults(role, key)
+    faults = ROLE_SCHEMA.faults(role, key)
     if not faults and ("share" in role) == ("count" in role):
         faults.append(fault_line(f"{key}.share", role.get("share"), "one of share and count"))
     return faults
 
 
-def class_faults(machine_class: str, roles: dict[str, Role]) -> list[str]:
-    """What the roles on one class of machines ask of it together that no machine can bear."""
+def _machine_class_faults(machine_class: str, roles: dict[str, Role]) -> list[str]:
+    """Faults of the roles on one class of machines that only show when they are taken together."""
     key = f"roles on {machine_class}"
-    faults = []
+    faults: list[str] = []
     for caller in CALLERS:
         serving = [name for name, role in roles.items() if caller in role.get("serves", ())]
         if len(serving) > 1:
             faults.append(fault_line(key, serving, f"one role that serves {caller!r}"))
     for apart in (False, True):  # the first and the last machine of a zone
-        crowd = [
+        together = [
             name
             for name, role in roles.items()
             if role.get("apart", False) is apart or role.get("share") == 1
         ]
-        if len(crowd) > ROLES_ON_A_MACHINE:
-            faults.append(fault_line(key, crowd, "up to two roles on a machine"))
+        if len(together) > MAX_ROLES_ON_A_MACHINE:
+            faults.append(fault_line(key, together, "up to two roles on a machine"))
             break
     return faults
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -315,7 +315,7 @@
             self.core.disk_unhealthy = self.writer.failure is not None or (
                 self.writer.oldest_pending_age_s(now) > STALLED_WRITE_S
             )
-            if (changed := self.settings_file.changed(now)) is not None:
+            if (changed := self.settings_file.poll(now)) is not None:
                 self.core.set_seeds(changed.seeds)
             self.core.tick(now)
             self.operators.forwarder.tick(now)
@@ -329,7 +329,7 @@
                 self.mesh.want(set(self.core.failure_detector.peers))
             if now >= summary_at:
                 summary_at = now + COUNTERS_LOG_INTERVAL_S
-                for line in self.counters.lines():
+                for line in self.counters.changed_lines():
                     log.info(line)
             await asyncio.sleep(STEP_INTERVAL_S)
 
@@ -371,10 +371,10 @@
             await self.known.wait()
         await self.mesh.listen(settings.internal_address)
         if settings.control_plane is not None:
-            self.server = Server(self.operators.handle, counters=self.counters.under("clients"))
+            self.server = Server(self.operators.handle, counters=self.counters.group("clients"))
             await self.server.listen(settings.control_plane)
         self.loop.add_signal_handler(signal.SIGTERM, self.stopping.set)
-        self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.hurry)
+        self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.request_reload)
         for lease in ("discovery", "weights"):
             self.core.campaign(self.loop.time(), lease)
         log.info(logs.words("started", node=settings.node_name, incarnation=self.core.me[1]))
--- a/plumline/router/app.py
+++ b/plumline/router/app.py
@@ -40,7 +40,7 @@
         self.server = Server(
             self.dispatcher.handle,
             lambda: self.fleet.table.limits if self.fleet.table else UNTOLD_LIMITS,
-            self.counters.under("clients"),
+            self.counters.group("clients"),
             held_limit=int(settings.limits.memory_mb * 1024 * 1024 * MEMORY_SHARE),
         )
         self.lifecycle = Lifecycle(self.server, self.equipped, bounds.grace_period_s)
@@ -54,7 +54,7 @@
         """Logs now and then which counters have changed."""
         while True:
             await asyncio.sleep(SUMMARY)
-            for line in self.counters.lines():
+            for line in self.counters.changed_lines():
                 log.info(line)
 
     async def run(self) -> None:
@@ -64,7 +64,7 @@
         if self.settings.readiness is not None:
             await self.readiness.listen(self.settings.readiness)
         self.loop.add_signal_handler(signal.SIGTERM, self.lifecycle.begin_shutdown)
-        self.loop.add_signal_handler(signal.SIGHUP, self.file.hurry)
+        self.loop.add_signal_handler(signal.SIGHUP, self.file.request_reload)
         log.info(logs.words("started", node=self.settings.node_name))
         work = [self.loop.create_task(each) for each in (self.follower.run(), self.summarise())]
         stop = self.loop.create_task(self.lifecycle.run_until_stopped())
@@ -75,7 +75,7 @@
         self.readiness.end()
         for task in work:
             task.cancel()
-        for line in self.counters.lines():
+        for line in self.counters.changed_lines():
             log.info(line)
         log.info(logs.words("stopped"))
 
--- a/plumline/router/following.py
+++ b/plumline/router/following.py
@@ -328,7 +328,7 @@
         beat_at = 0.0
         while True:
             now = self.loop.time()
-            if (changed := self.file.changed(now)) is not None:
+            if (changed := self.file.poll(now)) is not None:
                 self.seeds = changed.seeds
             self.look(now)
             if now >= beat_at:
--- a/plumline/settings.py
+++ b/plumline/settings.py
@@ -1,4 +1,7 @@
-"""The settings file of a process (TOML), read whole and checked at once; unknown fields are ignored."""
+"""The settings file of a process (TOML), read and validated as a whole; unknown fields are ignored.
+
+The keys are those of docs/configuration.md; a field here is its key in snake case.
+"""
 
 import os
 import re
@@ -28,13 +31,13 @@
 )
 from plumline.errors import SettingsInvalidError
 
-VARIABLE = "PLUMLINE_BOOT"
+SETTINGS_VARIABLE = "PLUMLINE_BOOT"
 Address = tuple[str, int]
 
 
 @dataclass(frozen=True, slots=True)
 class MachineLimits:
-    """What the process may take of its machine."""
+    """What the process may use of its machine."""
 
     processor_share: float = 1.0
     processor_cores: float = 1
@@ -46,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The rules' figures; the last letters of a name say its unit (seconds or milliseconds)."""
+    """The limits that the system is held to; the suffix of a name says its unit (seconds or milliseconds)."""
 
     seed_lag_s: float = 3
     address_reuse_s: float = 2
@@ -76,7 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one process."""
+    """The settings of one process.
+
+    Units stand in the names (`_ms`, `_s`, `_per_s`); docs/configuration.md says what each is for.
+    """
 
     node_name: str
     ip_address: str
@@ -119,7 +125,7 @@
         return self.ip_address, self.internal_ports[0]
 
 
-PORTS = Rule(
+PORT_RANGE = Rule(
     "[first, last], two ports from 1 to 65535",
     lambda v: (
         isinstance(v, list)
@@ -128,32 +134,33 @@
         and v[0] <= v[1]
     ),
 )
-REGIONS = Rule(
+REGION_BY_ZONE = Rule(
     "a table of texts, zone to region",
-    lambda v: isinstance(v, dict) and all(isinstance(each, str) for each in v.values()),
+    lambda v: isinstance(v, dict) and all(isinstance(region, str) for region in v.values()),
 )
 
 
-def _snake(key: str) -> str:
+def _snake_case(key: str) -> str:
     return re.sub(r"(?<=[a-z])(?=[A-Z])", "_", key).lower()
 
 
-def _camel(name: str) -> str:
+def _camel_case(name: str) -> str:
     return "".join(part.capitalize() for part in name.split("_"))
 
 
-def _figures(kind: type) -> dict[str, Rule]:
-    """The fields of a dataclass of figures as keys of a section, by either way of writing them."""
+def _section_rules(kind: type) -> dict[str, Rule]:
+    """The rules for a section, by key: the fields of its dataclass in camel case or in snake case."""
     rules: dict[str, Rule] = {}
-    for each in fields(kind):
-        rule = (
-            BOOLEAN if isinstance(each.default, bool) else integer(0) if each.type is int else number_from(0)
-        )
-        rules[_camel(each.name)] = rules[each.name] = rule
+    for option in fields(kind):
+        if isinstance(option.default, bool):
+            rule = BOOLEAN
+        else:
+            rule = integer(0) if option.type is int else number_from(0)
+        rules[_camel_case(option.name)] = rules[option.name] = rule
     return rules
 
 
-PLAIN = (  # fields of the file that are taken as they are
+COPIED_KEYS = (  # keys whose values are taken over as they are
     "NodeName",
     "IpAddress",
     "Role",
@@ -170,7 +177,7 @@
     {
         **required_field("NodeName", NAME),
         **required_field("IpAddress", Rule("an IPv4 address", is_ipv4_address)),
-        **required_field("InternalPortRange", PORTS),
+        **required_field("InternalPortRange", PORT_RANGE),
         "Role": TEXT,
         "MachineClass": TEXT,
         "Serves": list_of(TEXT),
@@ -184,11 +191,11 @@
         "EntryKind": TEXT,
         "HeartbeatIntervalMs": POSITIVE,
         "Contracts": list_of(TEXT),
-        "Zones": REGIONS,
+        "Zones": REGION_BY_ZONE,
         "ListenAddresses": {"FrontHttp": ADDRESS, "Readiness": ADDRESS, "ControlPlane": ADDRESS},
-        "Limits": _figures(MachineLimits),
+        "Limits": _section_rules(MachineLimits),
         "FaultTolerance": {"MachineLosses": integer(0), "Zones": integer(0), "RegionLosses": integer(0)},
-        "Bounds": _figures(Bounds),
+        "Bounds": _section_rules(Bounds),
         "CloudApi": {
             "Address": ADDRESS,
             "RatePerS": POSITIVE,
@@ -201,7 +208,7 @@
 
 
 def load(path: str | os.PathLike[str]) -> Settings:
-    """The settings in the file; SettingsInvalidError names every fault at once."""
+    """The settings in the file. Raises SettingsInvalidError, which names every fault at once."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
@@ -213,42 +220,40 @@
 
 
 def from_environment(variables: Mapping[str, str] = os.environ) -> Settings:
-    """The settings in the file that PLUMLINE_BOOT names; SettingsInvalidError if it is unset."""
-    path = variables.get(VARIABLE)
+    """The settings in the file that PLUMLINE_BOOT names. Raises SettingsInvalidError, also if it is unset."""
+    path = variables.get(SETTINGS_VARIABLE)
     if not path:
-        raise SettingsInvalidError(f"{VARIABLE}: not set; allowed: the path of the settings file")
+        raise SettingsInvalidError(f"{SETTINGS_VARIABLE}: not set; allowed: the path of the settings file")
     return load(path)
 
 
-def _known(kind: type, section: Mapping[str, Any]) -> dict[str, Any]:
-    names = {each.name for each in fields(kind)}
-    return {_snake(key): value for key, value in section.items() if _snake(key) in names}
+def _known_fields(kind: type, section: Mapping[str, Any]) -> dict[str, Any]:
+    names = {option.name for option in fields(kind)}
+    return {_snake_case(key): value for key, value in section.items() if _snake_case(key) in names}
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
     """The settings of a table that has passed SCHEMA. What the file leaves out keeps its default."""
-    plain = {_snake(key): raw[key] for key in PLAIN if key in raw}
+    copied = {_snake_case(key): raw[key] for key in COPIED_KEYS if key in raw}
     listen, losses, cloud = (raw.get(key, {}) for key in ("ListenAddresses", "FaultTolerance", "CloudApi"))
     zones = raw.get("Zones", {})
-    plain.setdefault("region", zones.get(raw.get("Zone"), ""))
-    plain["data_directory"] = Path(raw["DataDirectory"]) if raw.get("DataDirectory") else None
+    copied.setdefault("region", zones.get(raw.get("Zone"), ""))
+    copied["data_directory"] = Path(raw["DataDirectory"]) if raw.get("DataDirectory") else None
     return Settings(
-        **plain,
+        **copied,
         internal_ports=(raw["InternalPortRange"][0], raw["InternalPortRange"][1]),
         serves=tuple(raw.get("Serves", ())),
-        seed_addresses=tuple(
-            found for text in raw.get("SeedAddresses", ()) if (found := parse_address(text))
-        ),
+        seed_addresses=tuple(seed for text in raw.get("SeedAddresses", ()) if (seed := parse_address(text))),
         contracts=frozenset(raw.get("Contracts", ())),
         zones=zones,
         front_http=parse_address(listen.get("FrontHttp")),
         readiness=parse_address(listen.get("Readiness")),
         control_plane=parse_address(listen.get("ControlPlane")),
-        limits=MachineLimits(**_known(MachineLimits, raw.get("Limits", {}))),
+        limits=MachineLimits(**_known_fields(MachineLimits, raw.get("Limits", {}))),
         machine_losses=losses.get("MachineLosses", 0),
         zone_losses=losses.get("Zones", 0),
         region_losses=losses.get("RegionLosses", 0),
-        bounds=Bounds(**_known(Bounds, raw.get("Bounds", {}))),
+        bounds=Bounds(**_known_fields(Bounds, raw.get("Bounds", {}))),
         cloud_api=parse_address(cloud.get("Address")),
         cloud_rate_per_s=cloud.get("RatePerS", 10.0),
         cloud_lag_ms=cloud.get("LagMs", 0),
@@ -257,39 +262,45 @@
 
 
 class SettingsFile:
-    """The file on disk, looked at again now and then: it may change with SIGHUP or without a signal."""
+    """The file on disk, polled for changes: it may be rewritten with SIGHUP or without a signal."""
 
-    LOOK = 2.0  # s between looks
+    CHECK_INTERVAL_S = 2.0
 
     def __init__(self, path: str | os.PathLike[str] | None) -> None:
         """None: there is no file, and nothing ever changes."""
-        self.path = path
-        self.mark = self._mark()
-        self.look_at = 0.0
+        self._path = path
+        self._fingerprint = self._current_fingerprint()
+        self._next_check_at = 0.0  # steady seconds
 
-    def _mark(self) -> tuple[int, int] | None:
+    def _current_fingerprint(self) -> tuple[int, int] | None:
+        """Time of change in ns and size in bytes; None if the file can't be found."""
+        if self._path is None:
+            return None
         try:
-            found = os.stat(self.path) if self.path is not None else None
+            status = os.stat(self._path)
         except OSError:
             return None
-        return (found.st_mtime_ns, found.st_size) if found else None
+        return status.st_mtime_ns, status.st_size
+
+    def request_reload(self) -> None:
+        """SIGHUP: the next poll reads the file, whether it looks changed or not."""
+        self._fingerprint, self._next_check_at = None, 0.0
 
-    def hurry(self) -> None:
-        """SIGHUP: the next look reads it, changed by its mark or not."""
-        self.mark, self.look_at = None, 0.0
+    def poll(self, now: float) -> Settings | None:
+        """New settings if the file was written since they were last read; else None. `now` in steady seconds.
 
-    def changed(self, now: float) -> Settings | None:
-        """New settings if the file was written since the last look and can be read; else None. One that can't
-        be read now is read again at the next look: what is in force stays so."""
-        if self.path is None or now < self.look_at:
+        The file is checked every CHECK_INTERVAL_S at most. One that can't be read or is not valid is read
+        again at the next check: the settings in force stay so.
+        """
+        if self._path is None or now < self._next_check_at:
             return None
-        self.look_at = now + self.LOOK
-        mark = self._mark()
-        if mark is None or mark == self.mark:
+        self._next_check_at = now + self.CHECK_INTERVAL_S
+        fingerprint = self._current_fingerprint()
+        if fingerprint is None or fingerprint == self._fingerprint:
             return None
         try:
-            settings = load(self.path)
+            settings = load(self._path)
         except SettingsInvalidError:
             return None
-        self.mark = mark
+        self._fingerprint = fingerprint
         return settings
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -16,25 +16,25 @@
     counters = Counters()
     counters.add("request-late", 2)
     counters.add("clients", 1)
-    group = counters.under("clients")
+    group = counters.group("clients")
     group["request-late"] = group.get("request-late", 0) + 1
     group["request-late"] = group.get("request-late", 0) + 1
     assert counters.get("clients.request-late") == group["request-late"] == 2
     assert counters.snapshot() == {"request-late": 2, "clients": 1, "clients.request-late": 2}
-    assert counters.lines() == [
+    assert counters.changed_lines() == [
         "counter=clients total=1 change=1",
         "counter=clients.request-late total=2 change=2",
         "counter=request-late total=2 change=2",
     ]
     counters.add("clients.request-late")
     assert group["request-late"] == 3
-    assert counters.lines() == ["counter=clients.request-late total=3 change=1"]
+    assert counters.changed_lines() == ["counter=clients.request-late total=3 change=1"]
 
 
 def test_a_group_is_a_mapping_of_its_own_counts_only() -> None:
     counters = Counters()
     counters.add("links.renewed")
-    group = counters.under("clients")
+    group = counters.group("clients")
     assert dict(group) == {} and not group
     with pytest.raises(KeyError):
         group["renewed"]
@@ -63,7 +63,7 @@
     counters = Counters()
 
     async def play(handler: Callable[[Exchange], None]) -> None:
-        server = Server(handler, counters=counters.under("clients"))
+        server = Server(handler, counters=counters.group("clients"))
         await server.listen(("127.0.0.1", 0))
         reader, writer = await asyncio.open_connection(*server.address())
         writer.write(sent)
@@ -72,4 +72,4 @@
         server.end()
 
     asyncio.run(asyncio.wait_for(play(fail), PATIENCE))
-    assert counters.lines() == [f"counter=clients.{code} total=1 change=1"]
+    assert counters.changed_lines() == [f"counter=clients.{code} total=1 change=1"]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -179,26 +179,26 @@
     counters.add("a", 5)
     shown = counters.snapshot()
     assert shown == {"a": 5, "b": 1} and counters.get("never") == 0
-    assert counters.lines() == ["counter=a total=5 change=5", "counter=b total=1 change=1"]
+    assert counters.changed_lines() == ["counter=a total=5 change=5", "counter=b total=1 change=1"]
     counters.add("b", 2)
     assert shown["b"] == 1
-    assert counters.lines() == ["counter=b total=3 change=2"]
-    assert counters.lines() == []
+    assert counters.changed_lines() == ["counter=b total=3 change=2"]
+    assert counters.changed_lines() == []
 
 
 def test_a_file_that_was_written_anew_is_read_at_the_next_look(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(LEAST)
     file = SettingsFile(path)
-    assert file.changed(0.0) is None
+    assert file.poll(0.0) is None
     path.write_text(LEAST + 'SeedAddresses = ["10.0.0.9:5"]\n')
-    assert file.changed(SettingsFile.LOOK / 2) is None  # not looked at yet
-    changed = file.changed(SettingsFile.LOOK)
+    assert file.poll(SettingsFile.CHECK_INTERVAL_S / 2) is None  # not checked yet
+    changed = file.poll(SettingsFile.CHECK_INTERVAL_S)
     assert changed is not None and changed.seeds == ["10.0.0.9:1"]
-    assert file.changed(2 * SettingsFile.LOOK) is None
+    assert file.poll(2 * SettingsFile.CHECK_INTERVAL_S) is None
     # After SIGHUP it is read at once, also if nothing shows that it was written.
-    file.hurry()
-    assert file.changed(2 * SettingsFile.LOOK + 0.1) is not None
+    file.request_reload()
+    assert file.poll(2 * SettingsFile.CHECK_INTERVAL_S + 0.1) is not None
 
 
 def test_a_file_that_cannot_be_read_changes_nothing_and_is_tried_again(tmp_path: Path) -> None:
@@ -206,10 +206,10 @@
     path.write_text(LEAST)
     file = SettingsFile(path)
     path.write_text("NodeName = ")
-    assert file.changed(10.0) is None
+    assert file.poll(10.0) is None
     path.unlink()
-    assert file.changed(20.0) is None
+    assert file.poll(20.0) is None
     path.write_text(LEAST + 'Zone = "z"\n')
-    changed = file.changed(30.0)
+    changed = file.poll(30.0)
     assert changed is not None and changed.zone == "z"
-    assert SettingsFile(None).changed(1e9) is None
+    assert SettingsFile(None).poll(1e9) is None
