--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -85,7 +85,7 @@
     # Steps.
 
     def installed(self, view: View) -> None:
-        self.chain.install(view)
+        self.chain.install_view(view)
         for address, _ in (*view.acceptors, *view.chain):
             self.failure_detector.add_peer(self.now, address)
         voters = [address for address, _ in view.acceptors] if self.me in view.acceptors else []
@@ -99,7 +99,7 @@
             self.failure_detector.add_peer(now, address)
         self.bootstrap.tick(now)
         view = self.view_agreement.view
-        present = self.chain.position is not None
+        present = self.chain.role.is_member()
         synced = (
             self.chain.synced_index if present else min(self.chain.synced_index, self.chain.committed_index)
         )
@@ -187,7 +187,7 @@
     def fresh(self, now: float) -> bool:
         """Whether what this registrar has is the newest, as far as a majority in touch shows."""
         view = self.view_agreement.view
-        if view is None or self.chain.position is None:
+        if view is None or self.chain.role.is_learner():
             return False
         if not self.failure_detector.has_quorum_of_reported_views(now, view.acceptors):
             return False
