--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -151,13 +151,13 @@
                 self.mesh.send_all(SubscriberReport(self.publisher.live_subscribers(now)).to_wire())
                 self.mesh.want(set(self.core.failure_detector.peers))
             if counters_timer.is_due(now):
-                for line in self.counters.lines():
+                for line in self.counters.changed_lines():
                     log.info(line)
             await asyncio.sleep(STEP_INTERVAL_S)
 
     def _step(self, now: float) -> None:
         self.core.disk_unhealthy = self.durable_state.is_unhealthy(now)
-        if (changed := self.settings_file.changed(now)) is not None:
+        if (changed := self.settings_file.poll(now)) is not None:
             self.core.set_seeds(changed.seeds)
         self.core.tick(now)
         self.operator_api.forwarder.tick(now)
@@ -181,7 +181,7 @@
         """Until SIGTERM, and the shutdown after it. An error of any loop ends the process with it."""
         await self._start_listening()
         self.loop.add_signal_handler(signal.SIGTERM, self.stop_requested.set)
-        self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.hurry)
+        self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.request_reload)
         self.roles.campaign()
         incarnation = self.durable_state.incarnation
         log.info(logs.words("started", node=self.settings.node_name, incarnation=incarnation))
@@ -198,7 +198,7 @@
         await self.durable_state.wait_for_incarnation()
         await self.mesh.listen(self.settings.internal_address)
         if self.settings.control_plane is not None:
-            self.operator_server = Server(self.operator_api.handle, counters=self.counters.under("clients"))
+            self.operator_server = Server(self.operator_api.handle, counters=self.counters.group("clients"))
             await self.operator_server.listen(self.settings.control_plane)
 
     async def _shut_down(self) -> None:
