--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -131,7 +131,7 @@
     began = registrar.loop.time()
     await soon(registrar.hand_over())
     assert registrar.loop.time() - began < SHUTDOWN_RESERVE_S
-    assert registrar.core.membership.leaving
+    assert registrar.core.membership.draining
     assert registrar.counters.get("leave.incomplete") == 0
     registrar.durable_state.close()
 
