--- a/plumline/router/admission.py
+++ b/plumline/router/admission.py
@@ -80,7 +80,7 @@
         return denied(router, 401, "no-tenant")
     now = router.clock()
     service = route.pick(router.chance)
-    router.budget.request(now, service)
+    router.budget.record_request(now, service)
     prompt = read_prompt(exchange.headers, router.shortest_aims.get(service, route.aim_ms))
     ms = prompt.tokens / READ_RATE, prompt.work_ms
     standing = router.shares.ask(now, service, owner_of(tenant), ms, fleet.routers)
--- a/plumline/router/following.py
+++ b/plumline/router/following.py
@@ -1,6 +1,6 @@
 """Follows the feed: keeps `Fleet` what the core has committed, from two registrars at a time.
 
-Which two, a ring names (rendezvous hash of this router over the registrars, in two zones where it can); they
+Which two, a rendezvous hash names (of this router over the registrars, in two zones where it can); they
 are also this router's watchers, to which its heartbeats go. A source that is silent or not fresh is left for
 the next best.
 
@@ -19,7 +19,7 @@
 from plumline.configuration.document import Document
 from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.routes import RouteTable
-from plumline.coordination.ring import Candidate, watchers
+from plumline.coordination.rendezvous import Candidate, choose_across_zones
 from plumline.coordination.soft_state import SoftState
 from plumline.counters import Counters
 from plumline.errors import FrameError, PlumlineError
@@ -103,9 +103,11 @@
     # Sources.
 
     def candidates(self, now: float) -> list[str]:
-        """Best first: the ring's order over the registrars that are known, or the seeds before any told."""
+        """Best first: by rendezvous hash over the known registrars, before any are known over the seeds."""
         known = dict(self.registrars) or {each: "" for each in self.seeds}
-        order = watchers(self.settings.node_name, [Candidate(a, z) for a, z in known.items()], len(known))
+        order = choose_across_zones(
+            self.settings.node_name, [Candidate(a, z) for a, z in known.items()], len(known)
+        )
         spare = [each for each in self.seeds if each not in known]
         random.shuffle(spare)
         order += spare
--- a/plumline/router/job.py
+++ b/plumline/router/job.py
@@ -95,7 +95,7 @@
                 await asyncio.sleep(wait)
                 continue
             if progress.sends and not progress.granted:
-                if not router.budget.may_repeat(now, request.service, router.fleet.routers):
+                if not router.budget.try_spend(now, request.service, router.fleet.routers):
                     self.count("over-budget")
                     break
                 progress.granted = True
--- a/plumline/router/state.py
+++ b/plumline/router/state.py
@@ -9,8 +9,8 @@
 
 from plumline import logs
 from plumline.configuration.routes import Service
-from plumline.coordination import ring
-from plumline.coordination.budget import RetryBudget
+from plumline.coordination import rendezvous
+from plumline.coordination.retry_budget import RetryBudget
 from plumline.counters import Counters
 from plumline.prompts.index import Placement, PromptIndex
 from plumline.prompts.news import Done, Placed, Read, Stored, news_from
@@ -39,13 +39,13 @@
 
 
 class Budget(Protocol):
-    """What bounds second sends, see `plumline.coordination.budget`."""
+    """What bounds second sends, see `plumline.coordination.retry_budget`."""
 
-    def request(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         """A request for the service has come."""
 
-    def may_repeat(self, now: float, service: str, routers: int) -> bool:
-        """Whether one more send beyond the first is granted; if so, it counts as made."""
+    def try_spend(self, now: float, service: str, routers: int) -> bool:
+        """Whether one more send beyond the first is allowed; if so, it counts as made."""
 
 
 def retry_budget(settings: Settings, now: float) -> RetryBudget:
@@ -245,7 +245,7 @@
             and not self.outcomes.is_open(store_key(each.store_address))
         ]
         if len(up) > 1:
-            name = ring.choose(parts[-2][0] if len(parts) > 1 else "", up)
+            name = rendezvous.choose(parts[-2][0] if len(parts) > 1 else "", up)
         else:
             name = up[0] if up else None
         return stores[name] if name is not None else None
--- a/plumline/routing/lanes.py
+++ b/plumline/routing/lanes.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from plumline.coordination.ring import weight
+from plumline.coordination.rendezvous import weight
 from plumline.prompts.parts import Part
 
 LONG_SHARE = 1 / 8  # of the service's shortest aim: a prompt that takes longer to read is a long one
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -117,10 +117,10 @@
     def __init__(self, repeats: int = 99) -> None:
         self.repeats, self.requests = repeats, 0
 
-    def request(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         self.requests += 1
 
-    def may_repeat(self, now: float, service: str, routers: int) -> bool:
+    def try_spend(self, now: float, service: str, routers: int) -> bool:
         self.repeats -= 1
         return self.repeats >= 0
 
--- a/tests/test_ring.py
+++ b/tests/test_rendezvous.py
@@ -8,13 +8,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plumline.coordination.ring import Candidate, choose, watchers, weight
+from plumline.coordination.rendezvous import Candidate, choose, choose_across_zones, weight
 
 NAMES = st.lists(st.text("abcdef0123", min_size=1, max_size=4), min_size=1, max_size=8, unique=True)
 
 
 def test_weight_does_not_depend_on_the_process() -> None:
-    code = "from plumline.coordination.ring import weight; print(weight('key', 'name'))"
+    code = "from plumline.coordination.rendezvous import weight; print(weight('key', 'name'))"
     seen = {
         subprocess.run(
             [sys.executable, "-c", code],
@@ -47,24 +47,24 @@
 
 
 @given(st.text(max_size=5), NAMES, st.data())
-def test_watchers_differ_in_zone_where_they_can(node: str, names: list[str], data: st.DataObject) -> None:
+def test_choices_differ_in_zone_where_they_can(node: str, names: list[str], data: st.DataObject) -> None:
     candidates = [Candidate(name, data.draw(st.sampled_from("xyz"))) for name in names]
     zones = dict(candidates)
-    found = watchers(node, candidates)
+    found = choose_across_zones(node, candidates)
     assert len(found) == len(set(found)) == min(2, len(names))
     assert found[0] == choose(node, names)
     if len(set(zones.values())) > 1:
         assert zones[found[0]] != zones[found[1]]
     for gone in set(names) - set(found):
-        assert watchers(node, [each for each in candidates if each.name != gone]) == found
+        assert choose_across_zones(node, [each for each in candidates if each.name != gone]) == found
 
 
-def test_three_watchers_in_two_zones() -> None:
+def test_three_choices_in_two_zones() -> None:
     candidates = [Candidate("a", "x"), Candidate("b", "x"), Candidate("c", "y")]
-    found = watchers("node", candidates, 3)
+    found = choose_across_zones("node", candidates, 3)
     assert sorted(found) == ["a", "b", "c"]
     assert "c" in found[:2]
-    assert watchers("node", [], 2) == []
+    assert choose_across_zones("node", [], 2) == []
 
 
 def test_load_is_spread() -> None:
--- a/tests/test_budget.py
+++ b/tests/test_retry_budget.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from plumline.coordination.budget import RetryBudget
+from plumline.coordination.retry_budget import RetryBudget
 
 RATIO, WINDOW_S, SLACK = 0.2, 10.0, 58.0
 
@@ -55,10 +55,10 @@
         if budget is None:
             continue
         requests.append(now)
-        budget.request(now, "chat")
+        budget.record_request(now, "chat")
         seen_at = now - random.uniform(0.0, 2.0)
         known = next((count for time, count in reversed(history) if time <= seen_at), routers)
-        while random.random() < hunger and budget.may_repeat(now, "chat", known):
+        while random.random() < hunger and budget.try_spend(now, "chat", known):
             repeats.append(now)
     return requests, repeats
 
@@ -89,9 +89,9 @@
     for budget, at in zip(budgets, (first, first + random.uniform(5.0, 12.0)), strict=True):
         for _ in range(200):
             requests.append(at)
-            budget.request(at, "chat")
+            budget.record_request(at, "chat")
         spend_at = at + random.uniform(0.0, 5.0)
-        while budget.may_repeat(spend_at, "chat", 2):
+        while budget.try_spend(spend_at, "chat", 2):
             repeats.append(spend_at)
     assert worst_overdraft(requests, repeats, WINDOW_S, RATIO, 0.0) <= 1e-9
 
@@ -101,28 +101,28 @@
     taken = 0
     for step in range(10_000):
         now = step * 0.01
-        budget.request(now, "chat")
-        taken += budget.may_repeat(now, "chat", 3)
+        budget.record_request(now, "chat")
+        taken += budget.try_spend(now, "chat", 3)
     assert 0.45 * RATIO * 10_000 < taken <= 0.48 * RATIO * 10_000
 
 
 def test_services_are_apart() -> None:
     budget = RetryBudget(RATIO, WINDOW_S, 0.0, 0.0, fresh_system=True)
     for _ in range(100):
-        budget.request(1.0, "chat")
-    assert not budget.may_repeat(1.0, "mail", 1)
-    assert budget.may_repeat(1.0, "chat", 1)
+        budget.record_request(1.0, "chat")
+    assert not budget.try_spend(1.0, "mail", 1)
+    assert budget.try_spend(1.0, "chat", 1)
 
 
 def test_a_restarted_router_takes_its_part_of_the_slack_as_spent() -> None:
     budget = RetryBudget(RATIO, WINDOW_S, SLACK, 100.0)
-    assert not budget.may_repeat(110.0, "chat", 3)
-    assert budget.may_repeat(112.0, "chat", 3)
+    assert not budget.try_spend(110.0, "chat", 3)
+    assert budget.try_spend(112.0, "chat", 3)
 
 
 def test_the_slack_is_shared_among_the_most_routers_of_the_last_window() -> None:
     budget = RetryBudget(RATIO, WINDOW_S, SLACK, 0.0, fresh_system=True)
-    assert budget.may_repeat(1.0, "chat", 20)  # 0.8 * 58 / 22: two
-    assert budget.may_repeat(8.0, "chat", 1)
-    assert not budget.may_repeat(8.0, "chat", 1)
-    assert budget.may_repeat(30.0, "chat", 1)
+    assert budget.try_spend(1.0, "chat", 20)  # 0.8 * 58 / 22: two
+    assert budget.try_spend(8.0, "chat", 1)
+    assert not budget.try_spend(8.0, "chat", 1)
+    assert budget.try_spend(30.0, "chat", 1)
--- a/tests/wire_world.py
+++ b/tests/wire_world.py
@@ -109,10 +109,10 @@
 
     granted: int = 0
 
-    def request(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         pass
 
-    def may_repeat(self, now: float, service: str, routers: int) -> bool:
+    def try_spend(self, now: float, service: str, routers: int) -> bool:
         self.granted += 1
         return True
 
