--- a/plumline/router/admission.py
+++ b/plumline/router/admission.py
@@ -81,7 +81,7 @@
         return denied(router, 401, "no-tenant")
     now = router.clock()
     service = route.choose_service(router.chance)
-    router.budget.request(now, service)
+    router.budget.record_request(now, service)
     prompt = read_prompt(
         exchange.headers, router.shortest_latency_targets.get(service, route.latency_target_ms)
     )
