--- a/plumline/registrar/discovery.py
+++ b/plumline/registrar/discovery.py
@@ -1,34 +1,35 @@
-"""The job of the `discovery` lease: asks the platform for its list of endpoints and tells it to the fleet."""
+"""The singleton job of the `discovery` lease: reads the platform's list of endpoints and publishes it."""
 
 import asyncio
 import random
 import time
-from collections.abc import Callable
-from typing import Any, Protocol
+from collections.abc import Callable, Sequence
+from typing import Any, NamedTuple, Protocol
 from urllib.parse import urlencode
 
 from plumline.errors import PlumlineError
 from plumline.registrar.wakeups import Wait, wait_for
+from plumline.routing.fleet_state import ListedEndpoint
 from plumline.wire import calls
 from plumline.wire.calls import Answer, CallFailedError, CallWithdrawnError
 from plumline.wire.http import Address, address_from, decimal
 
 MIN_INTERVAL_S, MAX_INTERVAL_S = 0.4, 1.2  # from the begin of one read to that of the next
+READS_PER_DRAIN = 3  # the interval follows the time that an endpoint takes to drain
 REPUBLISH_INTERVAL_S = 5.0  # an unchanged list is published again after this
 MIN_REFRESH_INTERVAL_S = 1.0  # between two reads that `refresh_soon` brings forward
 INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.3, 3.0
 RATE_SHARE = 0.7  # of the platform's rate: the rest is for a predecessor whose last calls are still out
+MIN_RATE_PER_S = 0.1
 STANDBY_INTERVAL_S = 0.5  # between two looks at a lease that another holds, unless woken
 CALL_TIMEOUT_S = 1.0
 MAX_PAGES = 1000  # a list that goes on for longer goes round in circles
 MAX_RESTARTS = 2  # reads begun anew in one go because a page token was refused
 TOKEN_REFUSED_STATUSES = frozenset({400, 404, 410})
 
-#: What reading JSON of another shape than the pages' raises; int() of an infinite number among it.
+#: What reading JSON of an unexpected shape raises; int() of an infinite number among it.
 MALFORMED_BODY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
-EndpointList = list[dict[str, Any]]
-
 
 class ListInvalidError(PlumlineError):
     """The platform's answer is no page of a list of endpoints."""
@@ -56,118 +57,143 @@
     """The bounds of the deployment that this job needs."""
 
     @property
-    def drain_ms(self) -> float: ...
+    def drain_ms(self) -> float:
+        """Time that a draining endpoint stays listed."""
 
 
 class DiscoverySettings(Protocol):
     """What this job needs of plumline.settings.Settings."""
 
     @property
-    def cloud_api(self) -> Address | None: ...
+    def cloud_api(self) -> Address | None:
+        """The platform's API; None: there is none, and nothing is read."""
+
     @property
-    def cloud_rate_per_s(self) -> float: ...
+    def cloud_rate_per_s(self) -> float:
+        """Calls a second that the platform allows."""
+
     @property
-    def bounds(self) -> DiscoveryBounds: ...
+    def bounds(self) -> DiscoveryBounds:
+        """The bounds of the deployment."""
+
+
+class DiscoveryEnvironment(Protocol):
+    """What the discovery needs of the registrar that it runs in."""
+
+    def may_read(self) -> bool:
+        """Whether this registrar is to read the list at this moment."""
+
+    def publish(self, endpoints: Sequence[ListedEndpoint]) -> None:
+        """Publishes a complete list."""
 
 
-def parse_model_versions(items: Any) -> dict[str, int]:  # noqa: ANN401
+class ListPage(NamedTuple):
+    """One page of the platform's list."""
+
+    endpoints: list[ListedEndpoint]
+    next_token: str | None  # None on the last page
+
+
+def parse_model_versions(items: Any) -> dict[str, int]:  # noqa: ANN401 (any JSON)
     """The versions by model in `Models` of a list or a report. Raises MALFORMED_BODY_ERRORS."""
     return {str(item[calls.NAME]): int(item.get(calls.VERSION, 1)) for item in items or ()}
 
 
-def parse_endpoint(item: Any) -> dict[str, Any]:  # noqa: ANN401
-    """One dict of a roster (see plumline.routing.fleet_state) from an entry of the platform's list."""
+def parse_endpoint(item: Any) -> ListedEndpoint:  # noqa: ANN401 (any JSON)
+    """The endpoint of an entry of the platform's list. Raises MALFORMED_BODY_ERRORS."""
     address = item[calls.ADDRESS]
     address_from(address)
-    return {
-        "id": str(item[calls.IDENTIFIER]),
-        "service": str(item[calls.SERVICE]),
-        "address": address,
-        "zone": str(item.get(calls.ZONE) or ""),
-        "slots": int(item.get(calls.CAPACITY_SLOTS) or 1),
-        "draining": item.get(calls.STATE, "ready") == "draining",
-        "cold_ms": float(item.get(calls.COLD_REMAINING_MS) or 0),
-        "models": parse_model_versions(item.get(calls.MODELS)),
-    }
+    return ListedEndpoint(
+        id=str(item[calls.IDENTIFIER]),
+        service=str(item[calls.SERVICE]),
+        address=address,
+        zone=str(item.get(calls.ZONE) or ""),
+        slots=int(item.get(calls.CAPACITY_SLOTS) or 1),
+        draining=item.get(calls.STATE, "ready") == "draining",
+        cold_ms=float(item.get(calls.COLD_REMAINING_MS) or 0),
+        models=parse_model_versions(item.get(calls.MODELS)),
+    )
 
 
-def parse_page(page: Any) -> tuple[EndpointList, str | None]:  # noqa: ANN401
-    """The endpoints of one page and the token of the next, None on the last. Raises ListInvalidError.
+def parse_page(body: Any) -> ListPage:  # noqa: ANN401 (any JSON)
+    """The page that the body is. Raises ListInvalidError.
 
     One entry that can't be read refuses the page: a list without it would say that the endpoint is gone.
     """
     try:
-        entries = [parse_endpoint(item) for item in page[calls.INSTANCES]]
-        token = page.get(calls.NEXT_TOKEN)
+        endpoints = [parse_endpoint(item) for item in body[calls.INSTANCES]]
+        next_token = body.get(calls.NEXT_TOKEN)
     except MALFORMED_BODY_ERRORS as error:
         raise ListInvalidError(f"{type(error).__name__}: {error}") from None
-    if token is not None and not isinstance(token, str):
-        raise ListInvalidError(f"NextToken is {token!r}")
-    return entries, token or None
+    if next_token is not None and not isinstance(next_token, str):
+        raise ListInvalidError(f"NextToken is {next_token!r}")
+    return ListPage(endpoints, next_token or None)
 
 
-def comparable(endpoints: EndpointList) -> dict[str, dict[str, Any]]:
-    """What makes two lists differ: order doesn't, and a cold time only by whether it is over."""
-    return {each["id"]: each | {"cold_ms": each["cold_ms"] > 0} for each in endpoints}
+def parse_retry_after(text: str) -> float:
+    """`Retry-After` in s, fractions included; 0 if it says nothing."""
+    return decimal(text) or 0.0
 
 
-class EndpointDiscovery:
-    """Reads the whole list again and again while `may_act()`; `publish` gets whole lists only.
+def comparable(endpoints: Sequence[ListedEndpoint]) -> dict[str, ListedEndpoint]:
+    """What makes two lists differ: order doesn't, and a warm-up time only by whether it is over."""
+    return {endpoint.id: endpoint._replace(cold_ms=float(endpoint.cold_ms > 0)) for endpoint in endpoints}
 
-    `clock` is steady time in s. `wake()` when the lease is won or lost, `refresh_soon()` when an endpoint
-    vanished.
-    """
+
+class EndpointDiscovery:
+    """Reads the list again and again while the environment allows it, and publishes complete lists only."""
 
     def __init__(
         self,
         settings: DiscoverySettings,
         caller: calls.Caller,
-        may_act: Callable[[], bool],
-        publish: Callable[[EndpointList], None],
+        environment: DiscoveryEnvironment,
         clock: Callable[[], float] = time.monotonic,
         *,
         wait: Wait = wait_for,
         jitter: Callable[[], float] = random.random,
     ) -> None:
-        self.settings, self.caller = settings, caller
-        self.may_act, self.publish = may_act, publish
+        """`clock` is steady time in s; `jitter` gives a number from 0 to 1 at each backoff."""
+        self.settings, self.caller, self.environment = settings, caller, environment
         self.clock, self.wait, self.jitter = clock, wait, jitter
-        self.interval_s = min(MAX_INTERVAL_S, max(MIN_INTERVAL_S, settings.bounds.drain_ms / 3000))
-        self.spacing_s = 1 / (RATE_SHARE * max(settings.cloud_rate_per_s, 0.1))
-        self.lease_held = False
+        self.interval_s = min(
+            MAX_INTERVAL_S, max(MIN_INTERVAL_S, settings.bounds.drain_ms / (READS_PER_DRAIN * 1000))
+        )
+        self.spacing_s = 1 / (RATE_SHARE * max(settings.cloud_rate_per_s, MIN_RATE_PER_S))
+        self.active = False  # at the last look
         self.refresh_requested = False
         self.failures = 0  # in a row
         self.next_read_at = 0.0
-        self.next_refresh_at = 0.0
+        self.next_refresh_at = 0.0  # `refresh_soon` brings no read before
         self.next_call_at = 0.0  # the platform's rate allows no call before
-        self.published: dict[str, dict[str, Any]] | None = None  # comparable form of the list published last
+        self.published: dict[str, ListedEndpoint] | None = None  # comparable form, since the lease was won
         self.published_at = 0.0
         self._event = asyncio.Event()
         self._never = asyncio.Event()
 
     def wake(self) -> None:
-        """The lease was won or lost."""
+        """Brings the next look: the lease was won or lost."""
         self._event.set()
 
     def refresh_soon(self) -> None:
-        """An endpoint is said to be gone: one extra read, at most one in MIN_REFRESH_INTERVAL_S."""
+        """Brings an extra read, as an endpoint seems to be gone; at most one in MIN_REFRESH_INTERVAL_S."""
         self.refresh_requested = True
         self._event.set()
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Polls until cancelled."""
         while True:
             self._event.clear()
             await self.wait(self._event, await self.poll())
 
     async def poll(self) -> float:
-        """One look, with a read if one is due; returns for how long (s) there is nothing to do."""
-        if self.settings.cloud_api is None or not self.may_act():
-            self.lease_held = False
+        """Reads and publishes the list if that is due. Returns the time (s) to the next look."""
+        if self.settings.cloud_api is None or not self.environment.may_read():
+            self.active = False
             return STANDBY_INTERVAL_S
         now = self.clock()
-        if not self.lease_held:
-            self.lease_held, self.refresh_requested, self.failures = True, False, 0
+        if not self.active:
+            self.active, self.refresh_requested, self.failures = True, False, 0
             self.next_read_at, self.published = now, None
         if self.refresh_requested and not self.failures:
             self.next_read_at = min(self.next_read_at, max(now, self.next_refresh_at))
@@ -179,29 +205,37 @@
             endpoints = await self.fetch_endpoints()
         except CallWithdrawnError:
             return 0.0
-        except (CallFailedError, ListInvalidError, ListRefusedError) as error:
-            self.failures += 1
-            delay = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(self.failures - 1, 8))
-            delay = max(
-                delay * (0.75 + self.jitter() / 2), min(getattr(error, "retry_after_s", 0.0), MAX_BACKOFF_S)
-            )
-            self.next_read_at = self.clock() + delay
-            return delay
+        except ListRefusedError as error:
+            return self._back_off(error.retry_after_s)
+        except (CallFailedError, ListInvalidError):
+            return self._back_off()
         self.failures = 0
         self._publish_if_due(endpoints)
         self.next_read_at = max(now + self.interval_s, self.clock() + self.spacing_s)
         return self.next_read_at - self.clock()
 
-    def _publish_if_due(self, endpoints: EndpointList) -> None:
-        if not self.may_act():
+    def _back_off(self, retry_after_s: float = 0.0) -> float:
+        """Puts the next read off after a failed one. Returns the time (s) until then."""
+        self.failures += 1
+        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(self.failures - 1, 8))
+        jittered_s = backoff_s * (0.75 + self.jitter() / 2)
+        delay_s = max(jittered_s, min(retry_after_s, MAX_BACKOFF_S))
+        self.next_read_at = self.clock() + delay_s
+        return delay_s
+
+    def _publish_if_due(self, endpoints: Sequence[ListedEndpoint]) -> None:
+        if not self.environment.may_read():
             return
         now, listed = self.clock(), comparable(endpoints)
         if listed != self.published or now >= self.published_at + REPUBLISH_INTERVAL_S:
             self.published, self.published_at = listed, now
-            self.publish(endpoints)
+            self.environment.publish(endpoints)
+
+    async def fetch_endpoints(self) -> list[ListedEndpoint]:
+        """The complete list. Nothing of a read that fails is used.
 
-    async def fetch_endpoints(self) -> EndpointList:
-        """All pages. Raises what `_fetch_page` does; nothing of a read that fails is used."""
+        Raises CallFailedError, CallWithdrawnError, ListInvalidError, ListRefusedError.
+        """
         for _ in range(MAX_RESTARTS):
             try:
                 return await self._fetch_pages()
@@ -209,19 +243,20 @@
                 continue
         return await self._fetch_pages()
 
-    async def _fetch_pages(self) -> EndpointList:
-        found: dict[str, dict[str, Any]] = {}
+    async def _fetch_pages(self) -> list[ListedEndpoint]:
+        endpoints: dict[str, ListedEndpoint] = {}
         token: str | None = None
         for _ in range(MAX_PAGES):
-            entries, token = parse_page((await self._fetch_page(token)).json)
-            found |= {each["id"]: each for each in entries}
+            page = parse_page((await self._fetch_page(token)).json)
+            endpoints |= {endpoint.id: endpoint for endpoint in page.endpoints}
+            token = page.next_token
             if token is None:
-                return list(found.values())
+                return list(endpoints.values())
         raise ListInvalidError("the list does not end")
 
     async def _fetch_page(self, token: str | None) -> Answer:
-        if (delay := self.next_call_at - self.clock()) > 0:
-            await self.wait(self._never, delay)
+        if (delay_s := self.next_call_at - self.clock()) > 0:
+            await self.wait(self._never, delay_s)
         self.next_call_at = self.clock() + self.spacing_s
         assert self.settings.cloud_api is not None
         answer = await self.caller.call(
@@ -235,15 +270,10 @@
             return answer
         if token and answer.status in TOKEN_REFUSED_STATUSES:
             raise TokenRefusedError(answer.status)
-        raise ListRefusedError(
-            answer.status, parse_retry_after(answer.headers.get(calls.RETRY_AFTER.lower(), ""))
-        )
+        retry_after = answer.headers.get(calls.RETRY_AFTER.lower(), "")
+        raise ListRefusedError(answer.status, parse_retry_after(retry_after))
 
     def _require_lease(self) -> None:
-        if not self.may_act():  # asked at the moment of sending: a process may have been frozen meanwhile
+        """Asked at the moment of sending: the process may have been frozen since the last look."""
+        if not self.environment.may_read():
             raise CallWithdrawnError("the lease is over")
-
-
-def parse_retry_after(text: str) -> float:
-    """`Retry-After` in s, fractions included; 0 if it says nothing."""
-    return decimal(text) or 0.0
--- a/plumline/registrar/rollout/reports.py
+++ b/plumline/registrar/rollout/reports.py
@@ -1,4 +1,4 @@
-"""What an endpoint's `GET /report` says about the roll-out of versions."""
+"""What an endpoint's `GET /report` says about the versions that it has."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,21 +9,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointReport:
-    """What `GET /report` says here: versions by model, whether an order is under way, and how many orders the
-    endpoint has taken since its start (None if it doesn't say)."""
+    """The part of a report that the roll-out needs."""
 
-    models: dict[str, int]
-    busy: bool
-    call_sequence: int | None = None
+    models: dict[str, int]  # version by model
+    busy: bool  # an order is in progress
+    call_sequence: int | None = None  # orders taken since the endpoint's start, None if it doesn't say
 
 
-def parse_report(body: Any) -> EndpointReport | None:  # noqa: ANN401
-    """None if the body is no report."""
+def parse_report(body: Any) -> EndpointReport | None:  # noqa: ANN401 (any JSON)
+    """The report that the body is, None if it is none."""
     try:
         taken = body.get(calls.CALL_SEQUENCE)
-        known = isinstance(taken, int) and not isinstance(taken, bool)
+        is_count = isinstance(taken, int) and not isinstance(taken, bool)
         return EndpointReport(
-            parse_model_versions(body[calls.MODELS]), bool(body[calls.BUSY]), taken if known else None
+            models=parse_model_versions(body[calls.MODELS]),
+            busy=bool(body[calls.BUSY]),
+            call_sequence=taken if is_count else None,
         )
     except MALFORMED_BODY_ERRORS:
         return None
--- /dev/null
+++ b/plumline/registrar/singleton_environments.py
@@ -0,0 +1,160 @@
+"""What the singleton roles see of the registrar that they run in: lease, configuration and soft state.
+
+What a role finds is published as soft state under its lease's fencing token, which is asked at every act: a
+lease can end at any moment.
+"""
+
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any
+
+from plumline.configuration.document import Document
+from plumline.configuration.replicated_state import ReplicatedConfiguration
+from plumline.configuration.route_table import RouteTable
+from plumline.counters import Counters
+from plumline.prompts.index import TOLD_PART
+from plumline.registrar.cache_store_events import StoreEvents
+from plumline.registrar.cache_stores import StoreStatuses
+from plumline.registrar.peer_messages import PromptEvents
+from plumline.registrar.publisher import FeedPublisher
+from plumline.registrar.rollout.plan import RolloutStates
+from plumline.registrar.soft_state_replication import SoftStateReplicator, Topic
+from plumline.routing.fleet_state import ListedEndpoint, RolloutState
+from plumline.wire.http import Address
+from plumline.wire.mesh import Mesh
+
+MAX_EVENTS_PER_MESSAGE = 500  # of a cache store; they are small
+
+#: The fencing token of a role's lease, None unless the lease is held at this moment.
+FencingToken = Callable[[], int | None]
+
+#: What of the configuration is committed here.
+CommittedConfiguration = Callable[[], ReplicatedConfiguration]
+
+
+class RegistrarDiscoveryEnvironment:
+    """The environment of EndpointDiscovery."""
+
+    def __init__(
+        self, token: FencingToken, replicator: SoftStateReplicator, on_published: Callable[[], None]
+    ) -> None:
+        """`on_published()` is called after each list."""
+        self._token, self._replicator, self._on_published = token, replicator, on_published
+
+    def may_read(self) -> bool:
+        """Whether the lease is held, or no list is known, as after a loss of power.
+
+        Nobody can hold the lease for a while then, and routers can do nothing without a list.
+        """
+        return self._token() is not None or not self._list_is_known()
+
+    def publish(self, endpoints: Sequence[ListedEndpoint]) -> None:
+        """Publishes the list; without the lease only where none is known, and to own subscribers only."""
+        value = [endpoint.to_wire() for endpoint in endpoints]
+        if (token := self._token()) is not None:
+            self._replicator.publish(Topic.ENDPOINTS, token, value)
+        elif value and not self._list_is_known():
+            self._replicator.publish_without_lease(Topic.ENDPOINTS, value)
+        self._on_published()
+
+    def _list_is_known(self) -> bool:
+        return self._replicator.soft_state.get(Topic.ENDPOINTS) is not None
+
+
+class RegistrarCacheStoreEnvironment:
+    """The environment of CacheStoreMonitor."""
+
+    def __init__(
+        self,
+        token: FencingToken,
+        configuration: CommittedConfiguration,
+        replicator: SoftStateReplicator,
+        publisher: FeedPublisher,
+        mesh: Mesh,
+        counters: Counters,
+    ) -> None:
+        self._token, self._configuration = token, configuration
+        self._replicator, self._publisher, self._mesh = replicator, publisher, mesh
+        self._counters = counters
+        self._document: Document | None = None  # that the addresses are from
+        self._addresses: dict[str, Address] = {}
+
+    def holds_lease(self) -> bool:
+        """Whether the lease is held at this moment."""
+        return self._token() is not None
+
+    def addresses(self) -> Mapping[str, Address]:
+        """The stores that have an address, by name; worked out once for each configuration."""
+        document = self._configuration().configuration
+        if document is not self._document:
+            self._document = document
+            stores = RouteTable(document).cache_stores if document else {}
+            self._addresses = {
+                name: store.cache_store_address for name, store in stores.items() if store.cache_store_address
+            }
+        return self._addresses
+
+    def publish(self, statuses: StoreStatuses) -> None:
+        """Publishes the statuses, if the lease is still held."""
+        if (token := self._token()) is not None:
+            value = {name: status.to_wire() for name, status in statuses.items()}
+            self._replicator.publish(Topic.CACHE_STORES, token, value)
+
+    def publish_events(self, address: Address, events: StoreEvents) -> None:
+        """Sends a store's events to all routers: evictions, and additions large enough to count."""
+        if events.lost:
+            self._counters.add("stores.events-lost")
+        changes = [
+            change.to_wire()
+            for change in events.changes
+            if change.cached_tokens >= TOLD_PART or change.sign == "-"
+        ]
+        host, port = address
+        # Without changes one message goes out as well: the epoch may be another.
+        for start in range(0, max(len(changes), 1), MAX_EVENTS_PER_MESSAGE):
+            stored = ["stored", events.epoch, changes[start : start + MAX_EVENTS_PER_MESSAGE]]
+            message = PromptEvents(f"{host}:{port}", [stored]).to_wire()
+            self._publisher.forward_prompt_events(message)
+            self._mesh.send_all(message)
+
+
+class RegistrarRolloutEnvironment:
+    """The environment of RolloutController."""
+
+    def __init__(
+        self,
+        token: FencingToken,
+        configuration: CommittedConfiguration,
+        replicator: SoftStateReplicator,
+    ) -> None:
+        self._token, self._configuration, self._replicator = token, configuration, replicator
+        self._decoded: Any = None  # the published value that the endpoints are from
+        self._endpoints: list[ListedEndpoint] = []
+
+    def fencing_token(self) -> int | None:
+        """The fencing token of the lease, None unless it is held at this moment."""
+        return self._token()
+
+    def endpoints(self) -> Sequence[ListedEndpoint]:
+        """The newest list, empty if there is none; decoded once for each list."""
+        value = self._replicator.soft_state.get(Topic.ENDPOINTS)
+        if value is not self._decoded:
+            self._endpoints = [ListedEndpoint.from_wire(item) for item in value or ()]
+            self._decoded = value
+        return self._endpoints
+
+    def desired_versions(self) -> Mapping[str, int]:
+        """The committed versions by model."""
+        return self._configuration().weight_versions
+
+    def publish(self, states: RolloutStates) -> None:
+        """Publishes the states, if the lease is still held."""
+        if (token := self._token()) is not None:
+            value = {endpoint_id: state.to_wire() for endpoint_id, state in states.items()}
+            self._replicator.publish(Topic.ROLLOUT, token, value)
+
+
+def rollout_states_from_wire(value: Any) -> RolloutStates:  # noqa: ANN401 (plain values of a message)
+    """The published states of a roll-out. Raises ValueError for another value."""
+    if not isinstance(value, Mapping) or not all(isinstance(state, Mapping) for state in value.values()):
+        raise ValueError("no states of a roll-out")
+    return {endpoint_id: RolloutState.from_wire(state) for endpoint_id, state in value.items()}
--- a/plumline/registrar/singleton_roles.py
+++ b/plumline/registrar/singleton_roles.py
@@ -8,22 +8,24 @@
 All loops run at each registrar; they do nothing while its lease is held elsewhere.
 """
 
-from collections.abc import Callable, Coroutine, Mapping
+from collections.abc import Callable, Coroutine
 from enum import StrEnum
 from typing import Any
 
 from plumline import logs
-from plumline.configuration.document import Document
-from plumline.configuration.route_table import RouteTable
 from plumline.coordination.core import Core
 from plumline.coordination.lease import LeaseDurations
 from plumline.counters import Counters
-from plumline.prompts.index import TOLD_PART
 from plumline.registrar.cache_stores import CacheStoreMonitor
 from plumline.registrar.discovery import EndpointDiscovery
-from plumline.registrar.peer_messages import PromptEvents
 from plumline.registrar.publisher import FeedPublisher
 from plumline.registrar.rollout.loop import RolloutController
+from plumline.registrar.singleton_environments import (
+    RegistrarCacheStoreEnvironment,
+    RegistrarDiscoveryEnvironment,
+    RegistrarRolloutEnvironment,
+    rollout_states_from_wire,
+)
 from plumline.registrar.soft_state_replication import SoftStateReplicator, Topic
 from plumline.settings import Settings
 from plumline.wire.calls import Caller
@@ -32,8 +34,6 @@
 DISCOVERY_LEASE_S = 1.2  # s; with no rest: the calls of two holders do no harm but their price
 WEIGHTS_LEASE_S = 1.0  # s
 LEASE_REST_MARGIN_S = 0.4  # s added to the rest that the deployment asks for
-MAX_EVENTS_PER_MESSAGE = 500  # of a cache store; they are small
-DELETION_SIGN = "-"  # of a cache store's event
 
 log = logs.logger("registrar")
 
@@ -70,30 +70,41 @@
         clock: Clock,
     ) -> None:
         """`clock()`: s, steady."""
-        self.core, self.replicator, self.publisher, self.mesh = core, replicator, publisher, mesh
-        self.soft_state, self.counters, self.clock = replicator.soft_state, counters, clock
+        self.core, self.clock = core, clock
         self.held_terms: dict[Lease, int | None] = {}  # as they were logged last
-        self.store_addresses = StoreAddresses()
         caller = Caller(clock)
-        self.discovery = EndpointDiscovery(settings, caller, self._may_discover, self._publish_endpoints)
-        self.cache_stores = CacheStoreMonitor(
-            caller,
-            lambda: self.store_addresses.of(core.chain.state.configuration),
-            lambda: self._held_term(Lease.DISCOVERY) is not None,
-            self._publish_cache_stores,
-            clock,
-            on_events=self._publish_store_events,
-        )
         self.rollout = RolloutController(
             caller,
             settings.node_name,
-            lambda: self._held_term(Lease.WEIGHTS),
-            lambda: self.soft_state.get(Topic.ENDPOINTS) or [],
-            lambda: core.chain.state.weight_versions,
-            self._publish_rollout,
+            RegistrarRolloutEnvironment(
+                token=lambda: self._held_term(Lease.WEIGHTS),
+                configuration=lambda: core.chain.state,
+                replicator=replicator,
+            ),
             clock,
             apply_timeout_s=settings.bounds.version_apply_ms / 1000,
         )
+        self.discovery = EndpointDiscovery(
+            settings,
+            caller,
+            RegistrarDiscoveryEnvironment(
+                token=lambda: self._held_term(Lease.DISCOVERY),
+                replicator=replicator,
+                on_published=self.rollout.wake,
+            ),
+        )
+        self.cache_stores = CacheStoreMonitor(
+            caller,
+            RegistrarCacheStoreEnvironment(
+                token=lambda: self._held_term(Lease.DISCOVERY),
+                configuration=lambda: core.chain.state,
+                replicator=replicator,
+                publisher=publisher,
+                mesh=mesh,
+                counters=counters,
+            ),
+            clock,
+        )
 
     def loops(self) -> tuple[Coroutine[Any, Any, None], ...]:
         """The loops, which run until they are cancelled."""
@@ -123,71 +134,17 @@
         self.cache_stores.wake()
 
     def on_soft_state_update(self, topic: str, value: Any) -> None:  # noqa: ANN401
-        """Another registrar has published this value."""
+        """Another registrar has published this value. Raises ValueError for one that can't be read."""
         if topic == Topic.ROLLOUT:
-            self.rollout.inherit(value)
+            self.rollout.inherit(rollout_states_from_wire(value))
         self.rollout.wake()
 
     def refresh_endpoints(self) -> None:
         """A router misses an endpoint: the list is read again soon, if the lease is held here."""
         self.discovery.refresh_soon()
 
-    # What the loops ask.
+    # What the roles ask.
 
     def _held_term(self, lease: Lease) -> int | None:
         """The term of the lease if this registrar may act for it right now."""
         return self.core.lease_election.fencing_token(self.clock(), lease)
-
-    def _may_discover(self) -> bool:
-        """Whether the lease is held, or no endpoint list is known, as after a loss of power: nobody can hold
-        the lease for a while then, and routers can do nothing without a list."""
-        return self._held_term(Lease.DISCOVERY) is not None or self.soft_state.get(Topic.ENDPOINTS) is None
-
-    # What the loops publish.
-
-    def _publish_endpoints(self, endpoints: list[dict[str, Any]]) -> None:
-        if (term := self._held_term(Lease.DISCOVERY)) is not None:
-            self.replicator.publish(Topic.ENDPOINTS, term, endpoints)
-        elif self.soft_state.get(Topic.ENDPOINTS) is None and endpoints:
-            self.replicator.publish_without_lease(Topic.ENDPOINTS, endpoints)
-        self.rollout.wake()
-
-    def _publish_cache_stores(self, stores: Mapping[str, dict[str, Any]]) -> None:
-        if (term := self._held_term(Lease.DISCOVERY)) is not None:
-            self.replicator.publish(Topic.CACHE_STORES, term, stores)
-
-    def _publish_rollout(self, states: Mapping[str, dict[str, Any]]) -> None:
-        if (term := self._held_term(Lease.WEIGHTS)) is not None:
-            self.replicator.publish(Topic.ROLLOUT, term, states)
-
-    def _publish_store_events(
-        self, address: tuple[str, int], epoch: int, lost: bool, changes: list[Any]
-    ) -> None:
-        """Sends a cache store's events to all routers: deletions, and additions large enough to count."""
-        if lost:
-            self.counters.add("stores.events-lost")
-        reported = [change for change in changes if change[3] >= TOLD_PART or change[0] == DELETION_SIGN]
-        host, port = address
-        for start in range(0, max(len(reported), 1), MAX_EVENTS_PER_MESSAGE):
-            stored = ["stored", epoch, reported[start : start + MAX_EVENTS_PER_MESSAGE]]
-            message = PromptEvents(f"{host}:{port}", [stored]).to_wire()
-            self.publisher.forward_prompt_events(message)
-            self.mesh.send_all(message)
-
-
-class StoreAddresses:
-    """The addresses of the cache stores, worked out once for each configuration."""
-
-    def __init__(self) -> None:
-        self._configuration: Document | None = None  # that the addresses are from
-        self._addresses: dict[str, tuple[str, int]] = {}
-
-    def of(self, configuration: Document | None) -> dict[str, tuple[str, int]]:
-        """(host, port) by the store's name, of those that have an address."""
-        if configuration is not self._configuration:
-            self._configuration = configuration
-            stores = RouteTable(configuration).cache_stores if configuration else {}
-            self._addresses = {
-                name: store.cache_store_address for name, store in stores.items() if store.cache_store_address
-            }
-        return self._addresses
--- a/tests/test_cache_stores.py
+++ b/tests/test_cache_stores.py
@@ -8,12 +8,13 @@
 from hypothesis import strategies as st
 from peers import Peer, play, soon
 
-from plumline.registrar.cache_stores import (
-    CacheStoreMonitor,
+from plumline.registrar.cache_store_events import (
     StoreAnswerInvalidError,
     StoreBusyError,
+    StoreEvents,
     parse_cursor,
 )
+from plumline.registrar.cache_stores import CacheStoreMonitor, StoreStatuses
 from plumline.wire.calls import Answer, Caller, CallFailedError, CallTimeoutError
 
 A, B = ("10.0.0.1", 80), ("10.0.0.2", 80)
@@ -48,6 +49,10 @@
     return {"up": False, "epoch": epoch}
 
 
+def to_wire(statuses: StoreStatuses) -> dict[str, dict[str, Any]]:
+    return {name: status.to_wire() for name, status in statuses.items()}
+
+
 class Call(NamedTuple):
     """A call that is out, until `reply` is given."""
 
@@ -79,15 +84,26 @@
         self.published: asyncio.Queue[dict[str, dict[str, Any]]] = asyncio.Queue()
         self.forgotten: list[tuple[str, int]] = []
         self.out: list[Call] = []
+        self.events: list[tuple[tuple[str, int], StoreEvents]] = []
         self.monitor = CacheStoreMonitor(
             self,  # type: ignore[arg-type]
-            lambda: self.stores,
-            lambda: self.leased,
-            self.published.put_nowait,
+            self,
             lambda: self.now,
             wait=self.wait,
         )
 
+    def holds_lease(self) -> bool:
+        return self.leased
+
+    def addresses(self) -> Mapping[str, tuple[str, int]]:
+        return self.stores
+
+    def publish(self, statuses: StoreStatuses) -> None:
+        self.published.put_nowait(to_wire(statuses))
+
+    def publish_events(self, address: tuple[str, int], events: StoreEvents) -> None:
+        self.events.append((address, events))
+
     async def call(
         self,
         name: str,
@@ -169,7 +185,7 @@
             finally:
                 running.cancel()
                 await asyncio.gather(running, return_exceptions=True)
-            assert not world.monitor._tasks
+            assert not world.monitor._watches
 
         def run() -> None:
             asyncio.run(whole({}))
@@ -206,7 +222,7 @@
         parse_cursor(answer)
 
 
-def test_over_the_limit_is_an_error_of_its_own() -> None:
+def test_over_the_concurrency_limit_is_an_error_of_its_own() -> None:
     with pytest.raises(StoreBusyError):
         parse_cursor(Answer(429, {}, None))
 
@@ -231,7 +247,7 @@
 
 
 @in_world()
-async def test_the_first_call_is_short_and_the_later_ones_are_held(world: World) -> None:
+async def test_the_first_call_is_short_and_the_later_ones_are_long_polls(world: World) -> None:
     first = await world.answer(events(7, 118))
     assert (first.address, first.query, first.wait_ms, first.timeout_s) == (A, "Since=0", None, 0.8)
     assert await world.next_published() == {"a": up()}
@@ -243,7 +259,7 @@
 
 
 @in_world()
-async def test_after_an_early_answer_the_rest_of_the_second_is_a_pause(world: World) -> None:
+async def test_after_an_early_answer_the_rest_of_the_second_is_waited_for(world: World) -> None:
     await world.come_up()
     for after, pause in ((0.05, 0.95), (0.5, 0.5), (0.999, 0.001)):
         await world.answer(events(), after=after)
@@ -252,7 +268,7 @@
 
 @pytest.mark.parametrize("got", [RESET, REFUSED, SILENT])
 @in_world()
-async def test_one_failure_says_down_at_once_and_short_calls_try_again(world: World, got: Exception) -> None:
+async def test_one_failure_means_down_at_once_and_short_calls_retry(world: World, got: Exception) -> None:
     await world.come_up()
     await world.answer(got, after=0.5)
     assert await world.next_published() == {"a": down(7)}
@@ -275,7 +291,7 @@
 
 
 @in_world()
-async def test_a_reset_of_an_idle_connection_is_tried_once_more(world: World) -> None:
+async def test_a_reset_of_an_idle_connection_is_retried_once(world: World) -> None:
     await world.come_up()
     await world.answer(events(), after=0.1)
     world.idle[A] = None
@@ -288,7 +304,7 @@
 
 
 @in_world()
-async def test_a_second_reset_says_down(world: World) -> None:
+async def test_a_second_reset_means_down(world: World) -> None:
     await world.come_up()
     await world.answer(events())
     world.idle[A] = None
@@ -300,7 +316,7 @@
 
 
 @in_world()
-async def test_a_reset_of_a_call_that_the_store_held_says_down(world: World) -> None:
+async def test_a_reset_of_a_long_poll_means_down(world: World) -> None:
     await world.come_up()
     await world.answer(events())
     world.idle[A] = None
@@ -310,7 +326,7 @@
 
 
 @in_world()
-async def test_a_time_out_of_a_process_that_was_away_itself_is_tried_once_more(world: World) -> None:
+async def test_a_time_out_of_a_process_that_was_paused_itself_is_retried_once(world: World) -> None:
     await world.come_up()
     await world.answer(SILENT, after=2.5)
     assert (await world.answer(events())).timeout_s == 0.8
@@ -319,7 +335,7 @@
 
 
 @in_world()
-async def test_one_that_is_away_again_and_again_says_down(world: World) -> None:
+async def test_time_outs_of_a_process_paused_again_and_again_mean_down(world: World) -> None:
     await world.come_up()
     await world.answer(SILENT, after=2.5)
     await world.answer(SILENT, after=2.5)
@@ -327,7 +343,7 @@
 
 
 @in_world()
-async def test_a_new_epoch_is_told_and_its_token_used(world: World) -> None:
+async def test_a_new_epoch_is_published_and_its_token_used(world: World) -> None:
     await world.come_up(7, 118)
     await world.answer(events(8, 2), after=1.0)
     assert await world.next_published() == {"a": up(8)}
@@ -345,7 +361,7 @@
 
 @pytest.mark.parametrize("got", BAD)
 @in_world()
-async def test_two_bad_answers_in_a_row_say_down(world: World, got: Answer | Exception) -> None:
+async def test_two_invalid_answers_in_a_row_mean_down(world: World, got: Answer | Exception) -> None:
     await world.come_up()
     await world.answer(got)
     assert await world.let_pass() == 1.0
@@ -361,7 +377,7 @@
 
 
 @in_world()
-async def test_over_the_limit_a_store_is_up_and_asked_no_faster(world: World) -> None:
+async def test_over_the_concurrency_limit_a_store_is_up_and_called_no_faster(world: World) -> None:
     busy = Answer(429, {}, None)
     await world.come_up()
     await world.answer(busy)
@@ -378,7 +394,7 @@
 
 
 @in_world()
-async def test_unchanged_states_are_told_again_after_five_seconds(world: World) -> None:
+async def test_unchanged_statuses_are_published_again_after_five_seconds(world: World) -> None:
     await world.come_up()
     assert await world.look() == 0.5
     world.now = 104.7
@@ -390,7 +406,7 @@
 
 
 @in_world(a=A, b=B)
-async def test_stores_are_watched_apart_and_told_whole(world: World) -> None:
+async def test_stores_are_watched_separately_and_published_together(world: World) -> None:
     first, second = await world.next_call(), await world.next_call()
     assert {first.address, second.address} == {A, B}
     {A: first, B: second}[A].reply.set_result(events())
@@ -400,7 +416,7 @@
 
 
 @in_world()
-async def test_nothing_is_told_of_stores_before_anything_is_known(world: World) -> None:
+async def test_nothing_is_published_before_anything_is_known(world: World) -> None:
     await world.next_call()
     await world.look()
     assert world.published.empty()
@@ -420,7 +436,7 @@
 
 
 @in_world(a=A, b=B)
-async def test_a_store_that_leaves_the_configuration_is_told_no_more(world: World) -> None:
+async def test_a_store_that_leaves_the_configuration_is_published_no_more(world: World) -> None:
     for _ in range(2):
         (await world.next_call()).reply.set_result(events())
         await world.next_published()
@@ -448,7 +464,7 @@
 
 
 @in_world()
-async def test_a_call_after_the_lease_is_withdrawn_and_an_answer_not_told(world: World) -> None:
+async def test_a_call_after_the_lease_is_withdrawn_and_an_answer_not_published(world: World) -> None:
     call = await world.next_call()
     world.leased = False
     call.reply.set_result(events())
@@ -458,13 +474,13 @@
 
 
 @in_world()
-async def test_what_publish_raises_ends_the_job(world: World) -> None:
+async def test_what_publish_raises_ends_the_monitor(world: World) -> None:
     def refuse(states: object) -> None:
         raise ValueError("not so")
 
-    world.monitor.publish = refuse
+    world.publish = refuse  # type: ignore[method-assign]
     await world.answer(events())
-    await asyncio.wait(world.monitor._tasks.values())
+    await asyncio.wait(world.monitor._watches.values())
     with pytest.raises(ValueError, match="not so"):
         world.monitor.reconcile()
 
@@ -475,9 +491,20 @@
     def __init__(self, peer: Peer) -> None:
         self.published: asyncio.Queue[dict[str, dict[str, Any]]] = asyncio.Queue()
         self.caller = Caller()
-        self.monitor = CacheStoreMonitor(
-            self.caller, lambda: {"a": peer.address}, lambda: True, self.published.put_nowait, wait=self.wait
-        )
+        self.peer = peer
+        self.monitor = CacheStoreMonitor(self.caller, self, wait=self.wait)
+
+    def holds_lease(self) -> bool:
+        return True
+
+    def addresses(self) -> Mapping[str, tuple[str, int]]:
+        return {"a": self.peer.address}
+
+    def publish(self, statuses: StoreStatuses) -> None:
+        self.published.put_nowait(to_wire(statuses))
+
+    def publish_events(self, address: tuple[str, int], events: StoreEvents) -> None:
+        pass
 
     async def wait(self, event: asyncio.Event, seconds: float) -> None:
         if event is self.monitor._event:
@@ -497,7 +524,7 @@
 
 
 @play
-async def test_on_sockets_a_reset_of_a_kept_connection_is_no_death_but_a_refusal_is(_: object) -> None:
+async def test_on_sockets_a_reset_of_an_idle_connection_is_no_failure_but_a_refusal_is(_: object) -> None:
     async with Peer() as peer, Real(peer) as real:
         (await peer.next()).answer(200, body=json.dumps(body(7, 118)))
         assert await real.next() == {"a": up()}
@@ -517,7 +544,7 @@
 
 
 @play
-async def test_on_sockets_noise_and_a_body_without_end_are_bad_answers(_: object) -> None:
+async def test_on_sockets_noise_and_a_body_without_end_are_invalid_answers(_: object) -> None:
     async with Peer() as peer, Real(peer) as real:
         (await peer.next()).write("noise\r\n\r\n")
         (await peer.next()).answer(200, body="[" * 100_000)
--- a/tests/test_endpoint_discovery.py
+++ b/tests/test_endpoint_discovery.py
@@ -1,6 +1,6 @@
 import asyncio
 import json
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 from itertools import pairwise
 from typing import Any
@@ -11,6 +11,7 @@
 
 from plumline.registrar.discovery import EndpointDiscovery, ListInvalidError, parse_page
 from plumline.routing.fleet import endpoints_from
+from plumline.routing.fleet_state import ListedEndpoint
 from plumline.wire.calls import Answer, Caller, CallFailedError
 
 
@@ -63,18 +64,23 @@
     def __init__(self, settings: Settings | None = None) -> None:
         self.now = 100.0
         self.leased = True
-        self.published: list[list[dict[str, Any]]] = []
+        self.published: list[list[ListedEndpoint]] = []
         self.platform = Platform(self)
         self.job = EndpointDiscovery(
             settings or Settings(),
             self.platform,  # type: ignore[arg-type]
-            lambda: self.leased,
-            self.published.append,
+            self,
             lambda: self.now,
             wait=self.wait,
             jitter=lambda: 0.5,
         )
 
+    def may_read(self) -> bool:
+        return self.leased
+
+    def publish(self, endpoints: Sequence[ListedEndpoint]) -> None:
+        self.published.append(list(endpoints))
+
     async def wait(self, event: asyncio.Event, seconds: float) -> None:
         self.now += seconds
 
@@ -82,7 +88,7 @@
         return asyncio.run(self.job.poll())
 
     def ids(self) -> list[list[str]]:
-        return [[each["id"] for each in endpoints] for endpoints in self.published]
+        return [[each.id for each in endpoints] for endpoints in self.published]
 
 
 def test_a_page_as_the_platform_writes_it() -> None:
@@ -93,19 +99,22 @@
     )
     endpoints, token = parse_page(json.loads(text))
     assert token == "p-50"
-    assert endpoints == [
+    assert [each.to_wire() for each in endpoints] == [
         {
             "id": "i-7f3a91c2", "service": "huvo11a", "address": "10.128.0.9:8080", "zone": "nyarugenge-hall",
             "slots": 12, "draining": True, "cold_ms": 7.0, "models": {"daka510000": 2},
         }
     ]  # fmt: skip
-    assert endpoints_from(endpoints, {})["i-7f3a91c2"].address == ("10.128.0.9", 8080)
+    assert endpoints_from([each.to_wire() for each in endpoints], {})["i-7f3a91c2"].address == (
+        "10.128.0.9",
+        8080,
+    )
 
 
 def test_a_page_without_what_is_optional() -> None:
     endpoints, token = parse_page({"Instances": [entry("a", Models=None, New=1)]})
     assert token is None
-    assert endpoints_from(endpoints, {})["a"].slots == 1
+    assert endpoints_from([each.to_wire() for each in endpoints], {})["a"].slots == 1
 
 
 @pytest.mark.parametrize(
@@ -155,7 +164,7 @@
     assert len(world.platform.calls) == 1
 
 
-def test_reads_at_once_when_the_lease_is_won_and_not_without_it() -> None:
+def test_the_list_is_read_at_once_when_the_lease_is_won_and_not_without_it() -> None:
     world = World()
     world.leased = False
     assert world.poll() == 0.5
@@ -180,7 +189,7 @@
     assert all(later - earlier >= 0.1 for earlier, later in pairwise(times))
 
 
-def test_a_refused_token_begins_anew() -> None:
+def test_a_refused_page_token_restarts_the_read() -> None:
     world = World()
     world.platform.script = [page("a", token="p1"), Answer(404, {}, None), page("b", token="p2"), page("c")]
     world.poll()
@@ -230,7 +239,7 @@
     for cold in (900, 400, 0):
         world.platform.last = Answer(200, {}, {"Instances": [entry("a", ColdRemainingMs=cold)]})
         world.now += world.poll()
-    assert [endpoints[0]["cold_ms"] for endpoints in world.published] == [900, 0]
+    assert [endpoints[0].cold_ms for endpoints in world.published] == [900, 0]
 
 
 def test_refresh_soon_brings_one_extra_read_a_second() -> None:
@@ -272,8 +281,24 @@
     assert not world.published
 
 
+class LeaseToWin:
+    """A registrar that doesn't hold the lease until the test says so."""
+
+    def __init__(self) -> None:
+        self.leased = False
+        self.looked = asyncio.Event()
+        self.published: asyncio.Queue[Sequence[ListedEndpoint]] = asyncio.Queue()
+
+    def may_read(self) -> bool:
+        self.looked.set()
+        return self.leased
+
+    def publish(self, endpoints: Sequence[ListedEndpoint]) -> None:
+        self.published.put_nowait(endpoints)
+
+
 def test_run_reads_from_a_platform_on_a_socket_and_wakes_when_the_lease_is_won() -> None:
-    async def whole() -> list[dict[str, Any]]:
+    async def whole() -> Sequence[ListedEndpoint]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             body = json.dumps({"Instances": [entry("a")], "NextToken": None}).encode()
@@ -282,25 +307,19 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        caller, leased = Caller(), [False]
-        looked, published = asyncio.Event(), asyncio.Queue[list[dict[str, Any]]]()
-
-        def may_act() -> bool:
-            looked.set()
-            return leased[0]
-
+        caller, environment = Caller(), LeaseToWin()
         settings = Settings(cloud_api=server.sockets[0].getsockname())
-        job = EndpointDiscovery(settings, caller, may_act, published.put_nowait)
+        job = EndpointDiscovery(settings, caller, environment)
         running = asyncio.ensure_future(job.run())
         try:
             async with asyncio.timeout(10):
-                await looked.wait()
-                leased[0] = True
+                await environment.looked.wait()
+                environment.leased = True
                 job.wake()
-                return await published.get()
+                return await environment.published.get()
         finally:
             running.cancel()
             caller.close()
             server.close()
 
-    assert [each["id"] for each in asyncio.run(whole())] == ["a"]
+    assert [each.id for each in asyncio.run(whole())] == ["a"]
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -5,17 +5,27 @@
 import pytest
 
 from plumline.registrar.rollout.loop import RolloutController
-from plumline.registrar.rollout.plan import RolloutPlan, Step, StepKind
+from plumline.registrar.rollout.orders import OrderOutcome, outcome_of
+from plumline.registrar.rollout.plan import RolloutPlan, RolloutStates, Step, StepKind
 from plumline.registrar.rollout.reports import EndpointReport, parse_report
-from plumline.routing.fleet import endpoints_from
+from plumline.routing.fleet import Endpoint, endpoints_from
+from plumline.routing.fleet_state import ListedEndpoint, RolloutState
 from plumline.wire.calls import Caller
 
 
-def endpoint(id_: str, version: int = 1, zone: str = "z1", **more: Any) -> dict[str, Any]:  # noqa: ANN401
-    return {
-        "id": id_, "service": "s", "address": "10.0.0.1:80", "zone": zone, "slots": 4, "draining": False,
-        "cold_ms": 0.0, "models": {"m": version},
-    } | more  # fmt: skip
+def endpoint(id_: str, version: int = 1, zone: str = "z1", **more: Any) -> ListedEndpoint:  # noqa: ANN401
+    return ListedEndpoint(
+        id=id_, service="s", address="10.0.0.1:80", zone=zone, slots=4, draining=False,
+        cold_ms=0.0, models={"m": version},
+    )._replace(**more)  # fmt: skip
+
+
+def to_wire(states: RolloutStates) -> dict[str, Any]:
+    return {endpoint_id: state.to_wire() for endpoint_id, state in states.items()}
+
+
+def from_wire(states: dict[str, Any]) -> RolloutStates:
+    return {endpoint_id: RolloutState.from_wire(state) for endpoint_id, state in states.items()}
 
 
 def shown(version: int, busy: bool = False) -> EndpointReport:
@@ -25,7 +35,7 @@
 class Scene:
     """A plan that has seen version 1 for a while; version 2 is named at 100.0."""
 
-    def __init__(self, *endpoints: dict[str, Any], apply_timeout_s: float = 8.0) -> None:
+    def __init__(self, *endpoints: ListedEndpoint, apply_timeout_s: float = 8.0) -> None:
         self.now = 90.0
         self.plan = RolloutPlan(apply_timeout_s)
         self.endpoints = list(endpoints)
@@ -41,13 +51,21 @@
         return [(step.kind, step.endpoint_id) for step in self.plan.due_steps(self.now)]
 
     def ordered(self, id_: str, status: int | None, sent: bool = True) -> None:
-        self.plan.order_answered(id_, status, sent, self.now)
+        unanswered = OrderOutcome.NO_ANSWER if sent else OrderOutcome.UNREACHABLE
+        outcome = unanswered if status is None else outcome_of(status)
+        self.plan.order_finished(id_, outcome, self.now)
 
     def reported(self, id_: str, report: EndpointReport | None) -> None:
-        self.plan.report_received(id_, report, self.now)
+        self.plan.report_finished(id_, report, self.now)
 
-    def moving(self) -> set[str]:
-        return {id_ for id_, mark in self.plan.states().items() if mark["moving"]}
+    def published(self) -> dict[str, Any]:
+        return to_wire(self.plan.states())
+
+    def seen_by_routers(self) -> dict[str, Endpoint]:
+        return endpoints_from([each.to_wire() for each in self.endpoints], self.published())
+
+    def updating(self) -> set[str]:
+        return {id_ for id_, state in self.plan.states().items() if state.updating}
 
     def under_way(self, status: int | None = 202) -> None:
         """Brings the single endpoint `a` to the point where its order was answered."""
@@ -56,10 +74,10 @@
         self.ordered("a", status)
 
 
-def test_one_endpoint_is_announced_ordered_asked_and_done() -> None:
+def test_one_endpoint_is_announced_ordered_polled_for_reports_and_done() -> None:
     scene = Scene(endpoint("a"))
     assert scene.steps() == [("announce", "a")]
-    assert scene.plan.states() == {"a": {"moving": True, "models": {}}}
+    assert scene.published() == {"a": {"moving": True, "models": {}}}
     assert scene.steps(0.2) == []
     assert scene.plan.due_steps(100.25) == [Step(StepKind.ORDER, "a", "m", 2)]
     assert scene.steps(0.1) == []  # its answer is awaited
@@ -69,24 +87,24 @@
     scene.reported("a", shown(1, busy=True))
     assert scene.steps(0.25) == [("report", "a")]
     scene.reported("a", shown(2, busy=True))
-    assert scene.moving() == {"a"}
+    assert scene.updating() == {"a"}
     assert scene.steps(0.25) == [("report", "a")]
     scene.reported("a", shown(2))
     assert scene.steps() == [("done", "a")]
-    assert scene.plan.states() == {"a": {"moving": False, "models": {"m": 2}}}
+    assert scene.published() == {"a": {"moving": False, "models": {"m": 2}}}
     assert not scene.plan.in_progress
     scene.plan.update_endpoints([endpoint("a", 2)])
-    assert scene.plan.states() == {}
+    assert scene.published() == {}
 
 
-def test_what_holds_already_is_done_at_once() -> None:
+def test_an_order_that_was_applied_before_is_done_at_once() -> None:
     scene = Scene(endpoint("a"))
     scene.under_way(200)
     assert scene.steps() == [("done", "a")]
-    assert endpoints_from(scene.endpoints, scene.plan.states())["a"].models == {"m": 2}
+    assert scene.seen_by_routers()["a"].models == {"m": 2}
 
 
-def test_few_move_at_once_and_all_are_done_in_half_of_the_time() -> None:
+def test_few_update_concurrently_and_all_are_done_in_half_of_the_time() -> None:
     scene = Scene(*(endpoint(f"e{i:02}", zone=f"z{i % 3}") for i in range(12)))
     most, done = 0, set()
     taken: dict[str, float] = {}
@@ -99,89 +117,89 @@
                 scene.reported(id_, shown(2) if scene.now >= taken[id_] + 0.6 else shown(1, busy=True))
             elif kind == "done":
                 done.add(id_)
-        most = max(most, len(scene.moving()))
-        zones = [endpoints_from(scene.endpoints, {})[id_].zone for id_ in scene.moving()]
+        most = max(most, len(scene.updating()))
+        zones = [scene.seen_by_routers()[id_].zone for id_ in scene.updating()]
         assert all(zones.count(zone) <= 2 for zone in zones)
         scene.now += 0.25
         assert scene.now < 105.5
     assert most <= 4
 
 
-def test_a_long_time_lets_them_move_one_by_one() -> None:
+def test_a_long_apply_timeout_lets_them_update_one_by_one() -> None:
     scene = Scene(*(endpoint(f"e{i}") for i in range(6)), apply_timeout_s=60)
     assert scene.steps() == [("announce", "e0")]
     assert scene.steps(0.25) == [("order", "e0")]
 
 
-def test_when_it_is_late_the_old_ones_are_of_no_use_and_all_move() -> None:
+def test_when_the_rollout_is_overdue_all_update_at_once() -> None:
     scene = Scene(*(endpoint(f"e{i}") for i in range(6)))
     assert len(scene.steps(6.1)) == 6
 
 
 def test_the_zones_take_turns() -> None:
     scene = Scene(*(endpoint(f"e{i:02}", zone="z1" if i < 6 else "z2") for i in range(12)), apply_timeout_s=2)
-    zones = [endpoints_from(scene.endpoints, {})[id_].zone for _, id_ in scene.steps()]
+    zones = [scene.seen_by_routers()[id_].zone for _, id_ in scene.steps()]
     assert sorted(zones) == ["z1", "z1", "z2", "z2"]
 
 
-def test_services_move_beside_each_other_and_other_models_stay() -> None:
+def test_services_update_concurrently_and_other_models_stay() -> None:
     scene = Scene(endpoint("a"), endpoint("b", service="t"), endpoint("c", service="u", models={"n": 1}))
     assert scene.steps() == [("announce", "a"), ("announce", "b")]
 
 
-def test_draining_ones_are_skipped_and_gone_ones_forgotten() -> None:
+def test_draining_endpoints_are_skipped_and_removed_ones_forgotten() -> None:
     scene = Scene(endpoint("a"), endpoint("b", draining=True))
     scene.under_way()
     scene.plan.update_endpoints([endpoint("a", draining=True)])
-    assert scene.plan.states() == {}
+    assert scene.published() == {}
     assert scene.steps(1) == []
     scene.ordered("a", 202)  # late words about it do nothing
     scene.reported("a", shown(2))
-    assert scene.plan.states() == {}
+    assert scene.published() == {}
 
 
-def test_a_mark_goes_with_its_endpoint_but_not_for_an_empty_list() -> None:
+def test_a_state_is_dropped_with_its_endpoint_but_not_for_an_empty_list() -> None:
     scene = Scene(endpoint("a"))
     scene.under_way(200)
     scene.plan.update_endpoints([])
-    assert scene.plan.states() == {"a": {"moving": False, "models": {"m": 2}}}
+    assert scene.published() == {"a": {"moving": False, "models": {"m": 2}}}
     scene.plan.update_endpoints([endpoint("c", 2)])
-    assert scene.plan.states() == {}
+    assert scene.published() == {}
 
 
-def test_a_new_endpoint_of_an_old_version_is_moved_too() -> None:
+def test_a_new_endpoint_of_an_old_version_is_updated_too() -> None:
     scene = Scene(endpoint("a", 2))
     assert scene.steps() == []
     scene.plan.update_endpoints([endpoint("a", 2), endpoint("b")])
     assert scene.steps(1) == [("announce", "b")]
 
 
-def test_a_newer_version_named_in_the_midst_follows_without_another_announcement() -> None:
+def test_a_newer_desired_version_follows_without_another_announcement() -> None:
     scene = Scene(endpoint("a"))
     scene.under_way()
     scene.plan.update_desired_versions({"m": 3}, scene.now)
     assert scene.steps(0.3) == [("report", "a")]
     scene.reported("a", shown(2))
-    assert scene.plan.states() == {"a": {"moving": True, "models": {"m": 2}}}
+    assert scene.published() == {"a": {"moving": True, "models": {"m": 2}}}
     assert scene.plan.due_steps(scene.now) == [Step(StepKind.ORDER, "a", "m", 3)]
     scene.ordered("a", 200)
     assert scene.steps() == [("done", "a")]
 
 
-def test_two_models_of_one_endpoint_move_one_after_the_other() -> None:
+def test_two_models_of_one_endpoint_update_one_after_the_other() -> None:
     scene = Scene(endpoint("a", models={"m": 1, "n": 1}))
     scene.plan.update_desired_versions({"m": 2, "n": 5}, scene.now)
     scene.under_way(200)
     assert scene.plan.due_steps(scene.now) == [Step(StepKind.ORDER, "a", "n", 5)]
     scene.ordered("a", 200)
     assert scene.steps() == [("done", "a")]
-    assert scene.plan.states()["a"]["models"] == {"m": 2, "n": 5}
+    assert scene.published()["a"]["models"] == {"m": 2, "n": 5}
 
 
 def test_an_order_without_an_answer_is_decided_by_the_report() -> None:
     scene = Scene(endpoint("a"))
     scene.under_way(None)
-    assert scene.moving() == {"a"}
+    assert scene.updating() == {"a"}
     assert scene.steps(0.3) == []
     assert scene.steps(0.1) == [("report", "a")]
     scene.reported("a", shown(1))  # as old as the order: says nothing yet
@@ -190,11 +208,11 @@
     assert scene.steps() == [("done", "a")]
 
 
-def test_an_order_that_reports_never_show_is_given_again_and_then_the_endpoint_serves_on() -> None:
+def test_an_order_that_reports_never_show_is_retried_and_then_the_endpoint_serves_on() -> None:
     scene = Scene(endpoint("a"))
     scene.under_way(None)
     orders = 1
-    while scene.moving():
+    while scene.updating():
         scene.now += 0.25
         for kind, id_ in scene.steps():
             if kind == "order":
@@ -207,7 +225,7 @@
     assert scene.steps(5) == [("announce", "a")]
 
 
-def test_an_order_that_is_repeated_names_the_count_that_the_last_report_told() -> None:
+def test_a_retried_order_expects_the_count_of_the_last_report() -> None:
     """So that it is not taken on top of one that was silent and came late."""
     scene = Scene(endpoint("a"))
     scene.under_way(None)
@@ -224,7 +242,7 @@
     assert None not in expected
 
 
-def test_a_count_is_of_no_use_after_an_order() -> None:
+def test_a_count_is_not_expected_after_another_order() -> None:
     scene = Scene(endpoint("a", models={"m": 1, "n": 4}))
     scene.plan.update_desired_versions({"m": 2, "n": 5}, scene.now)
     scene.under_way(409)
@@ -243,12 +261,12 @@
 
 
 @pytest.mark.parametrize("status", [400, 412, 421, 500, 503])
-def test_an_order_not_taken_lets_the_endpoint_serve_on_until_a_later_try(status: int) -> None:
+def test_a_rejected_order_lets_the_endpoint_serve_on_until_a_later_attempt(status: int) -> None:
     scene = Scene(endpoint("a"), apply_timeout_s=100)
     waits = []
     scene.under_way(status)
     for _ in range(3):
-        assert scene.moving() == set()
+        assert scene.updating() == set()
         since = scene.now
         while not (steps := scene.steps(0.05)):
             pass
@@ -259,16 +277,16 @@
     assert waits == pytest.approx([0.4, 0.8, 1.6])
 
 
-def test_an_unreachable_endpoint_holds_up_no_other() -> None:
+def test_an_unreachable_endpoint_blocks_no_other() -> None:
     scene = Scene(endpoint("a"), endpoint("b"))
     assert scene.steps() == [("announce", "a")]
     scene.steps(0.25)
     scene.ordered("a", None, sent=False)
-    assert scene.moving() == set()
+    assert scene.updating() == set()
     assert scene.steps() == [("announce", "b")]
 
 
-def test_a_silent_endpoint_holds_up_no_other_and_is_given_back_after_five_seconds() -> None:
+def test_an_unresponsive_endpoint_blocks_no_other_and_is_used_again_after_five_seconds() -> None:
     scene = Scene(endpoint("a"), endpoint("b"))
     scene.steps()
     scene.steps(0.25)
@@ -276,20 +294,20 @@
     assert scene.steps() == [("announce", "b")]
     scene.steps(0.25)
     scene.ordered("b", 200)
-    while "a" in scene.moving():
+    while "a" in scene.updating():
         for kind, id_ in scene.steps(0.25):
             if kind == "report":
                 scene.reported(id_, None)
     assert 5.0 <= scene.now - 100.0 <= 5.5
-    assert scene.plan.states().get("a", {}).get("models", {}) == {}
+    assert scene.published().get("a", {}).get("models", {}) == {}
     while ("report", "a") not in scene.steps(0.25):
         assert scene.now < 115
     scene.reported("a", shown(2))
     assert scene.steps() == [("done", "a")]
-    assert scene.plan.states()["a"] == {"moving": False, "models": {"m": 2}}
+    assert scene.published()["a"] == {"moving": False, "models": {"m": 2}}
 
 
-def test_another_order_under_way_is_waited_for() -> None:
+def test_another_order_in_progress_is_waited_for() -> None:
     scene = Scene(endpoint("a"))
     scene.under_way(409)
     assert scene.steps(0.25) == [("report", "a")]
@@ -297,13 +315,13 @@
     for _ in range(30):  # runs may take long to finish: it stays announced
         assert scene.steps(0.25) == [("report", "a")]
         scene.reported("a", shown(1, busy=True))
-    assert scene.moving() == {"a"}
+    assert scene.updating() == {"a"}
     scene.steps(0.25)
     scene.reported("a", shown(2))
     assert scene.steps() == [("done", "a")]
 
 
-def test_an_order_held_back_is_given_when_the_lease_allows() -> None:
+def test_a_withdrawn_order_is_sent_when_the_lease_allows() -> None:
     scene = Scene(endpoint("a"))
     scene.steps()
     scene.steps(0.25)
@@ -311,7 +329,7 @@
     assert scene.steps() == [("order", "a")]
 
 
-def test_a_new_holder_asks_for_reports_first() -> None:
+def test_a_new_lease_holder_fetches_reports_first() -> None:
     plan = RolloutPlan(8.0)
     plan.update_desired_versions({"m": 2}, 100.0)
     plan.update_endpoints(
@@ -319,19 +337,19 @@
     )
     states = {"a": {"moving": True, "models": {}}, "e": {"moving": True, "models": {}},
               "f": {"moving": False, "models": {"m": 2}}, "gone": {"moving": True, "models": {}}}  # fmt: skip
-    plan.resume(states, 100.0)
+    plan.resume(from_wire(states), 100.0)
     assert plan.due_steps(100.0) == [Step(StepKind.REPORT, each) for each in "abce"]
-    assert {id_ for id_, mark in plan.states().items() if mark["moving"]} == {"a", "e"}
-    plan.report_received("a", shown(1), 100.1)  # announced by the predecessor, not ordered
-    plan.report_received("b", shown(1, busy=True), 100.1)  # ordered by the predecessor
-    plan.report_received("c", shown(2), 100.1)  # done by the predecessor
-    plan.report_received("e", shown(2), 100.1)
+    assert {id_ for id_, state in plan.states().items() if state.updating} == {"a", "e"}
+    plan.report_finished("a", shown(1), 100.1)  # announced by the predecessor, not ordered
+    plan.report_finished("b", shown(1, busy=True), 100.1)  # ordered by the predecessor
+    plan.report_finished("c", shown(2), 100.1)  # done by the predecessor
+    plan.report_finished("e", shown(2), 100.1)
     assert plan.due_steps(100.1) == [
         Step(StepKind.ORDER, "a", "m", 2),
         Step(StepKind.DONE, "c"),
         Step(StepKind.DONE, "e"),
     ]
-    assert plan.states() == {
+    assert to_wire(plan.states()) == {
         "a": {"moving": True, "models": {}},
         "b": {"moving": True, "models": {}},
         "c": {"moving": False, "models": {"m": 2}},
@@ -339,7 +357,7 @@
     }
 
 
-def test_the_time_of_a_move_is_learnt() -> None:
+def test_the_duration_of_a_rollout_is_learnt() -> None:
     scene = Scene(endpoint("a"))
     scene.under_way()
     scene.steps(3.0)
@@ -396,30 +414,41 @@
             writer.close()
 
 
+class Environment:
+    """A registrar whose lease and list the test sets; keeps what is published, as on the wire."""
+
+    def __init__(self, address: tuple[str, int]) -> None:
+        self.token: int | None = 7
+        self.desired = {"m": 1}
+        self.listed = [endpoint("a", address=f"{address[0]}:{address[1]}")]
+        self.published: list[dict[str, Any]] = []
+
+    def fencing_token(self) -> int | None:
+        return self.token
+
+    def endpoints(self) -> list[ListedEndpoint]:
+        return self.listed
+
+    def desired_versions(self) -> dict[str, int]:
+        return self.desired
+
+    def publish(self, states: RolloutStates) -> None:
+        self.published.append(to_wire(states))
+
+
 class Rig:
     """The loop part with a clock that the test moves, and one engine on a socket."""
 
     def __init__(self, caller: Caller, address: tuple[str, int]) -> None:
         self.now = 100.0
-        self.fencing_token: int | None = 7
-        self.desired_versions = {"m": 1}
-        self.endpoints = [endpoint("a", address=f"{address[0]}:{address[1]}")]
-        self.published: list[dict[str, Any]] = []
-        self.controller = RolloutController(
-            caller,
-            "node-1",
-            lambda: self.fencing_token,
-            lambda: self.endpoints,
-            lambda: self.desired_versions,
-            self.published.append,
-            lambda: self.now,
-        )
+        self.environment = Environment(address)
+        self.controller = RolloutController(caller, "node-1", self.environment, lambda: self.now)
 
     async def turn(self, after: float = 0.0) -> float:
         """One look, and the calls that it began."""
         self.now += after
         wait = self.controller.reconcile()
-        await asyncio.gather(*self.controller._tasks)
+        await asyncio.gather(*self.controller._calls)
         return wait
 
 
@@ -434,16 +463,16 @@
         server.close()
 
 
-def test_the_loop_moves_an_endpoint_on_a_socket() -> None:
+def test_the_loop_updates_an_endpoint_on_a_socket() -> None:
     async def scene(rig: Rig, engine: Engine) -> None:
         assert await rig.turn() == 1.0
-        rig.desired_versions = {"m": 2}
+        rig.environment.desired = {"m": 2}
         assert await rig.turn() == 0.25
-        assert rig.published[-1] == {"a": {"moving": True, "models": {}}}
+        assert rig.environment.published[-1] == {"a": {"moving": True, "models": {}}}
         await rig.turn(0.25)
         await rig.turn(0.3)
         await rig.turn()
-        assert rig.published == [
+        assert rig.environment.published == [
             {},
             {"a": {"moving": True, "models": {}}},
             {"a": {"moving": False, "models": {"m": 2}}},
@@ -455,9 +484,9 @@
         assert engine.instances == {"a"}
         assert await rig.turn() == 1.0
         # An order that is repeated after silence names the count of the report between them.
-        rig.controller.plan.confirmed.clear()
+        rig.controller.plan.versions.confirmed.clear()
         engine.version, engine.answers_orders = 1, False
-        rig.desired_versions = {"m": 3}
+        rig.environment.desired = {"m": 3}
         for _ in range(12):
             await rig.turn(0.5)
         assert [each.get("ExpectedCount") for each in engine.orders[1:3]] == [None, 2]
@@ -465,18 +494,18 @@
     asyncio.run(with_rig(scene))
 
 
-def test_no_order_goes_once_the_lease_is_over_even_between_look_and_sending() -> None:
+def test_no_order_is_sent_once_the_lease_is_over_even_between_look_and_sending() -> None:
     async def scene(rig: Rig, engine: Engine) -> None:
         await rig.turn()
-        rig.desired_versions = {"m": 2}
+        rig.environment.desired = {"m": 2}
         await rig.turn()
         rig.now += 0.25
         rig.controller.reconcile()  # the order's call is begun, but not a byte has gone
-        rig.fencing_token = None
-        await asyncio.gather(*rig.controller._tasks)
+        rig.environment.token = None
+        await asyncio.gather(*rig.controller._calls)
         assert engine.orders == []
         assert await rig.turn() == 1.0
-        rig.fencing_token = 9  # won again: the report comes first, the order bears the new number
+        rig.environment.token = 9  # won again: the report comes first, the order bears the new number
         await rig.turn(1)
         assert engine.orders == []
         await rig.turn()
@@ -512,12 +541,12 @@
 
     async def scene(rig: Rig, engine: SilentEngine) -> None:
         await rig.turn()
-        rig.desired_versions = {"m": 2}
+        rig.environment.desired = {"m": 2}
         await rig.turn()
         rig.now += 0.25
         rig.controller.reconcile()
         await engine.arrived.wait()
-        rig.fencing_token = fencing_token
+        rig.environment.token = fencing_token
         rig.controller.reconcile()
         await engine.ended.wait()
         assert engine.was_reset
@@ -525,16 +554,16 @@
     asyncio.run(with_rig(scene, SilentEngine()))
 
 
-def test_a_holder_without_a_list_publishes_nothing_and_adopts_when_it_comes() -> None:
+def test_a_lease_holder_without_a_list_publishes_nothing_and_resumes_when_it_comes() -> None:
     async def scene(rig: Rig, engine: Engine) -> None:
-        endpoints, rig.endpoints = rig.endpoints, []
-        rig.desired_versions = {"m": 2}
-        rig.controller.inherit({"a": {"moving": True, "models": {}}})
+        listed, rig.environment.listed = rig.environment.listed, []
+        rig.environment.desired = {"m": 2}
+        rig.controller.inherit(from_wire({"a": {"moving": True, "models": {}}}))
         await rig.turn()
-        assert rig.published == []
-        rig.endpoints = endpoints
+        assert rig.environment.published == []
+        rig.environment.listed = listed
         await rig.turn()
-        assert rig.published == [{"a": {"moving": True, "models": {}}}]
+        assert rig.environment.published == [{"a": {"moving": True, "models": {}}}]
         assert engine.reported.is_set()
         assert engine.orders == []
 
@@ -543,9 +572,9 @@
 
 def test_wake_brings_the_next_look_at_once() -> None:
     async def scene(rig: Rig, engine: Engine) -> None:
-        rig.desired_versions = {"m": 2}
-        rig.controller.inherit({"a": {"moving": True, "models": {}}})
-        fencing_token, rig.fencing_token = rig.fencing_token, None
+        rig.environment.desired = {"m": 2}
+        rig.controller.inherit(from_wire({"a": {"moving": True, "models": {}}}))
+        fencing_token, rig.environment.token = rig.environment.token, None
         paused = asyncio.Event()
 
         async def wait(event: asyncio.Event, seconds: float) -> None:
@@ -555,7 +584,7 @@
         rig.controller.wait = wait
         running = asyncio.ensure_future(rig.controller.run())
         await paused.wait()
-        rig.fencing_token = fencing_token
+        rig.environment.token = fencing_token
         rig.controller.wake()
         await engine.reported.wait()
         running.cancel()
