--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -10,6 +10,7 @@
 from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
+from plumline.coordination.log import Change
 from plumline.coordination.soft_state import SoftState
 from plumline.coordination.view import View
 from plumline.counters import Counters
@@ -128,7 +129,7 @@
             is_configuration_known=lambda: self.publisher.highest_subscriber_index > 0,
         )
 
-    def _on_entry_committed(self, index: int, change: list[object] | None) -> None:
+    def _on_entry_committed(self, index: int, change: Change | None) -> None:
         """The entry of this number is committed; None: a whole state was installed in place of it."""
         self.publisher.on_entry_committed(index, change)
         self.roles.on_configuration_changed()
@@ -150,13 +151,13 @@
                 self.mesh.send_all(SubscriberReport(self.publisher.live_subscribers(now)).to_wire())
                 self.mesh.want(set(self.core.failure_detector.peers))
             if counters_timer.is_due(now):
-                for line in self.counters.lines():
+                for line in self.counters.changed_lines():
                     log.info(line)
             await asyncio.sleep(STEP_INTERVAL_S)
 
     def _step(self, now: float) -> None:
         self.core.disk_unhealthy = self.durable_state.is_unhealthy(now)
-        if (changed := self.settings_file.changed(now)) is not None:
+        if (changed := self.settings_file.poll(now)) is not None:
             self.core.set_seeds(changed.seeds)
         self.core.tick(now)
         self.operator_api.forwarder.tick(now)
@@ -180,7 +181,7 @@
         """Until SIGTERM, and the shutdown after it. An error of any loop ends the process with it."""
         await self._start_listening()
         self.loop.add_signal_handler(signal.SIGTERM, self.stop_requested.set)
-        self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.hurry)
+        self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.request_reload)
         self.roles.campaign()
         incarnation = self.durable_state.incarnation
         log.info(logs.words("started", node=self.settings.node_name, incarnation=incarnation))
@@ -197,7 +198,7 @@
         await self.durable_state.wait_for_incarnation()
         await self.mesh.listen(self.settings.internal_address)
         if self.settings.control_plane is not None:
-            self.operator_server = Server(self.operator_api.handle, counters=self.counters.under("clients"))
+            self.operator_server = Server(self.operator_api.handle, counters=self.counters.group("clients"))
             await self.operator_server.listen(self.settings.control_plane)
 
     async def _shut_down(self) -> None:
@@ -224,7 +225,7 @@
         began = now = self.loop.time()
         deadline = began + max(0.0, self.settings.bounds.grace_period_s - SHUTDOWN_RESERVE_S)
         self.core.leave(now)
-        while (duty := self.core.remaining_duty(now)) is not None and now < deadline:
+        while (duty := self.core.pending_handover(now)) is not None and now < deadline:
             await asyncio.sleep(STEP_INTERVAL_S)
             now = self.loop.time()
         if duty is None:
--- a/plumline/registrar/singleton_environments.py
+++ b/plumline/registrar/singleton_environments.py
@@ -11,7 +11,7 @@
 from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.route_table import RouteTable
 from plumline.counters import Counters
-from plumline.prompts.index import TOLD_PART
+from plumline.prefix_cache.index import TOLD_PART
 from plumline.registrar.cache_store_events import StoreEvents
 from plumline.registrar.cache_stores import StoreStatuses
 from plumline.registrar.peer_messages import PromptEvents
--- a/plumline/registrar/singleton_roles.py
+++ b/plumline/registrar/singleton_roles.py
@@ -31,9 +31,9 @@
 from plumline.wire.calls import Caller
 from plumline.wire.mesh import Mesh
 
-DISCOVERY_LEASE_S = 1.2  # s; with no rest: the calls of two holders do no harm but their price
+DISCOVERY_LEASE_S = 1.2  # s; no lock delay: the calls of two holders do no harm but their price
 WEIGHTS_LEASE_S = 1.0  # s
-LEASE_REST_MARGIN_S = 0.4  # s added to the rest that the deployment asks for
+LOCK_DELAY_MARGIN_S = 0.4  # s added to the lock delay that the deployment asks for
 
 log = logs.logger("registrar")
 
@@ -49,10 +49,10 @@
 
 def lease_durations(settings: Settings) -> dict[str, LeaseDurations]:
     """How long each lease lasts, and rests after it has ended before another registrar may win it."""
-    rest_s = settings.bounds.lease_duration_ms / 1000 + LEASE_REST_MARGIN_S
+    lock_delay_s = settings.bounds.lease_duration_ms / 1000 + LOCK_DELAY_MARGIN_S
     return {
         Lease.DISCOVERY: LeaseDurations(DISCOVERY_LEASE_S, 0.0),
-        Lease.WEIGHTS: LeaseDurations(WEIGHTS_LEASE_S, rest_s),
+        Lease.WEIGHTS: LeaseDurations(WEIGHTS_LEASE_S, lock_delay_s),
     }
 
 
@@ -71,13 +71,13 @@
     ) -> None:
         """`clock()`: s, steady."""
         self.core, self.clock = core, clock
-        self.held_terms: dict[Lease, int | None] = {}  # as they were logged last
+        self.known_terms: dict[Lease, int | None] = {}  # held here, as of the last check
         caller = Caller(clock)
         self.rollout = RolloutController(
             caller,
             settings.node_name,
             RegistrarRolloutEnvironment(
-                token=lambda: self._held_term(Lease.WEIGHTS),
+                token=lambda: self._active_term(Lease.WEIGHTS),
                 configuration=lambda: core.chain.state,
                 replicator=replicator,
             ),
@@ -88,7 +88,7 @@
             settings,
             caller,
             RegistrarDiscoveryEnvironment(
-                token=lambda: self._held_term(Lease.DISCOVERY),
+                token=lambda: self._active_term(Lease.DISCOVERY),
                 replicator=replicator,
                 on_published=self.rollout.wake,
             ),
@@ -96,7 +96,7 @@
         self.cache_stores = CacheStoreMonitor(
             caller,
             RegistrarCacheStoreEnvironment(
-                token=lambda: self._held_term(Lease.DISCOVERY),
+                token=lambda: self._active_term(Lease.DISCOVERY),
                 configuration=lambda: core.chain.state,
                 replicator=replicator,
                 publisher=publisher,
@@ -121,8 +121,8 @@
         """Wakes all loops when a lease was won or lost. `now`: s, steady."""
         for lease in Lease:
             term = self.core.lease_election.fencing_token(now, lease)
-            if term != self.held_terms.get(lease):
-                self.held_terms[lease] = term
+            if term != self.known_terms.get(lease):
+                self.known_terms[lease] = term
                 log.info(logs.words("lease", name=lease, term=term))
                 self.discovery.wake()
                 self.cache_stores.wake()
@@ -134,7 +134,7 @@
         self.cache_stores.wake()
 
     def on_soft_state_update(self, topic: str, value: Any) -> None:  # noqa: ANN401
-        """Another registrar has published this value. Raises ValueError for one that can't be read."""
+        """Another registrar has published this value of a topic. Raises ValueError for a malformed one."""
         if topic == Topic.ROLLOUT:
             self.rollout.inherit(rollout_states_from_wire(value))
         self.rollout.wake()
@@ -145,6 +145,6 @@
 
     # What the roles ask.
 
-    def _held_term(self, lease: Lease) -> int | None:
+    def _active_term(self, lease: Lease) -> int | None:
         """The term of the lease if this registrar may act for it right now."""
         return self.core.lease_election.fencing_token(self.clock(), lease)
