--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -23,7 +23,7 @@
 
 
 class AddsBeforeItRemoves(MembershipReconciler):
-    """The acceptor that votes no more keeps its seat beside the newcomer's, until the view after."""
+    """An acceptor that has stopped voting stays one beside the new member, until the view after."""
 
     def desired_acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
         wanted = super().desired_acceptors(now, view, chain)
