--- a/plumline/coordination/membership.py
+++ b/plumline/coordination/membership.py
@@ -14,19 +14,18 @@
 """
 
 import random
-from enum import Enum, StrEnum, auto
+from enum import StrEnum
 from typing import NamedTuple
 
 from plumline.coordination.environment import Member
-from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
+from plumline.coordination.failure_detector import FailureDetector
+from plumline.coordination.member_health import MemberAssessor, MemberHealth
 from plumline.coordination.replica_status import ReplicaStatus
 from plumline.coordination.view import View
 from plumline.coordination.view_agreement import ViewAgreement
 
 #: Seconds between the first proposals of registrars that could propose the same view.
 PROPOSAL_STAGGER_S = 0.12
-#: Seconds of silence after which replication no longer waits for a member to catch up.
-ABSENT_AFTER_S = 3.0
 #: Entries that a learner may lack when it is admitted to the chain.
 MAX_LEARNER_LAG = 256
 
@@ -39,14 +38,6 @@
     ACCEPTOR = "acceptor"
 
 
-class MemberHealth(Enum):
-    """What this registrar may conclude about a member of the view."""
-
-    HEALTHY = auto()
-    UNREACHABLE = auto()  # from here; others may still reach it
-    UNFIT = auto()  # by its own report, so every registrar that reaches it concludes the same
-
-
 class LocalReplica(NamedTuple):
     """The state of this registrar's own replica. Entries are counted from the first ever committed."""
 
@@ -70,6 +61,7 @@
         self.local_member = local_member
         self.view_agreement = view_agreement
         self.failure_detector = failure_detector
+        self.members = MemberAssessor(failure_detector)
         self.rng = rng
         self.replicas = replicas
         #: Set once this registrar shuts down; its pings tell the others.
@@ -155,20 +147,10 @@
         return View(view.number + 1, acceptors, chain)
 
     def health(self, now: float, member: Member) -> MemberHealth:
-        """What is known of a member of the present view."""
-        address, incarnation = member
+        """What is known of a member of the present view, this registrar included."""
         if member == self.local_member:
             return MemberHealth.UNFIT if self.draining else MemberHealth.HEALTHY
-        peer = self.failure_detector.peers.get(address)
-        if peer is None:
-            return MemberHealth.HEALTHY
-        if not self.failure_detector.is_alive(now, address):
-            return MemberHealth.UNREACHABLE
-        if not peer.incarnation:
-            return MemberHealth.HEALTHY  # it has reported nothing yet
-        if peer.incarnation != incarnation or peer.disk_unhealthy or peer.draining:
-            return MemberHealth.UNFIT
-        return MemberHealth.HEALTHY
+        return self.members.health(now, member)
 
     def reachable_chain(self, now: float, view: View) -> tuple[Member, ...]:
         """The chain without unfit members, and without this registrar's unreachable neighbours.
@@ -203,17 +185,7 @@
         local_position = view.position(self.local_member)
         if replica.caught_up and local_position is not None and position <= local_position:
             return True
-        return self._has_reported_caught_up(view, member)
-
-    def _has_reported_caught_up(self, view: View, member: Member) -> bool:
-        address, incarnation = member
-        peer = self.failure_detector.peers.get(address)
-        return (
-            peer is not None
-            and peer.incarnation == incarnation
-            and peer.view_number == view.number
-            and peer.status is ReplicaStatus.CHAIN_CAUGHT_UP
-        )
+        return self.members.has_reported_caught_up(view, member)
 
     def has_quorum_of_replicas(
         self, now: float, view: View, chain: tuple[Member, ...], replica: LocalReplica
@@ -230,11 +202,11 @@
         if caught_up >= needed:
             return True
         removed = [member for member in view.chain if member not in chain]
-        return bool(removed) and all(self._is_presumed_lost(now, member) for member in removed)
+        return bool(removed) and all(self.members.is_presumed_lost(now, member) for member in removed)
 
     def _is_live_replica(self, now: float, view: View, member: Member, replica: LocalReplica) -> bool:
         """Whether a member answers and holds all that is committed, as far as this registrar can know."""
-        if not self.answered_recently(now, member):
+        if not self.members.answered_recently(now, member):
             return False
         address, incarnation = member
         peer = self.failure_detector.peers.get(address)
@@ -243,17 +215,6 @@
                 return True
         return self.is_caught_up(view, member, replica)
 
-    def _is_presumed_lost(self, now: float, member: Member) -> bool:
-        """Whether a member has lost its disk, or has been silent for so long that nobody waits for it."""
-        address, incarnation = member
-        peer = self.failure_detector.peers.get(address)
-        wiped = peer is not None and peer.incarnation not in ("", incarnation)
-        return wiped or self.failure_detector.time_since_contact(now, address) > ABSENT_AFTER_S
-
-    def answered_recently(self, now: float, member: Member) -> bool:
-        """Whether a member echoed a ping lately; one just discovered has not, though it is not suspected."""
-        return self.failure_detector.time_since_echo(now, member.address) < SUSPECT_TIMEOUT_S
-
     def _next_learner(
         self, now: float, view: View, chain: tuple[Member, ...], replica: LocalReplica
     ) -> Member | None:
@@ -302,7 +263,7 @@
             member
             for member in chain
             if member not in view.acceptors
-            and self.answered_recently(now, member)
+            and self.members.answered_recently(now, member)
             and self.health(now, member) is MemberHealth.HEALTHY
         ]
         acceptor_addresses = {address for address, _ in view.acceptors}
@@ -314,8 +275,10 @@
     def replaceable_acceptor(
         self, now: float, view: View, chain: tuple[Member, ...], candidate: Member
     ) -> Member | None:
-        """The acceptor that the candidate replaces: its own earlier incarnation, else the longest silent of
-        those that no longer vote."""
+        """The acceptor that the candidate replaces; None if all others still vote.
+
+        That is its own earlier incarnation, else the longest silent of those that no longer vote.
+        """
         for member in view.acceptors:
             if member.address == candidate.address:
                 return member
@@ -331,17 +294,11 @@
         return [
             member
             for member in view.acceptors
-            if member not in chain and member != self.local_member and self.has_stopped_voting(now, member)
+            if member not in chain
+            and member != self.local_member
+            and self.members.has_stopped_voting(now, member)
         ]
 
-    def has_stopped_voting(self, now: float, member: Member) -> bool:
-        """Whether an acceptor is silent, has lost its disk, or is about to end."""
-        address, incarnation = member
-        peer = self.failure_detector.peers.get(address)
-        if peer is None or not self.failure_detector.is_alive(now, address):
-            return True
-        return peer.draining or peer.incarnation not in ("", incarnation)
-
     # Leaving.
 
     def pending_handover(self, now: float) -> PendingHandover | None:
@@ -357,7 +314,7 @@
 
     def is_replicated_by_others(self, view: View) -> bool:
         """Whether enough members of this view's chain have reported in it that they are caught up."""
-        caught_up = sum(self._has_reported_caught_up(view, member) for member in view.chain)
+        caught_up = sum(self.members.has_reported_caught_up(view, member) for member in view.chain)
         return caught_up >= min(self.replicas, len(view.chain))
 
     def may_stop_voting(self, now: float, view: View) -> bool:
@@ -375,6 +332,7 @@
         voting = [
             member
             for member in others
-            if self.answered_recently(now, member) and not self.has_stopped_voting(now, member)
+            if self.members.answered_recently(now, member)
+            and not self.members.has_stopped_voting(now, member)
         ]
         return len(voting) >= view.majority()
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -7,7 +7,8 @@
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.lease.voter import Voter
-from plumline.coordination.membership import MemberHealth, MembershipReconciler, PendingHandover
+from plumline.coordination.member_health import MemberAssessor, MemberHealth
+from plumline.coordination.membership import MembershipReconciler, PendingHandover
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View
 from plumline.coordination.view_agreement import ViewAgreement
@@ -56,7 +57,7 @@
         return tuple(each for each in view.chain if self.health(now, each) is MemberHealth.HEALTHY)
 
 
-class CountsOnTheUnheard(MembershipReconciler):
+class CountsOnTheUnheard(MemberAssessor):
     def answered_recently(self, now: float, member: Member) -> bool:
         return True
 
@@ -114,6 +115,7 @@
     assert not unknown, f"{name} changes nothing: {kind.__base__} has no {unknown}"
     parts = {
         MembershipReconciler: "membership",
+        MemberAssessor: "membership.members",
         Voter: "lease_election.voter",
         ViewAgreement: "view_agreement",
         ChainReplica: "chain",
