--- a/plumline/coordination/view_agreement.py
+++ b/plumline/coordination/view_agreement.py
@@ -123,9 +123,9 @@
     def propose(self, now: float, random: Random, view: View) -> None:
         """Puts `view`, the successor of the present one, to the acceptors; another may be decided instead.
 
-        Does nothing while a proposal of this registrar is under way, or where it is no acceptor.
+        Does nothing while a proposal of this registrar is under way. It need not be an acceptor.
         """
-        if self.view is None or view.number != self.view.number + 1 or not self.is_acceptor():
+        if self.view is None or view.number != self.view.number + 1:
             return
         if now < self.next_proposal_at or self._is_proposing(now):
             return
--- a/plumline/registrar/operator_api.py
+++ b/plumline/registrar/operator_api.py
@@ -4,12 +4,13 @@
 import json
 from collections.abc import Callable
 
-from plumline.configuration.document import Document, parse
+from plumline.configuration.document import Document, parse_document
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Message
+from plumline.coordination.log import Change
 from plumline.counters import Counters
 from plumline.errors import ConfigurationInvalidError, PlumlineError, UnavailableError
-from plumline.registrar.forwarding import Change, RequestForwarder, ResultCallback
+from plumline.registrar.forwarding import RequestForwarder, ResultCallback
 from plumline.wire.calls import BASED_ON_VERSION, CALLS
 from plumline.wire.exchange import Exchange
 
@@ -103,7 +104,7 @@
 
 def _change_of(name: str, exchange: Exchange) -> Change:
     """The change that a request asks for, as the log holds it. Raises ConfigurationInvalidError."""
-    body = parse(exchange.body)
+    body = parse_document(exchange.body)
     if name == "version_put":
         return ["weights", body]
     kind = "replace" if name == "configuration_replace" else "amend"
--- a/plumline/router/following.py
+++ b/plumline/router/subscriber.py
@@ -18,7 +18,7 @@
 from plumline import logs
 from plumline.configuration.document import Document
 from plumline.configuration.replicated_state import ReplicatedConfiguration
-from plumline.configuration.routes import RouteTable
+from plumline.configuration.route_table import RouteTable
 from plumline.coordination.rendezvous import Candidate, choose_across_zones
 from plumline.coordination.soft_state import SoftState
 from plumline.counters import Counters
@@ -77,7 +77,7 @@
         return 0.0 if self.since is None else now - self.since
 
 
-class Follower:
+class FeedSubscriber:
     def __init__(
         self, settings: Settings, fleet: Fleet, counters: Counters, file: SettingsFile | None = None
     ) -> None:
@@ -300,7 +300,7 @@
     def table_of(self, document: Document, change: list[Any] | None) -> RouteTable:
         table: RouteTable | None = self.fleet.table
         if table is not None and change is not None and change[0] == "amend":
-            return table.amended(document, change[2])
+            return table.with_amendment(document, change[2])
         return RouteTable(document, table)
 
     def take_topic(self, name: str, number: tuple[int, int], payload: Any) -> None:  # noqa: ANN401
@@ -330,7 +330,7 @@
         beat_at = 0.0
         while True:
             now = self.loop.time()
-            if (changed := self.file.changed(now)) is not None:
+            if (changed := self.file.poll(now)) is not None:
                 self.seeds = changed.seeds
             self.look(now)
             if now >= beat_at:
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -6,8 +6,8 @@
 
 from plumline.coordination.core import Core
 from plumline.coordination.environment import Member, Message, Record
-from plumline.coordination.keeper import Duty, Keeper
 from plumline.coordination.lease.voter import Voter
+from plumline.coordination.membership import MembershipReconciler, PendingHandover
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View
 from plumline.coordination.view_agreement import ViewAgreement
@@ -22,21 +22,32 @@
     return mutate
 
 
-class AddsBeforeItRemoves(Keeper):
+class AddsBeforeItRemoves(MembershipReconciler):
     """The acceptor that votes no more keeps its seat beside the newcomer's, until the view after."""
 
-    def vacant_seat(
-        self, now: float, view: View, chain: tuple[Member, ...], learner: Member
-    ) -> Member | None:
-        return next((each for each in view.acceptors if each[0] == learner[0]), None)
+    def acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
+        wanted = super().acceptors(now, view, chain)
+        came = [each for each in wanted if each not in view.acceptors]
+        addresses = [address for address, _ in came]
+        kept = [each for each in view.acceptors if each[0] not in addresses]
+        return (*kept, *came) if came else wanted
 
 
-class JudgesBeforeItHasHeard(Keeper):
+class AddsAFourthAcceptor(MembershipReconciler):
+    """Whoever joins the chain is an acceptor at once, also where there are enough and all are well."""
+
+    def acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
+        wanted = super().acceptors(now, view, chain)
+        newcomer = self.next_acceptor(now, view, chain)
+        return (*view.acceptors, newcomer) if newcomer and wanted == view.acceptors else wanted
+
+
+class JudgesBeforeItHasHeard(MembershipReconciler):
     def in_touch(self, now: float) -> bool:
         return True
 
 
-class DropsWhomItCannotReach(Keeper):
+class DropsWhomItCannotReach(MembershipReconciler):
     """Once a change is due, whoever is silent here goes with it, also across the chain."""
 
     def fit_chain(self, now: float, view: View) -> tuple[Member, ...]:
@@ -45,22 +56,22 @@
         return tuple(each for each in view.chain if not self.unfit(now, each)[0])
 
 
-class CountsOnTheUnheard(Keeper):
+class CountsOnTheUnheard(MembershipReconciler):
     def heard(self, now: float, member: Member) -> bool:
         return True
 
 
-class LeavesAtOnce(Keeper):
-    def remaining_duty(self, now: float) -> Duty | None:
+class LeavesAtOnce(MembershipReconciler):
+    def pending_handover(self, now: float) -> PendingHandover | None:
         return None
 
 
-class LeavesBeforeOthersHold(Keeper):
+class LeavesBeforeOthersHold(MembershipReconciler):
     def taken_over(self, view: View) -> bool:
         return True
 
 
-class LeavesItsSeat(Keeper):
+class LeavesItsSeat(MembershipReconciler):
     def dispensable(self, now: float, view: View) -> bool:
         return True
 
@@ -85,14 +96,14 @@
 class TakesEntriesOfAnyView(ChainReplica):
     def on_message(self, sender: str, message: Message) -> bool:
         if message[0] in ("chain-entry", "chain-state"):
-            message = [message[0], self.view_number(), *message[2:]]
+            message = [message[0], self.role.view_number, *message[2:]]
         return super().on_message(sender, message)
 
 
 class TakesReportsOfAnyView(ChainReplica):
     def on_message(self, sender: str, message: Message) -> bool:
         if message[0] in ("chain-floor", "chain-report", "chain-commit"):
-            message = [message[0], self.view_number(), *message[2:]]
+            message = [message[0], self.role.view_number, *message[2:]]
         return super().on_message(sender, message)
 
 
@@ -100,7 +111,7 @@
     """Keywords of a schedule whose cores are without that guard."""
     kind = globals()[name]
     parts = {
-        Keeper: "keeper",
+        MembershipReconciler: "membership",
         Voter: "lease_election.voter",
         ViewAgreement: "view_agreement",
         ChainReplica: "chain",
