--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -1,15 +1,23 @@
-"""One registrar's share of the core: views, formation, chain, contacts and leases stepped together.
+"""The core of a registrar: its part in views, bootstrap, replication, failure detection and leases.
 
-Pure: time and messages in, messages and records out. A registrar process, or a test by hand, drives it.
+`Core` owns one state machine for each of these protocols, hands each message and record to the one that it
+is for, steps them all together, and tells one protocol what it must know of another. It has no sockets,
+clocks or files: a registrar's process drives it, or a test by hand.
 """
 
-import random
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from random import Random
+from typing import Any, Generic, Protocol
 
 from plumline.coordination.bootstrap import Bootstrap
 from plumline.coordination.environment import Environment, Member, Message, Record
-from plumline.coordination.failure_detector import SUSPECT_TIMEOUT_S, FailureDetector
+from plumline.coordination.failure_detector import (
+    PING_KIND,
+    SUSPECT_TIMEOUT_S,
+    FailureDetector,
+    reported_view_number,
+)
 from plumline.coordination.lease import (
     LEASE_MESSAGE_KIND,
     TERM_RECORD_KIND,
@@ -18,54 +26,92 @@
     Persist,
     Send,
 )
+from plumline.coordination.log import Change
 from plumline.coordination.membership import MembershipReconciler, PendingHandover
-from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
+from plumline.coordination.replica_status import LocalStatus
+from plumline.coordination.replica_storage import State
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View
 from plumline.coordination.view_agreement import ViewAgreement
 from plumline.coordination.view_messages import RECORD_KINDS as VIEW_RECORD_KINDS
 
 
-class Core:
-    """`changed` is told of each new view, `applied(number, change or None)` of each committed entry."""
+@dataclass(frozen=True, slots=True)
+class CoreConfig:
+    """What a core is told at its start, and never changes."""
+
+    local_member: Member
+    seeds: list[str]  # addresses of the registrars that create the first view
+    replicas_needed: int  # of each committed entry: one more than the machines that may be lost
+    first_start: bool  # the system never ran before
+    leases: dict[str, LeaseDurations]  # by name
+
+
+class CoreObserver(Protocol):
+    """What a core reports to its owner, and asks of it."""
+
+    def on_entry_committed(self, index: int, change: Change | None) -> None:
+        """Called for each committed entry in order; without a change where a snapshot replaced the state."""
+
+    def on_view_installed(self, view: View) -> None:
+        """Called for each view that this registrar has learned, once it is on the disk."""
+
+    def is_configuration_known(self) -> bool:
+        """Whether a router has reported a configuration, so that no first view may be created any more."""
+
+
+class Core(Generic[State]):
+    """The protocols of one registrar, stepped together. Times are seconds on the local steady clock."""
 
     def __init__(
         self,
-        me: Member,
-        seeds: list[str],
-        copies: int,
-        first_start: bool,
+        config: CoreConfig,
         environment: Environment,
-        empty: Any,  # noqa: ANN401
-        load: Callable[[Any], Any],
-        leases: dict[str, LeaseDurations],
-        now: float,
-        chance: random.Random,
-        applied: Callable[[int, list[Any] | None], None],
-        changed: Callable[[View], None],
-        is_configuration_known: Callable[[], bool],
+        initial_state: State,
+        load_state: Callable[[Any], State],
+        observer: CoreObserver,
+        random: Random,
     ) -> None:
-        self.me, self.seeds, self.environment, self.now = me, seeds, environment, now
-        self.changed, self.leases = changed, tuple(leases)
-        self.view_agreement = ViewAgreement(me, environment, self.installed)
-        self.chain = ChainReplica(me, copies, environment, empty, load, applied)
-        self.failure_detector = FailureDetector(me, environment)
-        self.membership = MembershipReconciler(me, self.view_agreement, self.failure_detector, chance, copies)
+        """`initial_state`: before the first entry; `load_state` makes one from its wire form. `random`
+        spreads the timing of proposals and candidacies."""
+        member = config.local_member
+        self.local_member, self.seeds, self.environment = member, config.seeds, environment
+        self.disk_unhealthy = False  # set by the owner while the disk takes no writes
+        self._observer, self._lease_names = observer, tuple(config.leases)
+        self._now = 0.0  # of the newest step
+        self.view_agreement = ViewAgreement(member, environment, self._on_view_installed)
+        self.chain = ChainReplica(
+            member,
+            config.replicas_needed,
+            environment,
+            initial_state,
+            load_state,
+            observer.on_entry_committed,
+        )
+        self.failure_detector = FailureDetector(member, environment)
+        self.membership = MembershipReconciler(
+            member, self.view_agreement, self.failure_detector, random, config.replicas_needed
+        )
         self.bootstrap = Bootstrap(
-            me, seeds, first_start, environment, self.view_agreement, is_configuration_known
+            member,
+            config.seeds,
+            config.first_start,
+            environment,
+            self.view_agreement,
+            observer.is_configuration_known,
         )
-        self.lease_election = LeaseElection(me[0], leases, chance)
-        self.disk_unhealthy = False
+        self.lease_election = LeaseElection(member.address, config.leases, random)
 
     def set_seeds(self, seeds: list[str]) -> None:
-        """The seeds of now: whom to ask. The first view is formed by those of this process's start, or never:
-        machines that were exchanged may all be empty."""
+        """Changes whom to ping. The first view is created by the seeds of this process's start, or never: if
+        machines were replaced, all of the present ones may be empty."""
         self.seeds = seeds
 
-    # Durable state.
+    # Durable state
 
-    def restore(self, records: list[Record]) -> None:
-        """From a file's records, before the first step."""
+    def restore(self, now: float, records: list[Record]) -> None:
+        """Replays the durable records, before the first step. May report entries as committed."""
+        self._now = now
         lease_records = []
         for record in records:
             if record[0] in VIEW_RECORD_KINDS:
@@ -76,136 +122,150 @@
                 self.chain.restore(record)
         self.lease_election.restore(lease_records)
         if self.view_agreement.view is not None:
-            self.installed(self.view_agreement.view)
-            self.stop_granting_leases()
+            self._on_view_installed(self.view_agreement.view)
+            self._stop_granting_superseded_leases()
 
     def records(self) -> list[Record]:
+        """The whole durable state: what `restore` needs to come to it."""
         return [*self.view_agreement.records(), *self.chain.records(), *self.lease_election.records()]
 
-    # Steps.
-
-    def installed(self, view: View) -> None:
-        self.chain.install_view(view)
-        for address, _ in (*view.acceptors, *view.chain):
-            self.failure_detector.add_peer(self.now, address)
-        voters = [address for address, _ in view.acceptors] if self.me in view.acceptors else []
-        formed_now = view.number == 1 and self.bootstrap.took_part
-        self.lease_election.set_view(self.now, view.number, voters, formed_now=formed_now)
-        self.changed(view)
+    # Steps
 
     def tick(self, now: float) -> None:
-        self.now = now
+        """Steps all protocols; to be called every few tens of milliseconds."""
+        self._now = now
         for address in self.seeds:
             self.failure_detector.add_peer(now, address)
         self.bootstrap.tick(now)
         view = self.view_agreement.view
-        present = self.chain.role.is_member()
-        synced = (
-            self.chain.synced_index if present else min(self.chain.synced_index, self.chain.committed_index)
-        )
-        local_status = LocalStatus(
-            incarnation=self.me.incarnation,
-            view_number=view.number if view else 0,
-            last_synced=synced,
-            disk_unhealthy=self.disk_unhealthy,
-            draining=self.membership.leaving,
-            status=ReplicaStatus(self.chain.status()),
-        )
-        self.failure_detector.tick(now, local_status)
+        self.failure_detector.tick(now, self._local_status(view))
         self.membership.tick(now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
         self.chain.tick(now)
         self.lease_election.tick(now)
-        self.perform_lease_actions()
+        self._perform_lease_actions()
         if view is not None:
-            named = {address for address, _ in (*view.acceptors, *view.chain)} | set(self.seeds)
+            named = {member.address for member in (*view.acceptors, *view.chain)} | set(self.seeds)
             self.failure_detector.remove_silent_peers(now, named)
 
+    def _local_status(self, view: View | None) -> LocalStatus:
+        synced = self.chain.synced_index
+        if self.chain.role.is_learner():  # what is beyond that may be discarded
+            synced = min(synced, self.chain.committed_index)
+        return LocalStatus(
+            incarnation=self.local_member.incarnation,
+            view_number=view.number if view else 0,
+            last_synced=synced,
+            disk_unhealthy=self.disk_unhealthy,
+            draining=self.membership.leaving,
+            status=self.chain.status(),
+        )
+
+    def _on_view_installed(self, view: View) -> None:
+        self.chain.install_view(view)
+        for member in (*view.acceptors, *view.chain):
+            self.failure_detector.add_peer(self._now, member.address)
+        voters: list[str] = []
+        if self.local_member in view.acceptors:
+            voters = [member.address for member in view.acceptors]
+        created_now = view.number == 1 and self.bootstrap.took_part
+        self.lease_election.set_view(self._now, view.number, voters, formed_now=created_now)
+        self._observer.on_view_installed(view)
+
     def on_message(self, now: float, sender: str, message: Message) -> bool:
-        """False if nobody here knows the kind of message."""
-        self.now = now
+        """Hands the message to its protocol; whether there is one for its kind."""
+        self._now = now
         if self.failure_detector.on_message(now, sender, message):
-            if message[0] == "ping":
-                self.view_agreement.on_peer_view_number(sender, message[3])
+            if message[0] == PING_KIND:
+                self.view_agreement.on_peer_view_number(sender, reported_view_number(message))
             return True
         if message[0] == "view-check":
-            _, nonce, number = message
-            if self.view_agreement.knows_no_successor(number) and self.view_agreement.is_acceptor():
-                self.environment.send(sender, ["view-checked", nonce, number])
+            self._on_view_check(sender, message)
             return True
         if self.view_agreement.on_message(sender, message):
-            self.stop_granting_leases()
-            return True
-        if self.chain.on_message(sender, message):
+            self._stop_granting_superseded_leases()
             return True
-        if self.bootstrap.on_message(sender, message):
+        if self.chain.on_message(sender, message) or self.bootstrap.on_message(sender, message):
             return True
         if message[0] == LEASE_MESSAGE_KIND:
             self.lease_election.on_message(now, sender, message[1:])
-            self.perform_lease_actions()
+            self._perform_lease_actions()
             return True
         return False
 
-    def stop_granting_leases(self) -> None:
-        """Whoever has accepted the next view votes for no lease in the present one."""
+    def _on_view_check(self, sender: str, message: Message) -> None:
+        """The read barrier's question: whether the view of this number is still the newest."""
+        _, nonce, number = message
+        if self.view_agreement.knows_no_successor(number) and self.view_agreement.is_acceptor():
+            self.environment.send(sender, ["view-checked", nonce, number])
+
+    # Leases
+
+    def _stop_granting_superseded_leases(self) -> None:
+        """An acceptor that has accepted the next view grants no lease in the present one."""
         if self.view_agreement.view is not None and self.view_agreement.accepted is not None:
             self.lease_election.stop_granting(self.view_agreement.view.number)
 
-    def perform_lease_actions(self) -> None:
+    def _perform_lease_actions(self) -> None:
         for action in self.lease_election.take_actions():
             if isinstance(action, Send):
                 self.environment.send(action.to, [LEASE_MESSAGE_KIND, *action.message])
             else:
                 self.environment.persist(
-                    action.record, lambda action=action: self.lease_record_synced(action)
+                    action.record, lambda action=action: self._on_lease_record_synced(action)
                 )
 
-    def lease_record_synced(self, action: Persist) -> None:
+    def _on_lease_record_synced(self, action: Persist) -> None:
         self.lease_election.on_synced(action.record)
         for to, message in action.send_after:
             self.environment.send(to, [LEASE_MESSAGE_KIND, *message])
 
     def campaign(self, now: float, lease: str) -> None:
-        """Makes this registrar a candidate for the lease, until it leaves."""
+        """Makes this registrar a candidate for the lease, until it drains."""
         self.lease_election.campaign(now, lease)
-        self.perform_lease_actions()
+        self._perform_lease_actions()
+
+    # Shutdown
 
-    def leave(self, now: float) -> None:
-        """Gives all leases back and tells the others to take this registrar out."""
+    def begin_draining(self, now: float) -> None:
+        """Releases all leases and asks the others to take this registrar out of the view."""
         self.membership.leaving = True
-        for lease in self.leases:
-            self.lease_election.release(now, lease)
-        self.perform_lease_actions()
+        for name in self._lease_names:
+            self.lease_election.release(now, name)
+        self._perform_lease_actions()
 
     def pending_handover(self, now: float) -> PendingHandover | None:
         """What must still be handed over before this registrar may end; None: nothing."""
-        if any(self.lease_election.fencing_token(now, lease) is not None for lease in self.leases):
+        if any(self.lease_election.fencing_token(now, name) is not None for name in self._lease_names):
             return PendingHandover.LEASE
         return self.membership.pending_handover(now)
 
-    # What others may ask.
+    # What the owner asks
 
-    def fresh(self, now: float) -> bool:
-        """Whether what this registrar has is the newest, as far as a majority in touch shows."""
+    def is_up_to_date(self, now: float) -> bool:
+        """Whether this registrar holds what is committed now, as far as the views show that a majority of the
+        acceptors reports."""
         view = self.view_agreement.view
         if view is None or self.chain.role.is_learner():
             return False
         if not self.failure_detector.has_quorum_of_reported_views(now, view.acceptors):
             return False
-        newer = any(
+        newer_view_reported = any(
             peer.view_number > view.number and now - peer.last_echoed_at < SUSPECT_TIMEOUT_S
             for peer in self.failure_detector.peers.values()
         )
-        return self.chain.caught_up and not newer
+        return self.chain.caught_up and not newer_view_reported
 
     def has_quorum_contact(self, now: float) -> bool:
         """Whether a majority of the acceptors answered this registrar lately."""
         view = self.view_agreement.view
         return view is not None and self.failure_detector.has_quorum_contact(now, view.acceptors)
 
-    def head(self) -> str | None:
+    def head_address(self) -> str | None:
+        """Where changes are submitted, as far as known: the address of the chain's first member."""
         view = self.view_agreement.view
-        return view.chain[0][0] if view and view.chain else None
+        return view.chain[0].address if view and view.chain else None
 
-    def tail(self) -> str | None:
+    def tail_address(self) -> str | None:
+        """Where reads are answered, as far as known: the address of the chain's last member."""
         view = self.view_agreement.view
-        return view.chain[-1][0] if view and view.chain else None
+        return view.chain[-1].address if view and view.chain else None
--- a/plumline/coordination/failure_detector.py
+++ b/plumline/coordination/failure_detector.py
@@ -13,6 +13,7 @@
 from plumline.coordination.environment import Environment, Member, Message
 from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
 
+PING_KIND = "ping"  # of the messages that carry a registrar's status
 PING_INTERVAL_S = 0.15
 #: Without an echo for so long a peer is suspected: above the pauses of a busy machine, well under any
 #: AcknowledgeMs.
@@ -78,7 +79,7 @@
         self._sent_at.pop(self._nonce - KEPT_PINGS, None)
         report = local_status.to_wire()
         for address in self.peers:
-            self.environment.send(address, ["ping", self._nonce, *report])
+            self.environment.send(address, [PING_KIND, self._nonce, *report])
 
     def on_message(self, now: float, sender: str, message: Message) -> bool:
         """Whether the message was a ping or an echo, and is dealt with."""
@@ -162,3 +163,8 @@
             for member in members
             if self.time_since_echo(now, member.address) < SUSPECT_TIMEOUT_S
         ]
+
+
+def reported_view_number(ping: Message) -> int:
+    """The number of the view that a ping's sender reports."""
+    return ping[3]
--- a/plumline/coordination/replication.py
+++ b/plumline/coordination/replication.py
@@ -35,6 +35,7 @@
 from plumline.coordination.log import Change, Entry, ReplicationLog
 from plumline.coordination.pending_replies import PendingReplies, SubmitCallback
 from plumline.coordination.reads import LinearizableReads
+from plumline.coordination.replica_status import ReplicaStatus
 from plumline.coordination.replica_storage import ReplicaStorage, State
 from plumline.coordination.snapshot_transfer import ChunkRequest
 from plumline.coordination.view import View
@@ -128,12 +129,13 @@
         """Whether the chain has as many members as must hold a committed entry."""
         return self.role.view is not None and self.role.chain_length() >= self._replicas_needed
 
-    def status(self) -> int:
-        """Return what the pings report: 2 in the chain and caught up, 1 in the chain, 0 a learner that
-        lacks no more than a batch, -1 one that lacks more."""
+    def status(self) -> ReplicaStatus:
+        """Return what the pings report."""
         if self.role.is_member():
-            return 1 + int(self.caught_up)
-        return 0 if self.catch_up.is_nearly_caught_up() else -1
+            return ReplicaStatus.CHAIN_CAUGHT_UP if self.caught_up else ReplicaStatus.CHAIN_CATCHING_UP
+        if self.catch_up.is_nearly_caught_up():
+            return ReplicaStatus.LEARNER_NEARLY_CAUGHT_UP
+        return ReplicaStatus.LEARNER_BEHIND
 
     # Durable state.
 
--- a/plumline/registrar/forwarding.py
+++ b/plumline/registrar/forwarding.py
@@ -68,11 +68,11 @@
         """Forwards a change to the head. `body_bytes`: size of the operator's request."""
         timeout_s = FORWARD_TIMEOUT_S + body_bytes / LARGE_BODY_BYTES_PER_S
         request = ForwardedWrite(_new_key(), change)
-        self._forward(now, self.core.head(), request, timeout_s, on_result)
+        self._forward(now, self.core.head_address(), request, timeout_s, on_result)
 
     def read(self, now: float, on_result: ResultCallback) -> None:
         """Asks the tail for the configuration; the result is None where there is none yet."""
-        self._forward(now, self.core.tail(), ForwardedRead(_new_key()), FORWARD_TIMEOUT_S, on_result)
+        self._forward(now, self.core.tail_address(), ForwardedRead(_new_key()), FORWARD_TIMEOUT_S, on_result)
 
     def _forward(
         self,
@@ -95,7 +95,9 @@
             return UnavailableError("no view of the core is known yet")
         if not self.core.has_quorum_contact(now):
             return UnavailableError("this registrar is cut off from the majority; ask another")
-        if address != self.core.me[0] and not self.core.failure_detector.is_alive(now, address):
+        if address != self.core.local_member.address and not self.core.failure_detector.is_alive(
+            now, address
+        ):
             return UnavailableError(f"{address} is silent; ask another")
         return None
 
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -8,7 +8,7 @@
 
 from plumline import logs
 from plumline.configuration.replicated_state import ReplicatedConfiguration
-from plumline.coordination.core import Core
+from plumline.coordination.core import Core, CoreConfig
 from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.log import Change
 from plumline.coordination.soft_state import SoftState
@@ -86,7 +86,7 @@
         soft_state = SoftState()
         heartbeat_s = settings.heartbeat_interval_ms / 1000
         self.publisher = FeedPublisher(
-            self.core.chain, soft_state, heartbeat_s, is_current=lambda: self.core.fresh(clock())
+            self.core.chain, soft_state, heartbeat_s, is_current=lambda: self.core.is_up_to_date(clock())
         )
         self.durable_state.start_writing(self.core.records)
         self.operator_api = OperatorApi(self.core, self.mesh.send, self.counters)
@@ -109,31 +109,42 @@
         self.mesh.attach(peer_handler, RouterMessageHandler(self.publisher, self.roles, self.mesh, clock))
         self.operator_server: Server | None = None
         self.stop_requested = asyncio.Event()
-        self.core.restore(self.durable_state.records)  # may commit, and publish, what is on the disk
+        self.core.restore(clock(), self.durable_state.records)  # may commit, and publish, what is on the disk
 
     def _make_core(self) -> Core:
         settings = self.settings
-        return Core(
-            me=Member(self.address, self.durable_state.incarnation),
+        config = CoreConfig(
+            local_member=Member(self.address, self.durable_state.incarnation),
             seeds=settings.seeds,
-            copies=settings.machine_losses + 1,
+            replicas_needed=settings.machine_losses + 1,
             first_start=settings.first_start,
-            environment=CoreEnvironment(self.mesh, self.durable_state),
-            empty=ReplicatedConfiguration(),
-            load=ReplicatedConfiguration.from_wire,
             leases=lease_durations(settings),
-            now=self.loop.time(),
-            chance=random.Random(secrets.randbits(64)),
-            applied=self._on_entry_committed,
-            changed=_log_view,
-            is_configuration_known=lambda: self.publisher.highest_subscriber_index > 0,
+        )
+        return Core(
+            config,
+            CoreEnvironment(self.mesh, self.durable_state),
+            initial_state=ReplicatedConfiguration(),
+            load_state=ReplicatedConfiguration.from_wire,
+            observer=self,
+            random=random.Random(secrets.randbits(64)),
         )
 
-    def _on_entry_committed(self, index: int, change: Change | None) -> None:
+    # What the core reports and asks.
+
+    def on_entry_committed(self, index: int, change: Change | None) -> None:
         """The entry of this number is committed; None: a whole state was installed in place of it."""
         self.publisher.on_entry_committed(index, change)
         self.roles.on_configuration_changed()
 
+    def on_view_installed(self, view: View) -> None:
+        """Logs the view."""
+        chain = ",".join(member.address for member in view.chain)
+        log.info(logs.words("view", number=view.number, chain=chain, acceptors=len(view.acceptors)))
+
+    def is_configuration_known(self) -> bool:
+        """Whether a router has reported an entry of the log."""
+        return self.publisher.highest_subscriber_index > 0
+
     # The loop.
 
     async def _step_forever(self) -> None:
@@ -173,7 +184,9 @@
         view = self.core.view_agreement.view
         chain = view.chain if view else ()
         registrars = [[member.address, self.zones.get(member.address, "")] for member in chain]
-        self.publisher.publish_heartbeat(self.core.fresh(now), registrars, self.routers.live_routers(now))
+        self.publisher.publish_heartbeat(
+            self.core.is_up_to_date(now), registrars, self.routers.live_routers(now)
+        )
 
     # Start and shutdown.
 
@@ -224,7 +237,7 @@
         """
         began = now = self.loop.time()
         deadline = began + max(0.0, self.settings.bounds.grace_period_s - SHUTDOWN_RESERVE_S)
-        self.core.leave(now)
+        self.core.begin_draining(now)
         while (duty := self.core.pending_handover(now)) is not None and now < deadline:
             await asyncio.sleep(STEP_INTERVAL_S)
             now = self.loop.time()
@@ -243,11 +256,6 @@
         return f"{reachable}/{len(acceptors)}"
 
 
-def _log_view(view: View) -> None:
-    chain = ",".join(member.address for member in view.chain)
-    log.info(logs.words("view", number=view.number, chain=chain, acceptors=len(view.acceptors)))
-
-
 async def run(settings: Settings, settings_file: SettingsFile | None = None) -> None:
     """Runs a registrar until SIGTERM. Raises StoreError, OSError."""
     await RegistrarProcess(settings, settings_file).run()
--- a/tests/core_schedule.py
+++ b/tests/core_schedule.py
@@ -82,11 +82,11 @@
         if asked.core is None or self.now < asked.thaws_at:
             return
         if self.random.random() < 0.4:
-            to = asked.core.tail()
+            to = asked.core.tail_address()
             if to and (asked.name, to) not in self.cut:
                 self.read(self.nodes[to])
             return
-        to = asked.core.head()
+        to = asked.core.head_address()
         if not to or (asked.name, to) in self.cut:
             return
         if self.tried and self.random.random() < 0.3:
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -377,7 +377,7 @@
         if node.core is None:
             ended()
             return
-        node.core.leave(self.now + node.offset)
+        node.core.begin_draining(self.now + node.offset)
 
         def look() -> None:
             if node.life != life or node.core is None:  # killed meanwhile
@@ -572,12 +572,12 @@
         asked = self.random.choice(list(self.nodes.values()))
         if asked.core is None or self.now < asked.thaws_at:
             return
-        to = asked.core.tail() if self.random.random() < 0.4 else asked.core.head()
+        to = asked.core.tail_address() if self.random.random() < 0.4 else asked.core.head_address()
         if not to or self.is_cut(asked.name, to):
             return
-        if to == asked.core.tail() and self.random.random() < 0.5:
+        if to == asked.core.tail_address() and self.random.random() < 0.5:
             self.read(self.nodes[to])
-        elif to == asked.core.head():
+        elif to == asked.core.head_address():
             self.submit(self.nodes[to], self.change(len(asked.core.chain.latest_state.ids)))
 
 
--- a/tests/core_world.py
+++ b/tests/core_world.py
@@ -13,7 +13,7 @@
 from unittest.mock import patch
 
 from plumline.coordination import replica_storage as storage_module
-from plumline.coordination.core import Core
+from plumline.coordination.core import Core, CoreConfig
 from plumline.coordination.environment import Member, Message, Record
 from plumline.coordination.lease import LeaseDurations
 from plumline.coordination.replication import ChainReplica
@@ -73,6 +73,22 @@
         self.world.at(delay, lambda: self.world.sync(self.node, self.life, item))
 
 
+class NodeObserver:
+    """Hands what a core reports to the world."""
+
+    def __init__(self, world: "World", node: Node) -> None:
+        self.world, self.node = world, node
+
+    def on_entry_committed(self, index: int, change: Any) -> None:  # noqa: ANN401
+        self.world.on_applied(self.node, index, change)
+
+    def on_view_installed(self, view: View) -> None:
+        self.world.on_view(self.node, view)
+
+    def is_configuration_known(self) -> bool:
+        return self.node.is_configuration_known
+
+
 def nothing() -> None:
     """In place of a call that was made already."""
 
@@ -180,23 +196,18 @@
         node.held_back.clear()
         node.thaws_at = 0.0
         node.offset = self.random.uniform(0, 1000)
+        config = CoreConfig(node.me, self.seeds, self.copies, self.first_start, self.leases)
         core = node.core = Core(
-            node.me,
-            self.seeds,
-            self.copies,
-            self.first_start,
+            config,
             NodeEnvironment(self, node),
             Register(),
             Register.load,
-            self.leases,
-            self.now + node.offset,
+            NodeObserver(self, node),
             Random(self.random.random()),
-            lambda number, change: self.on_applied(node, number, change),
-            lambda view: self.on_view(node, view),
-            lambda: node.is_configuration_known,
         )
         self.mutate(core)
-        core.restore([list(record) for record in node.disk if record[0] != "incarnation"])
+        records = [list(record) for record in node.disk if record[0] != "incarnation"]
+        core.restore(self.now + node.offset, records)
         self.compare(node)
         life = node.life
         self.at(self.random.random() * TICK_S, lambda: self.tick(node, life))
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from plumline.coordination.environment import Member
 from plumline.errors import PlumlineError, UnavailableError, VersionConflictError
 from plumline.registrar.forwarding import FORWARD_TIMEOUT_S, LARGE_BODY_BYTES_PER_S, RequestForwarder
 
@@ -34,7 +35,7 @@
     """As much of a core as the request forwarder looks at."""
 
     def __init__(self) -> None:
-        self.me = ("me", "1")
+        self.local_member = Member("me", "1")
         self.failure_detector, self.chain = FailureDetector(), Chain()
         self.majority = True
         self.chain_head: str | None = "head"
@@ -42,10 +43,10 @@
     def has_quorum_contact(self, now: float) -> bool:
         return self.majority
 
-    def head(self) -> str | None:
+    def head_address(self) -> str | None:
         return self.chain_head
 
-    def tail(self) -> str | None:
+    def tail_address(self) -> str | None:
         return "tail"
 
 
--- a/tests/test_forwarding_properties.py
+++ b/tests/test_forwarding_properties.py
@@ -15,6 +15,7 @@
 from hypothesis import strategies as st
 from virtual_net import VirtualLoop
 
+from plumline.coordination.environment import Member
 from plumline.errors import PlumlineError, UnavailableError, VersionConflictError
 from plumline.registrar.forwarding import RequestForwarder
 
@@ -52,9 +53,9 @@
     def forwarder(self, name: str) -> RequestForwarder:
         """A registrar's request forwarder, whose core knows head and tail and is never cut off."""
         core: Any = SimpleNamespace(
-            me=(name, "1"),
-            head=lambda: NAMES[0],
-            tail=lambda: NAMES[1],
+            local_member=Member(name, "1"),
+            head_address=lambda: NAMES[0],
+            tail_address=lambda: NAMES[1],
             chain=self.chains[name],
             has_quorum_contact=lambda now: True,
             failure_detector=SimpleNamespace(is_alive=lambda now, address: True),
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -222,7 +222,7 @@
     world.start(world.nodes["b"])
     world.start(world.nodes["c"])
     world.go(0.2)
-    world.nodes["b"].core.leave(local(world, "b"))
+    world.nodes["b"].core.begin_draining(local(world, "b"))
     world.go(5.0)
     assert list(world.views) == [1]
     assert world.nodes["b"].core.pending_handover(local(world, "b")) is PendingHandover.REPLICA
@@ -235,7 +235,7 @@
     world = formed()
     world.put(0)
     core = world.nodes[name].core
-    core.leave(local(world, name))
+    core.begin_draining(local(world, name))
     assert core.pending_handover(local(world, name)) is PendingHandover.REPLICA
     assert world.go(1.0, lambda: core.pending_handover(local(world, name)) is None)
     assert name not in world.chain()
@@ -248,7 +248,7 @@
     world.start(world.nodes["d"])
     world.settle("abcd")
     core = world.nodes["c"].core
-    core.leave(local(world, "c"))
+    core.begin_draining(local(world, "c"))
     assert world.go(2.0, lambda: core.pending_handover(local(world, "c")) is None)
     world.crash(world.nodes["c"])
     assert addresses(world.newest.acceptors) == "abd"
@@ -263,7 +263,7 @@
     world.crash(world.nodes["c"])
     world.settle("ab")
     core = world.nodes["a"].core
-    core.leave(local(world, "a"))
+    core.begin_draining(local(world, "a"))
     world.go(5.0)
     assert core.pending_handover(local(world, "a")) is PendingHandover.REPLICA
     world.start(world.nodes["c"])
@@ -291,7 +291,7 @@
     assert world.go(5.0, lambda: bool(holders()))
     first = holders()
     core = world.nodes[first].core
-    core.leave(local(world, first))
+    core.begin_draining(local(world, first))
     assert holders() == ""
     assert world.go(1.0, lambda: core.pending_handover(local(world, first)) is None)
     world.crash(world.nodes[first])
@@ -317,7 +317,7 @@
     core.disk_unhealthy = True
     world.settle("abd")
     world.go(0.5)
-    core.leave(local(world, "c"))
+    core.begin_draining(local(world, "c"))
     assert core.pending_handover(local(world, "c")) is PendingHandover.ACCEPTOR
     assert world.go(1.0, lambda: core.pending_handover(local(world, "c")) is None)
     assert addresses(world.newest.acceptors) == "abd"
@@ -328,7 +328,7 @@
     world.put(0)
     world.cut |= {("a", "d"), ("d", "a")}
     world.go(2.0)
-    world.nodes["b"].core.leave(local(world, "b"))
+    world.nodes["b"].core.begin_draining(local(world, "b"))
     world.go(2.0)
     assert [addresses(view.chain) for view in world.views.values()] == ["abcd", "acd"]
     assert addresses(world.newest.acceptors) == "acd"
@@ -338,8 +338,8 @@
     world = formed()
     world.put(0)
     core = world.nodes["c"].core
-    core.leave(local(world, "c"))
-    assert world.go(1.0, lambda: core.me not in core.view_agreement.view.chain)
+    core.begin_draining(local(world, "c"))
+    assert world.go(1.0, lambda: core.local_member not in core.view_agreement.view.chain)
     assert core.pending_handover(local(world, "c")) is PendingHandover.REPLICA
     assert world.go(1.0, lambda: core.pending_handover(local(world, "c")) is None)
 
@@ -422,7 +422,7 @@
     core.disk_unhealthy = True
     world.settle("abd")
     world.go(0.5)
-    core.leave(local(world, "c"))
+    core.begin_draining(local(world, "c"))
     assert core.pending_handover(local(world, "c")) is PendingHandover.ACCEPTOR
     assert world.go(1.0, lambda: core.pending_handover(local(world, "c")) is None)
     assert addresses(world.newest.acceptors) == "abd"
--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -47,7 +47,7 @@
     first.durable_state.close()
     # What was the newest entry as it ended is committed as the next process starts, before any message came.
     second = RegistrarProcess(settings_for(tmp_path))
-    assert second.core.me == first.core.me
+    assert second.core.local_member == first.core.local_member
     assert second.core.chain.state.weight_versions == {"m": 3}
     assert second.core.chain.is_head() and second.core.chain.caught_up
     second.durable_state.close()
@@ -60,8 +60,8 @@
     first = RegistrarProcess(settings_for(tmp_path / "one"))
     await soon(formed(first))
     second = RegistrarProcess(settings_for(tmp_path / "two"))
-    assert second.core.me[0] == first.core.me[0]
-    assert second.core.me[1] != first.core.me[1]
+    assert second.core.local_member.address == first.core.local_member.address
+    assert second.core.local_member.incarnation != first.core.local_member.incarnation
     assert second.core.view_agreement.view is None
     first.durable_state.close()
     second.durable_state.close()
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -251,7 +251,7 @@
     answers: list[Any] = []
     world.read(node, answers.append)
     assert answers in ([], [None])
-    assert not core.fresh(world.now + node.offset)
+    assert not core.is_up_to_date(world.now + node.offset)
     told: list[Any] = []
     world.submit(node, world.change(len(core.chain.state.ids)), told.append)
     assert not told or isinstance(told[0], UnavailableError)
