--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -222,7 +222,7 @@
     world.start(world.nodes["b"])
     world.start(world.nodes["c"])
     world.go(0.2)
-    world.nodes["b"].core.leave(local_time(world, "b"))
+    world.nodes["b"].core.begin_draining(local_time(world, "b"))
     world.go(5.0)
     assert list(world.views) == [1]
     assert world.nodes["b"].core.pending_handover(local_time(world, "b")) is PendingHandover.REPLICA
@@ -235,7 +235,7 @@
     world = formed()
     world.put(0)
     core = world.nodes[name].core
-    core.leave(local_time(world, name))
+    core.begin_draining(local_time(world, name))
     assert core.pending_handover(local_time(world, name)) is PendingHandover.REPLICA
     assert world.go(1.0, lambda: core.pending_handover(local_time(world, name)) is None)
     assert name not in world.chain()
@@ -248,7 +248,7 @@
     world.start(world.nodes["d"])
     world.settle("abcd")
     core = world.nodes["c"].core
-    core.leave(local_time(world, "c"))
+    core.begin_draining(local_time(world, "c"))
     assert world.go(2.0, lambda: core.pending_handover(local_time(world, "c")) is None)
     world.crash(world.nodes["c"])
     assert addresses(world.newest.acceptors) == "abd"
@@ -263,7 +263,7 @@
     world.crash(world.nodes["c"])
     world.settle("ab")
     core = world.nodes["a"].core
-    core.leave(local_time(world, "a"))
+    core.begin_draining(local_time(world, "a"))
     world.go(5.0)
     assert core.pending_handover(local_time(world, "a")) is PendingHandover.REPLICA
     world.start(world.nodes["c"])
@@ -292,7 +292,7 @@
     assert world.go(5.0, lambda: bool(holders()))
     first = holders()
     core = world.nodes[first].core
-    core.leave(local_time(world, first))
+    core.begin_draining(local_time(world, first))
     assert holders() == ""
     assert world.go(1.0, lambda: core.pending_handover(local_time(world, first)) is None)
     world.crash(world.nodes[first])
@@ -318,7 +318,7 @@
     core.disk_unhealthy = True
     world.settle("abd")
     world.go(0.5)
-    core.leave(local_time(world, "c"))
+    core.begin_draining(local_time(world, "c"))
     assert core.pending_handover(local_time(world, "c")) is PendingHandover.ACCEPTOR
     assert world.go(1.0, lambda: core.pending_handover(local_time(world, "c")) is None)
     assert addresses(world.newest.acceptors) == "abd"
@@ -329,7 +329,7 @@
     world.put(0)
     world.cut |= {("a", "d"), ("d", "a")}
     world.go(2.0)
-    world.nodes["b"].core.leave(local_time(world, "b"))
+    world.nodes["b"].core.begin_draining(local_time(world, "b"))
     world.go(2.0)
     assert [addresses(view.chain) for view in world.views.values()] == ["abcd", "acd"]
     assert addresses(world.newest.acceptors) == "acd"
@@ -339,8 +339,8 @@
     world = formed()
     world.put(0)
     core = world.nodes["c"].core
-    core.leave(local_time(world, "c"))
-    assert world.go(1.0, lambda: core.me not in core.view_agreement.view.chain)
+    core.begin_draining(local_time(world, "c"))
+    assert world.go(1.0, lambda: core.local_member not in core.view_agreement.view.chain)
     assert core.pending_handover(local_time(world, "c")) is PendingHandover.REPLICA
     assert world.go(1.0, lambda: core.pending_handover(local_time(world, "c")) is None)
 
@@ -423,7 +423,7 @@
     core.disk_unhealthy = True
     world.settle("abd")
     world.go(0.5)
-    core.leave(local_time(world, "c"))
+    core.begin_draining(local_time(world, "c"))
     assert core.pending_handover(local_time(world, "c")) is PendingHandover.ACCEPTOR
     assert world.go(1.0, lambda: core.pending_handover(local_time(world, "c")) is None)
     assert addresses(world.newest.acceptors) == "abd"
