--- a/plumline/coordination/membership.py
+++ b/plumline/coordination/membership.py
@@ -13,8 +13,8 @@
 docs/control-safety/membership.md has the invariants, and the tests that show each of them.
 """
 
-import random
 from enum import StrEnum
+from random import Random
 from typing import NamedTuple
 
 from plumline.coordination.environment import Member
@@ -54,16 +54,16 @@
         local_member: Member,
         view_agreement: ViewAgreement,
         failure_detector: FailureDetector,
-        rng: random.Random,
-        replicas: int,
+        rng: Random,
+        replicas_needed: int,
     ) -> None:
-        """`replicas`: how many hold each acknowledged entry, which is one more than may be lost at once."""
+        """`replicas_needed` hold each acknowledged entry: one more than may be lost at once."""
         self.local_member = local_member
         self.view_agreement = view_agreement
         self.failure_detector = failure_detector
         self.members = MemberAssessor(failure_detector)
         self.rng = rng
-        self.replicas = replicas
+        self.replicas_needed = replicas_needed
         #: Set once this registrar shuts down; its pings tell the others.
         self.draining = False
         self._target: View | None = None
@@ -71,8 +71,8 @@
 
     @property
     def target_acceptor_count(self) -> int:
-        """The smallest number of acceptors that keep a majority when `replicas` - 1 of them are lost."""
-        return 2 * self.replicas - 1
+        """The smallest number of acceptors that keep a majority with `replicas_needed` - 1 of them lost."""
+        return 2 * self.replicas_needed - 1
 
     # The loop.
 
@@ -195,7 +195,7 @@
         The latter is waived if all members that are left out have been absent for long: then only a chain
         without them lets the others catch up.
         """
-        needed = min(self.replicas, len(view.chain))
+        needed = min(self.replicas_needed, len(view.chain))
         if len(chain) < needed:
             return False
         caught_up = sum(self._is_live_replica(now, view, member, replica) for member in chain)
@@ -315,7 +315,7 @@
     def is_replicated_by_others(self, view: View) -> bool:
         """Whether enough members of this view's chain have reported in it that they are caught up."""
         caught_up = sum(self.members.has_reported_caught_up(view, member) for member in view.chain)
-        return caught_up >= min(self.replicas, len(view.chain))
+        return caught_up >= min(self.replicas_needed, len(view.chain))
 
     def may_stop_voting(self, now: float, view: View) -> bool:
         """Whether this acceptor may end.
