--- a/plumline/registrar/rollout/loop.py
+++ b/plumline/registrar/rollout/loop.py
@@ -131,18 +131,19 @@
         for task in self._calls:
             task.cancel()
 
-    async def _send_order(self, step: Step, address: Address, fencing_token: int) -> None:
-        def prepare() -> dict[str, Any]:
-            if self.environment.fencing_token() != fencing_token:
-                raise CallWithdrawnError("the lease is over")
-            return order_body(step.model, step.version, step.expected_count, self.lease_holder, fencing_token)
+    def _prepare_order(self, step: Step, fencing_token: int) -> dict[str, Any]:
+        """The body of an order, made at the moment of sending. Raises CallWithdrawnError."""
+        if self.environment.fencing_token() != fencing_token:
+            raise CallWithdrawnError("the lease is over")
+        return order_body(step.model, step.version, step.expected_count, self.lease_holder, fencing_token)
 
+    async def _send_order(self, step: Step, address: Address, fencing_token: int) -> None:
         try:
             answer = await self.caller.call(
                 "order",
                 address,
                 headers={calls.EXPECTED_INSTANCE: step.endpoint_id},
-                prepare=prepare,
+                prepare=lambda: self._prepare_order(step, fencing_token),
                 timeout_s=ORDER_TIMEOUT_S,
             )
         except CallWithdrawnError:
--- a/plumline/registrar/rollout/plan.py
+++ b/plumline/registrar/rollout/plan.py
@@ -5,13 +5,11 @@
 order in progress.
 """
 
-import math
-from collections import Counter
 from collections.abc import Iterable, Mapping
-from dataclasses import dataclass, field
 from enum import StrEnum
 from typing import NamedTuple
 
+from plumline.registrar.rollout.admission import TARGET_SHARE, RolloutAdmission
 from plumline.registrar.rollout.endpoint_rollout import EndpointRollout, RolloutPhase, backoff_s
 from plumline.registrar.rollout.orders import OrderOutcome
 from plumline.registrar.rollout.reports import EndpointReport
@@ -24,12 +22,6 @@
 LOST_ORDER_TIMEOUT_S = 1.0  # a report that shows nothing of an order this long after it: the order was lost
 UNRESPONSIVE_TIMEOUT_S = 5.0  # without a report: the endpoint is no longer published as updating
 MAX_ATTEMPTS = 3  # orders in a row without effect before the endpoint is used again for a while
-INITIAL_DURATION_S = 1.2  # first estimate of one endpoint's roll-out, the announcement included
-MIN_DURATION_S, MAX_DURATION_S = 0.5, 4.0  # bounds of one measured duration
-DURATION_SMOOTHING = 0.3  # weight of the newest duration in the moving average
-ENDPOINTS_PER_CONCURRENT_UPDATE = 3  # one in so many of a service's endpoints is updated at a time
-TARGET_SHARE = 0.5  # of VersionApplyMs: the time in which a roll-out aims to be complete
-OVERDUE_SHARE = 0.75  # of VersionApplyMs: endpoints of an old version are of no use after this
 
 RolloutStates = dict[str, RolloutState]  # by endpoint id, as they are published
 
@@ -53,17 +45,6 @@
     expected_count: int | None = None  # the `CallSequence` that the endpoint must have; None: any
 
 
-@dataclass(slots=True)
-class _ServiceCounts:
-    """Serving endpoints by service, and those that may begin to update now."""
-
-    total: Counter[str] = field(default_factory=Counter)
-    outdated: Counter[str] = field(default_factory=Counter)
-    updating: Counter[str] = field(default_factory=Counter)  # without those that don't answer
-    updating_by_zone: Counter[tuple[str, str]] = field(default_factory=Counter)  # by service and zone
-    candidates: dict[str, list[str]] = field(default_factory=dict)  # endpoint ids
-
-
 class RolloutPlan:
     """Which endpoint changes its version when.
 
@@ -73,10 +54,9 @@
 
     def __init__(self, apply_timeout_s: float) -> None:
         """`apply_timeout_s`: VersionApplyMs in s, in which all endpoints are to have a new version."""
-        self.apply_timeout_s = apply_timeout_s
         self.versions = FleetVersions(initial_age_s=TARGET_SHARE * apply_timeout_s)
+        self.admission = RolloutAdmission(apply_timeout_s)
         self.rollouts: dict[str, EndpointRollout] = {}  # by endpoint id
-        self.expected_duration_s = INITIAL_DURATION_S
         self._completed: list[str] = []
 
     # What is known.
@@ -144,7 +124,9 @@
             if step is not None:
                 steps.append(step)
         self._complete_up_to_date()
-        steps += [Step(StepKind.ANNOUNCE, endpoint_id) for endpoint_id in self._start_rollouts(now)]
+        for endpoint_id in self.admission.admit(self.versions, self.rollouts, now):
+            self._start(endpoint_id, now)
+            steps.append(Step(StepKind.ANNOUNCE, endpoint_id))
         steps += [Step(StepKind.DONE, endpoint_id) for endpoint_id in self._completed]
         self._completed.clear()
         return steps
@@ -180,25 +162,8 @@
             if rollout.phase is RolloutPhase.BACKING_OFF and not self.versions.pending_update(endpoint_id):
                 self._complete(endpoint_id)
 
-    def _start_rollouts(self, now: float) -> list[str]:
-        """Starts as many roll-outs as may run concurrently. Returns the endpoints' ids."""
-        counts = self._count(now)
-        started: list[str] = []
-        for service, candidates in counts.candidates.items():
-            limit = self._max_concurrent(counts.total[service], counts.outdated[service], candidates, now)
-            capacity = limit - counts.updating[service]
-            candidates.sort()
-            while candidates and capacity > 0:
-                # One zone after the other in turn: no zone loses more of its own than the others do.
-                endpoint_id = min(candidates, key=lambda each: counts.updating_by_zone[self._zone(each)])
-                candidates.remove(endpoint_id)
-                counts.updating_by_zone[self._zone(endpoint_id)] += 1
-                self._start(endpoint_id, now)
-                started.append(endpoint_id)
-                capacity -= 1
-        return started
-
     def _start(self, endpoint_id: str, now: float) -> None:
+        """Announces the endpoint as updating; what its earlier attempts have shown is carried over."""
         previous = self.rollouts.get(endpoint_id)
         rollout = EndpointRollout(
             RolloutPhase.ANNOUNCED,
@@ -212,39 +177,6 @@
             rollout.expected_count = previous.expected_count
         self.rollouts[endpoint_id] = rollout
 
-    def _count(self, now: float) -> _ServiceCounts:
-        counts = _ServiceCounts()
-        for endpoint_id, endpoint in self.versions.endpoints.items():
-            if endpoint.draining:
-                continue
-            service, rollout = endpoint.service, self.rollouts.get(endpoint_id)
-            counts.total[service] += 1
-            if rollout and rollout.updating:
-                counts.updating_by_zone[service, endpoint.zone] += 1
-                counts.updating[service] += not rollout.unresponsive  # such a one would block the others
-            if not self.versions.pending_update(endpoint_id):
-                continue
-            counts.outdated[service] += 1
-            if rollout is None or (rollout.phase is RolloutPhase.BACKING_OFF and rollout.is_due(now)):
-                counts.candidates.setdefault(service, []).append(endpoint_id)
-        return counts
-
-    def _zone(self, endpoint_id: str) -> tuple[str, str]:
-        endpoint = self.versions.endpoints[endpoint_id]
-        return endpoint.service, endpoint.zone
-
-    def _max_concurrent(self, total: int, outdated: int, candidates: Iterable[str], now: float) -> int:
-        """How many of a service may update concurrently: few, but in time; at most a third unless overdue."""
-        updates = [self.versions.pending_update(endpoint_id) for endpoint_id in candidates]
-        desired_at = min(self.versions.desired_at[update.model] for update in updates if update)
-        age_s = now - desired_at
-        if age_s >= OVERDUE_SHARE * self.apply_timeout_s:
-            return total
-        left_s = TARGET_SHARE * self.apply_timeout_s - age_s
-        batches = max(1, int(left_s / self.expected_duration_s))
-        most = max(1, math.ceil(total / ENDPOINTS_PER_CONCURRENT_UPDATE))
-        return min(most, math.ceil(outdated / batches))
-
     def _complete(self, endpoint_id: str) -> None:
         del self.rollouts[endpoint_id]
         self._completed.append(endpoint_id)
@@ -338,12 +270,8 @@
         if rollout.target is not None:
             self.versions.confirm(endpoint_id, *rollout.target)
         if not rollout.attempts and rollout.ordered_at:
-            self._learn_duration(now - rollout.started_at)
+            self.admission.learn_duration(now - rollout.started_at)
         if self.versions.pending_update(endpoint_id):
             rollout.restart(now)
         else:
             self._complete(endpoint_id)
-
-    def _learn_duration(self, duration_s: float) -> None:
-        bounded_s = min(MAX_DURATION_S, max(MIN_DURATION_S, duration_s))
-        self.expected_duration_s += DURATION_SMOOTHING * (bounded_s - self.expected_duration_s)
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -362,7 +362,7 @@
     scene.under_way()
     scene.steps(3.0)
     scene.reported("a", shown(2))
-    assert scene.plan.expected_duration_s == pytest.approx(1.2 + 0.3 * (3.25 - 1.2))
+    assert scene.plan.admission.expected_duration_s == pytest.approx(1.2 + 0.3 * (3.25 - 1.2))
 
 
 @pytest.mark.parametrize("garbage", [None, 3, [], {}, {"Models": 3, "Busy": False}, {"Models": []}])
