--- a/plumline/registrar/singleton_roles.py
+++ b/plumline/registrar/singleton_roles.py
@@ -16,7 +16,6 @@
 from plumline.coordination.core import Core
 from plumline.coordination.lease import LeaseDurations
 from plumline.counters import Counters
-from plumline.prefix_cache.index import TOLD_PART
 from plumline.registrar.cache_stores import CacheStoreMonitor
 from plumline.registrar.discovery import EndpointDiscovery
 from plumline.registrar.publisher import FeedPublisher
