--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -139,13 +139,15 @@
         self.bootstrap.tick(now)
         view = self.view_agreement.view
         self.failure_detector.tick(now, self._local_status(view))
-        self.membership.tick(now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
+        self.membership.reconcile(
+            now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up
+        )
         self.chain.tick(now)
         self.lease_election.tick(now)
         self._perform_lease_actions()
         if view is not None:
             named = {member.address for member in (*view.acceptors, *view.chain)} | set(self.seeds)
-            self.failure_detector.remove_silent_peers(now, named)
+            self.failure_detector.remove_unresponsive_peers(now, named)
 
     def _local_status(self, view: View | None) -> LocalStatus:
         synced = self.chain.synced_index
@@ -156,7 +158,7 @@
             view_number=view.number if view else 0,
             last_synced=synced,
             disk_unhealthy=self.disk_unhealthy,
-            draining=self.membership.leaving,
+            draining=self.membership.draining,
             status=self.chain.status(),
         )
 
@@ -228,7 +230,7 @@
 
     def begin_draining(self, now: float) -> None:
         """Releases all leases and asks the others to take this registrar out of the view."""
-        self.membership.leaving = True
+        self.membership.draining = True
         for name in self._lease_names:
             self.lease_election.release(now, name)
         self._perform_lease_actions()
--- a/tests/test_shared_breaker.py
+++ b/tests/test_shared_breaker.py
@@ -12,7 +12,7 @@
     GAP_STEP,
     NEVER,
     RESET_TIMEOUT,
-    WAIT_SLACK,
+    RETRY_AFTER_SLACK,
     Breaker,
 )
 from plumline.breaker.interface import BreakerSettings
@@ -148,7 +148,7 @@
 def test_a_crowd_adds_a_little_to_a_told_wait() -> None:
     breaker = a_breaker(PlainSettings(2 * SECOND, fleet_size=CROWD))
     breaker.told_wait(START)
-    assert START + 80 * MS <= breaker.wait_until <= START + WAIT_SLACK
+    assert START + 80 * MS <= breaker.wait_until <= START + RETRY_AFTER_SLACK
 
 
 def test_after_an_outage_calls_are_paced_until_the_destination_is_warm() -> None:
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize("cold", [1, 10 * SECOND])
 def test_a_cold_time_is_used_as_it_is_told(cold: int) -> None:
-    assert a_breaker(PlainSettings(2 * SECOND, cold=cold)).remembered == cold
+    assert a_breaker(PlainSettings(2 * SECOND, cold=cold)).rate_memory == cold
 
 
 def test_the_senders_settings_and_plain_ones_make_the_same_breaker() -> None:
@@ -198,10 +198,27 @@
                 breaker.refused(now, call, 3 * SECOND * (number % 2))
             else:
                 breaker.served(now, call)
-        known.append([getattr(breaker, name) for name in Breaker.KEPT])
+        known.append(breaker.stored_state())
     assert known[0] == known[1]
 
 
+def test_the_stored_state_has_its_names_and_is_taken_over_whole_or_in_part() -> None:
+    """The state comes from another release, so its names stay whatever the attributes are called."""
+    breaker = a_breaker(PlainSettings(2 * SECOND))
+    breaker.failed(START)
+    state = breaker.stored_state()
+    names = "opened failures trial_at gap gap_changed last_sent wait_until unserved sick cold_since doubting"
+    names += " doubt_began errors up_at cold_before shut_at served_sent took spread known calls span"
+    names += " last_served asked asked_span last_asked"
+    assert list(state) == names.split()
+    assert state["failures"] == 1 and state["doubting"] is True
+    other = a_breaker(PlainSettings(2 * SECOND))
+    other.restore_state(state)
+    assert other.stored_state() == state
+    other.restore_state({"sick": 0.5})
+    assert other.stored_state() == state | {"sick": 0.5}
+
+
 @pytest.mark.parametrize(
     "name, value",
     [
