--- a/plumline/coordination/__init__.py
+++ b/plumline/coordination/__init__.py
@@ -1,1 +1,4 @@
-"""Agreement between processes as pure state machines: views, chain, leader leases, ring, retry budget."""
+"""Coordination protocols as state machines without I/O: views, replication, leases, failure detection.
+
+`core.Core` steps the protocols of a registrar together. `rendezvous` and `retry_budget` are the routers'.
+"""
