--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -27,7 +27,7 @@
     Send,
 )
 from plumline.coordination.log import Change
-from plumline.coordination.membership import MembershipReconciler, PendingHandover
+from plumline.coordination.membership import LocalReplica, MembershipReconciler, PendingHandover
 from plumline.coordination.replica_status import LocalStatus
 from plumline.coordination.replica_storage import State
 from plumline.coordination.replication import ChainReplica
@@ -139,9 +139,8 @@
         self.bootstrap.tick(now)
         view = self.view_agreement.view
         self.failure_detector.tick(now, self._local_status(view))
-        self.membership.reconcile(
-            now, self.chain.synced_index, self.chain.committed_index, self.chain.caught_up
-        )
+        replica = LocalReplica(self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
+        self.membership.reconcile(now, replica)
         self.chain.tick(now)
         self.lease_election.tick(now)
         self._perform_lease_actions()
