--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -146,7 +146,7 @@
         self._perform_lease_actions()
         if view is not None:
             named = {member.address for member in (*view.acceptors, *view.chain)} | set(self.seeds)
-            self.failure_detector.remove_silent_peers(now, named)
+            self.failure_detector.remove_unresponsive_peers(now, named)
 
     def _local_status(self, view: View | None) -> LocalStatus:
         synced = self.chain.synced_index
