--- a/plumline/coordination/chain_role.py
+++ b/plumline/coordination/chain_role.py
@@ -11,29 +11,27 @@
     """A registrar's role in one view, and its neighbours in the chain."""
 
     view: View | None  # None: none is known yet
+    view_number: int  # 0 if no view is known
     position: int | None  # in the chain, from the head at 0 on; None: a learner
     predecessor: str | None  # address of the next member towards the head
     successor: str | None  # address of the next member towards the tail
+    chain_length: int  # 0 if no view is known
 
     @classmethod
     def without_view(cls) -> "ChainRole":
         """Return the role of a registrar that knows no view yet."""
-        return cls(None, None, None, None)
+        return cls(None, 0, None, None, None, 0)
 
     @classmethod
     def in_view(cls, view: View, member: Member) -> "ChainRole":
         """Return the member's role in the view."""
         position = view.position(member)
+        length = len(view.chain)
         if position is None:
-            return cls(view, None, None, None)
+            return cls(view, view.number, None, None, None, length)
         predecessor = view.chain[position - 1][0] if position > 0 else None
-        successor = view.chain[position + 1][0] if position + 1 < len(view.chain) else None
-        return cls(view, position, predecessor, successor)
-
-    @property
-    def view_number(self) -> int:
-        """Number of the view; 0 if none is known."""
-        return self.view.number if self.view is not None else 0
+        successor = view.chain[position + 1][0] if position + 1 < length else None
+        return cls(view, view.number, position, predecessor, successor, length)
 
     def is_member(self) -> bool:
         """Whether it is in the chain."""
@@ -50,7 +48,3 @@
     def is_tail(self) -> bool:
         """Whether it commits entries and answers reads."""
         return self.position is not None and self.successor is None
-
-    def chain_length(self) -> int:
-        """Return the number of members; 0 if no view is known."""
-        return len(self.view.chain) if self.view is not None else 0
--- a/plumline/coordination/pending_replies.py
+++ b/plumline/coordination/pending_replies.py
@@ -28,6 +28,8 @@
 
     def release_through(self, committed_index: int) -> None:
         """Give the replies that depend on entries up to this one."""
+        if not self._by_index:  # as on every replica but the head
+            return
         for index in [index for index in self._by_index if index <= committed_index]:
             for reply in self._by_index.pop(index):
                 reply.callback(reply.error)
--- a/plumline/coordination/replica_storage.py
+++ b/plumline/coordination/replica_storage.py
@@ -159,8 +159,10 @@
         if index <= self.committed_index:
             return False
         for entry in list(self.log.between(self.committed_index, index)):
-            is_latest = entry.index == self.last_index
-            self.state = self.latest_state if is_latest else self.state.apply(entry.change)
+            if entry.index == self.last_index:
+                self.state = self.latest_state
+            else:
+                self.state = self.state.apply(entry.change)
             self.committed_index = entry.index
             if notify:
                 self._on_applied(entry.index, entry.change)
--- a/plumline/coordination/replication.py
+++ b/plumline/coordination/replication.py
@@ -126,7 +126,7 @@
 
     def can_commit(self) -> bool:
         """Whether the chain has as many members as must hold a committed entry."""
-        return self.role.view is not None and self.role.chain_length() >= self._replicas_needed
+        return self.role.view is not None and self.role.chain_length >= self._replicas_needed
 
     def status(self) -> int:
         """Return what the pings report: 2 in the chain and caught up, 1 in the chain, 0 a learner that
@@ -181,13 +181,14 @@
             return
         error: PlumlineError | None = None
         try:
-            is_new = not self.latest_state.check(change)
+            is_new = not self.storage.latest_state.check(change)
         except PlumlineError as refusal:
             is_new, error = False, refusal
+        storage = self.storage
         if is_new:
-            self._append(self.last_index + 1, change)
-        if self.committed_index < self.last_index:
-            self._pending_replies.add(self.last_index, callback, error)
+            self._append(storage.last_index + 1, change)
+        if storage.committed_index < storage.last_index:
+            self._pending_replies.add(storage.last_index, callback, error)
         elif error is None:
             callback(None)
         else:
@@ -213,14 +214,14 @@
 
     def _forward(self) -> None:
         """Send the successor what it lacks and is synced here, as far as its window allows."""
-        successor = self.role.successor
-        if successor is None or not self.send_window.lacks(self.synced_index):
+        successor, storage = self.role.successor, self.storage
+        if successor is None or not self.send_window.lacks(storage.synced_index):
             return
         view_number = self.role.view_number
-        if not self.log.continues_from(self.send_window.sent_index):
+        if not storage.log.continues_from(self.send_window.sent_index):
             self._environment.send(successor, LogTrimmed(view_number).to_wire())
             return
-        for entry in self.send_window.take_entries(self._now, self.log, self.synced_index):
+        for entry in self.send_window.take_entries(self._now, storage.log, storage.synced_index):
             message = ReplicateEntry(view_number, entry.index, entry.change)
             self._environment.send(successor, message.to_wire())
 
@@ -231,23 +232,23 @@
 
     def _check_catch_up_target(self) -> None:
         target = self._catch_up_target
-        if target is not None and self.synced_index >= target and not self.caught_up:
+        if target is not None and self.storage.synced_index >= target and not self.caught_up:
             self.storage.set_caught_up(True)
             self._commit_if_tail()
 
     def _commit_if_tail(self) -> None:
-        if self.is_tail() and self.caught_up and self.can_commit():
-            self._commit_through(self.synced_index)
+        if self.role.is_tail() and self.storage.caught_up and self.can_commit():
+            self._commit_through(self.storage.synced_index)
             self._notify_predecessor_of_commit()
 
     def _commit_through(self, index: int) -> None:
         """Commit up to `index`, as far as it is synced here, and reply to the callers that wait for it."""
         if self.storage.commit_through(index):
-            self._pending_replies.release_through(self.committed_index)
+            self._pending_replies.release_through(self.storage.committed_index)
 
     def _notify_predecessor_of_commit(self) -> None:
         if predecessor := self.role.predecessor:
-            notice = CommitNotice(self.role.view_number, self.committed_index)
+            notice = CommitNotice(self.role.view_number, self.storage.committed_index)
             self._environment.send(predecessor, notice.to_wire())
 
     def _install_snapshot(self, index: int, state_wire: Any) -> None:  # noqa: ANN401
@@ -296,7 +297,7 @@
             self._notify_predecessor_of_commit()
 
     def _on_commit_notice(self, notice: CommitNotice) -> None:
-        if notice.committed_index <= self.committed_index:
+        if notice.committed_index <= self.storage.committed_index:
             return
         if self.send_window.is_open:
             self.send_window.acknowledge(self._now, notice.committed_index)
@@ -314,16 +315,16 @@
 
     def on_message(self, sender: str, wire: Message) -> bool:
         """Handle a message of the chain or of its read barrier; return False if it is neither."""
+        message = decode_message(wire)
+        if message is not None:
+            if message.view_number == self.role.view_number:
+                self._handle(sender, message)
+            return True
         match wire:
             case ["view-checked", int(nonce), int(view_number)]:
                 self._reads.on_confirmed(sender, nonce, view_number)
                 return True
-        message = decode_message(wire)
-        if message is None:
-            return False
-        if message.view_number == self.role.view_number:
-            self._handle(sender, message)
-        return True
+        return False
 
     def _handle(self, sender: str, message: ChainMessage) -> None:
         """Handle a message of this view, if it is from whom such messages come from in this role."""
@@ -349,7 +350,7 @@
 
     def _handle_from_predecessor(self, sender: str, message: ChainMessage) -> None:
         match message:
-            case ReplicateEntry() if message.index == self.last_index + 1:
+            case ReplicateEntry() if message.index == self.storage.last_index + 1:
                 self._append(message.index, message.change)
             case LogTrimmed():
                 self.catch_up.on_log_trimmed(sender)
