--- /dev/null
+++ b/plumline/registrar/singleton_roles.py
@@ -0,0 +1,151 @@
+"""The singleton roles: what only one registrar of the fleet does at a time, the holder of the role's lease.
+
+| lease       | roles                                                                      |
+| ----------- | -------------------------------------------------------------------------- |
+| `discovery` | keeping the endpoint list, health checks of the cache stores               |
+| `weights`   | rolling out versions of the endpoints' weights; the term is the fencing token |
+
+All loops run at each registrar; they do nothing while its lease is held elsewhere.
+"""
+
+from collections.abc import Callable, Coroutine
+from enum import StrEnum
+from typing import Any
+
+from plumline import logs
+from plumline.coordination.core import Core
+from plumline.coordination.lease import LeaseDurations
+from plumline.counters import Counters
+from plumline.prefix_cache.index import TOLD_PART
+from plumline.registrar.cache_stores import CacheStoreMonitor
+from plumline.registrar.discovery import EndpointDiscovery
+from plumline.registrar.publisher import FeedPublisher
+from plumline.registrar.rollout.loop import RolloutController
+from plumline.registrar.singleton_environments import (
+    RegistrarCacheStoreEnvironment,
+    RegistrarDiscoveryEnvironment,
+    RegistrarRolloutEnvironment,
+    rollout_states_from_wire,
+)
+from plumline.registrar.soft_state_replication import SoftStateReplicator, Topic
+from plumline.settings import Settings
+from plumline.wire.calls import Caller
+from plumline.wire.mesh import Mesh
+
+DISCOVERY_LEASE_S = 1.2  # s; no lock delay: the calls of two holders do no harm but their price
+WEIGHTS_LEASE_S = 1.0  # s
+LOCK_DELAY_MARGIN_S = 0.4  # s added to the lock delay that the deployment asks for
+
+log = logs.logger("registrar")
+
+Clock = Callable[[], float]
+
+
+class Lease(StrEnum):
+    """The leases, as they are named on the wire and on disk."""
+
+    DISCOVERY = "discovery"
+    WEIGHTS = "weights"
+
+
+def lease_durations(settings: Settings) -> dict[str, LeaseDurations]:
+    """How long each lease lasts, and rests after it has ended before another registrar may win it."""
+    lock_delay_s = settings.bounds.lease_duration_ms / 1000 + LOCK_DELAY_MARGIN_S
+    return {
+        Lease.DISCOVERY: LeaseDurations(DISCOVERY_LEASE_S, 0.0),
+        Lease.WEIGHTS: LeaseDurations(WEIGHTS_LEASE_S, lock_delay_s),
+    }
+
+
+class SingletonRoles:
+    """The roles' loops, what they read, and where what they find is published."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        core: Core,
+        replicator: SoftStateReplicator,
+        publisher: FeedPublisher,
+        mesh: Mesh,
+        counters: Counters,
+        clock: Clock,
+    ) -> None:
+        """`clock()`: s, steady."""
+        self.core, self.clock = core, clock
+        self.known_terms: dict[Lease, int | None] = {}  # held here, as of the last check
+        caller = Caller(clock)
+        self.rollout = RolloutController(
+            caller,
+            settings.node_name,
+            RegistrarRolloutEnvironment(
+                token=lambda: self._active_term(Lease.WEIGHTS),
+                configuration=lambda: core.chain.state,
+                replicator=replicator,
+            ),
+            clock,
+            apply_timeout_s=settings.bounds.version_apply_ms / 1000,
+        )
+        self.discovery = EndpointDiscovery(
+            settings,
+            caller,
+            RegistrarDiscoveryEnvironment(
+                token=lambda: self._active_term(Lease.DISCOVERY),
+                replicator=replicator,
+                on_published=self.rollout.wake,
+            ),
+        )
+        self.cache_stores = CacheStoreMonitor(
+            caller,
+            RegistrarCacheStoreEnvironment(
+                token=lambda: self._active_term(Lease.DISCOVERY),
+                configuration=lambda: core.chain.state,
+                replicator=replicator,
+                publisher=publisher,
+                mesh=mesh,
+                counters=counters,
+            ),
+            clock,
+        )
+
+    def loops(self) -> tuple[Coroutine[Any, Any, None], ...]:
+        """The loops, which run until they are cancelled."""
+        return self.discovery.run(), self.cache_stores.run(), self.rollout.run()
+
+    # Events.
+
+    def campaign(self) -> None:
+        """Stands for all leases from now on."""
+        for lease in Lease:
+            self.core.campaign(self.clock(), lease)
+
+    def check_leases(self, now: float) -> None:
+        """Wakes all loops when a lease was won or lost. `now`: s, steady."""
+        for lease in Lease:
+            term = self.core.lease_election.fencing_token(now, lease)
+            if term != self.known_terms.get(lease):
+                self.known_terms[lease] = term
+                log.info(logs.words("lease", name=lease, term=term))
+                self.discovery.wake()
+                self.cache_stores.wake()
+                self.rollout.wake()
+
+    def on_configuration_changed(self) -> None:
+        """Wakes the loops that read the configuration."""
+        self.rollout.wake()
+        self.cache_stores.wake()
+
+    def on_soft_state_update(self, topic: str, value: Any) -> None:  # noqa: ANN401
+        """Another registrar has published this value of a topic. Raises ValueError for a malformed one."""
+        if topic == Topic.ROLLOUT:
+            self.rollout.inherit(rollout_states_from_wire(value))
+        self.rollout.wake()
+
+    def refresh_endpoints(self) -> None:
+        """A router misses an endpoint: the list is read again soon, if the lease is held here."""
+        self.discovery.refresh_soon()
+
+    # What the roles ask.
+
+    def _active_term(self, lease: Lease) -> int | None:
+        """The term of the lease if this registrar may act for it right now."""
+        return self.core.lease_election.fencing_token(self.clock(), lease)
--- a/plumline/router/admission.py
+++ b/plumline/router/admission.py
@@ -2,13 +2,14 @@
 
 from dataclasses import dataclass
 
-from plumline.configuration.routes import Route, RouteTable, Tenant
-from plumline.prompts.parts import Part, output_tokens, parse_parts, prompt_tokens, size_of
+from plumline.configuration.entities import Route, Tenant
+from plumline.configuration.route_table import RouteTable
+from plumline.prefix_cache.blocks import PrefixBlock, output_tokens, parse_parts, prompt_tokens, size_of
 from plumline.router.relay import Headers, request_headers, value_of
-from plumline.router.state import RouterState
-from plumline.routing.choice import READ_RATE
-from plumline.routing.lanes import TOKEN_MS, is_long
-from plumline.routing.shares import Standing, priority
+from plumline.router.router_state import RouterState
+from plumline.routing.endpoint_scoring import READ_RATE
+from plumline.routing.queue_classes import TOKEN_MS, is_long
+from plumline.routing.reserved_quota import Standing, priority
 from plumline.wire.exchange import Exchange
 from plumline.wire.http import decimal
 
@@ -21,7 +22,7 @@
     """What the head says of a request's prompt."""
 
     model: str  # empty: the request is for no model
-    parts: list[Part]
+    parts: list[PrefixBlock]
     tokens: int  # to be read
     work_ms: float  # of an endpoint's time beside its reading
     long: bool
@@ -79,9 +80,11 @@
     if table.has_tenants and tenant is None and not route.public:
         return denied(router, 401, "no-tenant")
     now = router.clock()
-    service = route.pick(router.chance)
-    router.budget.request(now, service)
-    prompt = read_prompt(exchange.headers, router.shortest_aims.get(service, route.aim_ms))
+    service = route.choose_service(router.chance)
+    router.budget.record_request(now, service)
+    prompt = read_prompt(
+        exchange.headers, router.shortest_latency_targets.get(service, route.latency_target_ms)
+    )
     ms = prompt.tokens / READ_RATE, prompt.work_ms
     standing = router.shares.ask(now, service, owner_of(tenant), ms, fleet.routers)
     if standing.refused:
--- a/plumline/router/following.py
+++ b/plumline/router/subscriber.py
@@ -1,6 +1,6 @@
 """Follows the feed: keeps `Fleet` what the core has committed, from two registrars at a time.
 
-Which two, a ring names (rendezvous hash of this router over the registrars, in two zones where it can); they
+Which two, a rendezvous hash names (of this router over the registrars, in two zones where it can); they
 are also this router's watchers, to which its heartbeats go. A source that is silent or not fresh is left for
 the next best.
 
@@ -18,8 +18,8 @@
 from plumline import logs
 from plumline.configuration.document import Document
 from plumline.configuration.replicated_state import ReplicatedConfiguration
-from plumline.configuration.routes import RouteTable
-from plumline.coordination.ring import Candidate, watchers
+from plumline.configuration.route_table import RouteTable
+from plumline.coordination.rendezvous import Candidate, choose_across_zones
 from plumline.coordination.soft_state import SoftState
 from plumline.counters import Counters
 from plumline.errors import FrameError, PlumlineError
@@ -77,7 +77,7 @@
         return 0.0 if self.since is None else now - self.since
 
 
-class Follower:
+class FeedSubscriber:
     def __init__(
         self, settings: Settings, fleet: Fleet, counters: Counters, file: SettingsFile | None = None
     ) -> None:
@@ -103,9 +103,11 @@
     # Sources.
 
     def candidates(self, now: float) -> list[str]:
-        """Best first: the ring's order over the registrars that are known, or the seeds before any told."""
+        """Best first: by rendezvous hash over the known registrars, before any are known over the seeds."""
         known = dict(self.registrars) or {each: "" for each in self.seeds}
-        order = watchers(self.settings.node_name, [Candidate(a, z) for a, z in known.items()], len(known))
+        order = choose_across_zones(
+            self.settings.node_name, [Candidate(a, z) for a, z in known.items()], len(known)
+        )
         spare = [each for each in self.seeds if each not in known]
         random.shuffle(spare)
         order += spare
@@ -298,7 +300,7 @@
     def table_of(self, document: Document, change: list[Any] | None) -> RouteTable:
         table: RouteTable | None = self.fleet.table
         if table is not None and change is not None and change[0] == "amend":
-            return table.amended(document, change[2])
+            return table.with_amendment(document, change[2])
         return RouteTable(document, table)
 
     def take_topic(self, name: str, number: tuple[int, int], payload: Any) -> None:  # noqa: ANN401
@@ -328,7 +330,7 @@
         beat_at = 0.0
         while True:
             now = self.loop.time()
-            if (changed := self.file.changed(now)) is not None:
+            if (changed := self.file.poll(now)) is not None:
                 self.seeds = changed.seeds
             self.look(now)
             if now >= beat_at:
