--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -19,7 +19,8 @@
     Send,
 )
 from plumline.coordination.membership import MembershipReconciler, PendingHandover
-from plumline.coordination.replica_status import LocalStatus, ReplicaStatus
+from plumline.coordination.read_barrier import ViewCheck
+from plumline.coordination.replica_status import LocalStatus
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.view import View
 from plumline.coordination.view_agreement import ViewAgreement
@@ -109,7 +110,7 @@
             last_synced=synced,
             disk_unhealthy=self.disk_unhealthy,
             draining=self.membership.draining,
-            status=ReplicaStatus(self.chain.status()),
+            status=self.chain.status(),
         )
         self.failure_detector.tick(now, local_status)
         self.membership.reconcile(
@@ -129,10 +130,13 @@
             if message[0] == "ping":
                 self.view_agreement.on_peer_view_number(sender, message[3])
             return True
-        if message[0] == "view-check":
-            _, nonce, number = message
-            if self.view_agreement.knows_no_successor(number) and self.view_agreement.is_acceptor():
-                self.environment.send(sender, ["view-checked", nonce, number])
+        if message[0] == ViewCheck.KIND:
+            check = ViewCheck.from_wire(message)
+            if (
+                self.view_agreement.knows_no_successor(check.view_number)
+                and self.view_agreement.is_acceptor()
+            ):
+                self.environment.send(sender, check.confirmed().to_wire())
             return True
         if self.view_agreement.on_message(sender, message):
             self.stop_granting_leases()
--- a/plumline/coordination/read_barrier.py
+++ b/plumline/coordination/read_barrier.py
@@ -8,8 +8,9 @@
 import secrets
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from typing import ClassVar
 
-from plumline.coordination.environment import Environment
+from plumline.coordination.environment import Environment, Message
 from plumline.coordination.view import View
 
 MAX_PENDING_CONFIRMATIONS = 64  # beyond that the oldest is denied
@@ -17,6 +18,50 @@
 ConfirmationCallback = Callable[[bool], None]
 
 
+@dataclass(frozen=True, slots=True)
+class ViewConfirmed:
+    """An acceptor's reply: it knows no view that may follow this one."""
+
+    nonce: int  # of the check
+    view_number: int
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return ["view-checked", self.nonce, self.view_number]
+
+    @classmethod
+    def from_wire(cls, wire: Message) -> "ViewConfirmed | None":
+        """Return the typed message; None for another kind, or fields of another type."""
+        match wire:
+            case ["view-checked", int(nonce), int(view_number)]:
+                return cls(nonce, view_number)
+        return None
+
+
+@dataclass(frozen=True, slots=True)
+class ViewCheck:
+    """To an acceptor: reply if you know no view that may follow this one."""
+
+    KIND: ClassVar[str] = "view-check"
+
+    nonce: int  # tells this question's replies from others'
+    view_number: int
+
+    def to_wire(self) -> Message:
+        """Return the list that goes on the wire."""
+        return [self.KIND, self.nonce, self.view_number]
+
+    @classmethod
+    def from_wire(cls, wire: Message) -> "ViewCheck":
+        """Return the typed message. Raises ValueError unless it has two fields."""
+        _, nonce, view_number = wire
+        return cls(nonce, view_number)
+
+    def confirmed(self) -> ViewConfirmed:
+        """Return the reply to it."""
+        return ViewConfirmed(self.nonce, self.view_number)
+
+
 @dataclass(slots=True)
 class PendingConfirmation:
     """A question that is out at all acceptors of a view."""
@@ -29,36 +74,37 @@
 class ReadBarrier:
     """Asks the acceptors whether a view is the newest. A denial means only that it is not known to be."""
 
-    def __init__(self, effects: Environment) -> None:
-        self.effects = effects
-        self.pending: dict[int, PendingConfirmation] = {}  # by nonce, oldest first
+    def __init__(self, environment: Environment) -> None:
+        self._environment = environment
+        self._pending: dict[int, PendingConfirmation] = {}  # by nonce, oldest first
         #: Begins at random, so that replies to an earlier process of this member match nothing.
-        self.nonce = secrets.randbits(48)
+        self._nonce = secrets.randbits(48)
 
     def confirm(self, view: View, callback: ConfirmationCallback) -> None:
         """Call back with True once a majority of the view's acceptors knows none newer, else with False.
 
         The callback comes at the latest with the next view; there is no timeout.
         """
-        self.nonce += 1
-        self.pending[self.nonce] = PendingConfirmation(view, callback)
-        while len(self.pending) > MAX_PENDING_CONFIRMATIONS:
-            self.pending.pop(next(iter(self.pending))).callback(False)
+        self._nonce += 1
+        self._pending[self._nonce] = PendingConfirmation(view, callback)
+        while len(self._pending) > MAX_PENDING_CONFIRMATIONS:
+            self._pending.pop(next(iter(self._pending))).callback(False)
+        check = ViewCheck(self._nonce, view.number).to_wire()
         for address, _ in view.acceptors:
-            self.effects.send(address, ["view-check", self.nonce, view.number])
+            self._environment.send(address, check)
 
-    def on_confirmed(self, sender: str, nonce: int, view_number: int) -> None:
-        """An acceptor knows no view newer than this one."""
-        question = self.pending.get(nonce)
-        if question is None or view_number != question.view.number:
+    def on_confirmed(self, sender: str, message: ViewConfirmed) -> None:
+        """Count an acceptor's reply; a duplicate, or one to an earlier question, changes nothing."""
+        question = self._pending.get(message.nonce)
+        if question is None or message.view_number != question.view.number:
             return
         question.confirmed_by.add(sender)
         if len(question.confirmed_by) >= question.view.majority():
-            del self.pending[nonce]
+            del self._pending[message.nonce]
             question.callback(True)
 
     def deny_all(self) -> None:
         """Answer all pending questions with False: a newer view has been installed."""
-        pending, self.pending = self.pending, {}
+        pending, self._pending = self._pending, {}
         for question in pending.values():
             question.callback(False)
--- a/plumline/coordination/reads.py
+++ b/plumline/coordination/reads.py
@@ -9,7 +9,7 @@
 
 from plumline.coordination.chain_role import ChainRole
 from plumline.coordination.environment import Environment
-from plumline.coordination.read_barrier import ReadBarrier
+from plumline.coordination.read_barrier import ReadBarrier, ViewConfirmed
 from plumline.coordination.replica_storage import ReplicaStorage, State
 
 
@@ -45,6 +45,6 @@
         else:
             self._barrier.confirm(self._role.view, callback)
 
-    def on_confirmed(self, sender: str, nonce: int, view_number: int) -> None:
-        """An acceptor replies to a question of the barrier."""
-        self._barrier.on_confirmed(sender, nonce, view_number)
+    def on_confirmed(self, sender: str, message: ViewConfirmed) -> None:
+        """Count an acceptor's reply to a question of the barrier."""
+        self._barrier.on_confirmed(sender, message)
--- a/plumline/coordination/replication.py
+++ b/plumline/coordination/replication.py
@@ -34,7 +34,9 @@
 from plumline.coordination.flow_control import ReceiveWindow, SendWindow
 from plumline.coordination.log import Change, Entry, ReplicationLog
 from plumline.coordination.pending_replies import PendingReplies, SubmitCallback
+from plumline.coordination.read_barrier import ViewConfirmed
 from plumline.coordination.reads import LinearizableReads
+from plumline.coordination.replica_status import ReplicaStatus
 from plumline.coordination.replica_storage import ReplicaStorage, State
 from plumline.coordination.snapshot_transfer import ChunkRequest
 from plumline.coordination.view import View
@@ -128,12 +130,13 @@
         """Whether the chain has as many members as must hold a committed entry."""
         return self.role.view is not None and self.role.chain_length >= self._replicas_needed
 
-    def status(self) -> int:
-        """Return what the pings report: 2 in the chain and caught up, 1 in the chain, 0 a learner that
-        lacks no more than a batch, -1 one that lacks more."""
+    def status(self) -> ReplicaStatus:
+        """Return what this registrar's pings report of its replica."""
         if self.role.is_member():
-            return 1 + int(self.caught_up)
-        return 0 if self.catch_up.is_nearly_caught_up() else -1
+            return ReplicaStatus.CHAIN_CAUGHT_UP if self.caught_up else ReplicaStatus.CHAIN_CATCHING_UP
+        if self.catch_up.is_nearly_caught_up():
+            return ReplicaStatus.LEARNER_NEARLY_CAUGHT_UP
+        return ReplicaStatus.LEARNER_BEHIND
 
     # Durable state.
 
@@ -320,11 +323,10 @@
             if message.view_number == self.role.view_number:
                 self._handle(sender, message)
             return True
-        match wire:
-            case ["view-checked", int(nonce), int(view_number)]:
-                self._reads.on_confirmed(sender, nonce, view_number)
-                return True
-        return False
+        confirmed = ViewConfirmed.from_wire(wire)
+        if confirmed is not None:
+            self._reads.on_confirmed(sender, confirmed)
+        return confirmed is not None
 
     def _handle(self, sender: str, message: ChainMessage) -> None:
         """Handle a message of this view, if it is from whom such messages come from in this role."""
