--- a/plumline/coordination/catch_up.py
+++ b/plumline/coordination/catch_up.py
@@ -122,7 +122,7 @@
         chain = self._role.view.chain if self._role.view is not None else ()
         if not chain or not self.fetch.may_request(self._now):
             return
-        addresses = [address for address, _ in chain]
+        addresses = [member.address for member in chain]
         if self.fetch.in_progress and self.fetch.source in addresses:
             self._request_chunk(self.fetch.source)
             return
@@ -190,6 +190,6 @@
     def _on_entry_synced(self, source: str) -> None:
         self._on_synced()
         batch_synced = self._storage.synced_index == self._storage.last_index
-        wanted = batch_synced and not self._nearly_caught_up
-        if self._role.is_learner() and wanted and not self.fetch.timer.awaiting_reply:
+        needs_more = batch_synced and not self._nearly_caught_up
+        if self._role.is_learner() and needs_more and not self.fetch.timer.awaiting_reply:
             self._request_entries(source)
--- a/plumline/coordination/chain_role.py
+++ b/plumline/coordination/chain_role.py
@@ -29,8 +29,8 @@
         length = len(view.chain)
         if position is None:
             return cls(view, view.number, None, None, None, length)
-        predecessor = view.chain[position - 1][0] if position > 0 else None
-        successor = view.chain[position + 1][0] if position + 1 < length else None
+        predecessor = view.chain[position - 1].address if position > 0 else None
+        successor = view.chain[position + 1].address if position + 1 < length else None
         return cls(view, view.number, position, predecessor, successor, length)
 
     def is_member(self) -> bool:
--- a/plumline/coordination/flow_control.py
+++ b/plumline/coordination/flow_control.py
@@ -51,12 +51,12 @@
 
     def take_entries(self, now: float, log: ReplicationLog, through: int) -> list[Entry]:
         """Return the entries up to `through` that fit into the window, and count them as sent."""
-        room = WINDOW_BYTES
+        free_bytes = WINDOW_BYTES
         in_flight = self.sent_index > self.acknowledged_index
         if in_flight:
-            room -= log.bytes_between(self.acknowledged_index, self.sent_index)
-        entries = log.batch(self.sent_index, through, room)
-        if in_flight and entries[0].size > room:
+            free_bytes -= log.bytes_between(self.acknowledged_index, self.sent_index)
+        entries = log.batch(self.sent_index, through, free_bytes)
+        if in_flight and entries[0].size > free_bytes:
             return []
         self.sent_index = entries[-1].index
         if not self._retry.awaiting_reply:
--- a/plumline/coordination/read_barrier.py
+++ b/plumline/coordination/read_barrier.py
@@ -90,8 +90,8 @@
         while len(self._pending) > MAX_PENDING_CONFIRMATIONS:
             self._pending.pop(next(iter(self._pending))).callback(False)
         check = ViewCheck(self._nonce, view.number).to_wire()
-        for address, _ in view.acceptors:
-            self._environment.send(address, check)
+        for acceptor in view.acceptors:
+            self._environment.send(acceptor.address, check)
 
     def on_confirmed(self, sender: str, message: ViewConfirmed) -> None:
         """Count an acceptor's reply; a duplicate, or one to an earlier question, changes nothing."""
--- a/plumline/coordination/replica_storage.py
+++ b/plumline/coordination/replica_storage.py
@@ -175,7 +175,7 @@
 
     # Uncommitted entries after a change of view.
 
-    def mark_discard_pending(self) -> None:
+    def request_discard(self) -> None:
         """Note, also on the disk, that uncommitted entries are to be discarded later, if there are any."""
         if self.last_index > self.committed_index and not self.discard_pending:
             self.discard_pending = True
--- a/plumline/coordination/replication.py
+++ b/plumline/coordination/replication.py
@@ -165,7 +165,7 @@
         if was_head and not self.is_head():
             self._pending_replies.fail_all()
         if self.role.is_learner():
-            self.storage.mark_discard_pending()
+            self.storage.request_discard()
             return
         self.storage.discard_uncommitted()
         self._report()
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -6,6 +6,7 @@
 import pytest
 
 from plumline.coordination.chain_messages import CommittedEntries
+from plumline.coordination.environment import Member
 from plumline.coordination.replication import ChainReplica
 from plumline.coordination.snapshot_transfer import Snapshot, SnapshotChunk
 from plumline.coordination.view import View
@@ -299,12 +300,14 @@
 
 
 def chain_of(recorder: Recorder) -> ChainReplica:
-    return ChainReplica(("a", "a-1"), 2, recorder, Register(), Register.load, lambda number, change: None)
+    return ChainReplica(
+        Member("a", "a-1"), 2, recorder, Register(), Register.load, lambda number, change: None
+    )
 
 
 def test_a_removed_member_keeps_what_may_be_committed_and_discards_it_as_it_joins_again() -> None:
     """Also if it ended before the drop was on its disk, and if its file was rewritten meanwhile."""
-    a, b, c = ("a", "a-1"), ("b", "b-1"), ("c", "c-1")
+    a, b, c = Member("a", "a-1"), Member("b", "b-1"), Member("c", "c-1")
     recorder = Recorder()
     chain = chain_of(recorder)
     chain.install_view(View(1, (a, b, c), (a, b)))
