--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -28,6 +28,7 @@
 )
 from plumline.coordination.log import Change
 from plumline.coordination.membership import LocalReplica, MembershipReconciler, PendingHandover
+from plumline.coordination.read_barrier import ViewCheck
 from plumline.coordination.replica_status import LocalStatus
 from plumline.coordination.replica_storage import State
 from plumline.coordination.replication import ChainReplica
@@ -179,7 +180,7 @@
             if message[0] == PING_KIND:
                 self.view_agreement.on_peer_view_number(sender, reported_view_number(message))
             return True
-        if message[0] == "view-check":
+        if message[0] == ViewCheck.KIND:
             self._on_view_check(sender, message)
             return True
         if self.view_agreement.on_message(sender, message):
@@ -195,9 +196,9 @@
 
     def _on_view_check(self, sender: str, message: Message) -> None:
         """The read barrier's question: whether the view of this number is still the newest."""
-        _, nonce, number = message
-        if self.view_agreement.knows_no_successor(number) and self.view_agreement.is_acceptor():
-            self.environment.send(sender, ["view-checked", nonce, number])
+        check = ViewCheck.from_wire(message)
+        if self.view_agreement.knows_no_successor(check.view_number) and self.view_agreement.is_acceptor():
+            self.environment.send(sender, check.confirmed().to_wire())
 
     # Leases
 
--- a/plumline/coordination/replica_storage.py
+++ b/plumline/coordination/replica_storage.py
@@ -159,8 +159,10 @@
         if index <= self.committed_index:
             return False
         for entry in list(self.log.between(self.committed_index, index)):
-            is_latest = entry.index == self.last_index
-            self.state = self.latest_state if is_latest else self.state.apply(entry.change)
+            if entry.index == self.last_index:
+                self.state = self.latest_state
+            else:
+                self.state = self.state.apply(entry.change)
             self.committed_index = entry.index
             if notify:
                 self._on_applied(entry.index, entry.change)
@@ -173,7 +175,7 @@
 
     # Uncommitted entries after a change of view.
 
-    def mark_discard_pending(self) -> None:
+    def request_discard(self) -> None:
         """Note, also on the disk, that uncommitted entries are to be discarded later, if there are any."""
         if self.last_index > self.committed_index and not self.discard_pending:
             self.discard_pending = True
