--- a/plumline/logs.py
+++ b/plumline/logs.py
@@ -1,7 +1,6 @@
-"""Log lines of key=value words on standard error. No line per request: there are counters."""
+"""Log lines of an event and its key=value fields on standard error. None per request: there are counters."""
 
 import sys
-from typing import Any
 
 try:
     import picologging as logging
@@ -9,10 +8,11 @@
     import logging
 
 FORMAT = "level=%(levelname)s part=%(name)s %(message)s"
+_NEEDS_QUOTES = frozenset(" \"'=")
 
 
 def configure(level: str = "INFO") -> None:
-    """Sends lines of `level` (a name as in logging) and above to standard error, whatever was set before."""
+    """Send lines of `level` (a name as in logging) and above to standard error, whatever was set before."""
     root = logging.getLogger()
     for handler in list(root.handlers):
         root.removeHandler(handler)
@@ -22,16 +22,16 @@
     root.setLevel(getattr(logging, level.upper()))
 
 
-def logger(name: str) -> Any:  # noqa: ANN401
-    """The logger of a part of the program, of the same interface as logging.Logger."""
+def logger(name: str) -> logging.Logger:
+    """The logger of a part of the program; `name` is the `part` of its lines."""
     return logging.getLogger(name)
 
 
-def words(event: str, **values: object) -> str:
-    """`event=... key=value ...`; a value with spaces, quotes or line ends is quoted."""
-    return " ".join(f"{key}={_word(value)}" for key, value in {"event": event, **values}.items())
+def event(name: str, /, **fields: object) -> str:
+    """The message `event=NAME key=value ...`; a value with spaces, quotes or line ends is quoted."""
+    return " ".join(f"{key}={_field_value(value)}" for key, value in {"event": name, **fields}.items())
 
 
-def _word(value: object) -> str:
+def _field_value(value: object) -> str:
     text = str(value)
-    return text if text and text.isprintable() and not set(text) & set(" \"'=") else repr(text)
+    return text if text and text.isprintable() and not _NEEDS_QUOTES & set(text) else repr(text)
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -139,7 +139,7 @@
     def on_view_installed(self, view: View) -> None:
         """Logs the view."""
         chain = ",".join(member.address for member in view.chain)
-        log.info(logs.words("view", number=view.number, chain=chain, acceptors=len(view.acceptors)))
+        log.info(logs.event("view", number=view.number, chain=chain, acceptors=len(view.acceptors)))
 
     def is_configuration_known(self) -> bool:
         """Whether a router has reported an entry of the log."""
@@ -197,7 +197,7 @@
         self.loop.add_signal_handler(signal.SIGHUP, self.settings_file.request_reload)
         self.roles.campaign()
         incarnation = self.durable_state.incarnation
-        log.info(logs.words("started", node=self.settings.node_name, incarnation=incarnation))
+        log.info(logs.event("started", node=self.settings.node_name, incarnation=incarnation))
         loops = [self.loop.create_task(loop) for loop in (self._step_forever(), *self.roles.loops())]
         stop = self.loop.create_task(self.stop_requested.wait())
         done, _ = await asyncio.wait([*loops, stop], return_when=asyncio.FIRST_COMPLETED)
@@ -227,7 +227,7 @@
             server.end()
         self.mesh.close()
         self.durable_state.close()
-        log.info(logs.words("stopped"))
+        log.info(logs.event("stopped"))
 
     async def hand_over(self) -> None:
         """Gives up the leases and the duties in the core, and waits until others have all that they need.
@@ -242,11 +242,11 @@
             await asyncio.sleep(STEP_INTERVAL_S)
             now = self.loop.time()
         if duty is None:
-            log.info(logs.words("handed-over", seconds=round(now - began, 2)))
+            log.info(logs.event("handed-over", seconds=round(now - began, 2)))
         else:
             self.counters.add("leave.incomplete")
             acceptors = self._reachable_acceptors(now)
-            log.warning(logs.words("leave-incomplete", duty=str(duty), acceptors=acceptors))
+            log.warning(logs.event("leave-incomplete", duty=str(duty), acceptors=acceptors))
 
     def _reachable_acceptors(self, now: float) -> str:
         """How many acceptors of the view this registrar reaches, of how many: "2/3"."""
--- a/plumline/registrar/singleton_roles.py
+++ b/plumline/registrar/singleton_roles.py
@@ -123,7 +123,7 @@
             term = self.core.lease_election.fencing_token(now, lease)
             if term != self.known_terms.get(lease):
                 self.known_terms[lease] = term
-                log.info(logs.words("lease", name=lease, term=term))
+                log.info(logs.event("lease", name=lease, term=term))
                 self.discovery.wake()
                 self.cache_stores.wake()
                 self.rollout.wake()
--- a/plumline/router/process.py
+++ b/plumline/router/process.py
@@ -65,7 +65,7 @@
             await self.readiness.listen(self.settings.readiness)
         self.loop.add_signal_handler(signal.SIGTERM, self.lifecycle.begin_shutdown)
         self.loop.add_signal_handler(signal.SIGHUP, self.file.request_reload)
-        log.info(logs.words("started", node=self.settings.node_name))
+        log.info(logs.event("started", node=self.settings.node_name))
         work = [self.loop.create_task(each) for each in (self.follower.run(), self.summarise())]
         stop = self.loop.create_task(self.lifecycle.run_until_stopped())
         done, _ = await asyncio.wait([*work, stop], return_when=asyncio.FIRST_COMPLETED)
@@ -77,7 +77,7 @@
             task.cancel()
         for line in self.counters.changed_lines():
             log.info(line)
-        log.info(logs.words("stopped"))
+        log.info(logs.event("stopped"))
 
 
 async def run(settings: Settings, file: SettingsFile | None = None) -> None:
--- a/plumline/router/router_state.py
+++ b/plumline/router/router_state.py
@@ -172,7 +172,7 @@
 
     def surge(self, service: str, on: bool, times: float) -> None:
         """A service's surge has begun or is over; `times`: the demand in multiples of what it can do."""
-        log.info(logs.words("surge", service=service, on=on, demand=round(times, 2)))
+        log.info(logs.event("surge", service=service, on=on, demand=round(times, 2)))
 
     def told_stores(self, stores: dict[str, StoreStatus]) -> None:
         """By name: one that was down, or began anew, holds nothing any more."""
--- a/plumline/router/subscriber.py
+++ b/plumline/router/subscriber.py
@@ -196,7 +196,7 @@
 
     def leave(self, source: Source, now: float, why: str) -> None:
         self.counters.add(f"feed.left.{why}")
-        log.info(logs.words("source-left", address=source.address, why=why))
+        log.info(logs.event("source-left", address=source.address, why=why))
         self.shunned[source.address] = now + SHUNNED
         self.drop(source)
 
@@ -294,7 +294,7 @@
         self.fleet.state, self.fleet.place = state, number
         if changed and state.configuration is not None:
             self.fleet.table = self.table_of(state.configuration, change)
-            log.info(logs.words("configuration", version=state.version, place=number))
+            log.info(logs.event("configuration", version=state.version, place=number))
         self.fleet.tell("configuration")
 
     def table_of(self, document: Document, change: list[Any] | None) -> RouteTable:
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -195,7 +195,7 @@
 
 def test_the_log_events_are_those_of_the_program() -> None:
     events = {code(row[0])[0] for row in rows(section(OPERATING, "Log lines"))}
-    assert events == set(re.findall(r'logs\.words\(\s*"([a-z-]+)"', sources()))
+    assert events == set(re.findall(r'logs\.event\(\s*"([a-z-]+)"', sources()))
 
 
 def test_the_documented_counters_are_counted() -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,7 @@
 
 from plumline.counters import Counters
 from plumline.errors import SettingsInvalidError
-from plumline.logs import configure, logger, words
+from plumline.logs import configure, event, logger
 from plumline.settings import Bounds, MachineLimits, SettingsFile, from_environment, load
 
 EXAMPLE = """
@@ -163,14 +163,14 @@
     configure("info")
     configure("warning")
     logger("router").info("event=quiet")
-    logger("router").warning(words("started", port=8167, why="a b", empty=""))
+    logger("router").warning(event("started", port=8167, why="a b", empty=""))
     captured = capsys.readouterr()
     assert captured.err == "level=WARNING part=router event=started port=8167 why='a b' empty=''\n"
     assert captured.out == ""
 
 
 def test_a_log_word_stays_on_its_line() -> None:
-    assert words("x", text="a\nb=c") == "event=x text='a\\nb=c'"
+    assert event("x", text="a\nb=c") == "event=x text='a\\nb=c'"
 
 
 def test_counters() -> None:
