--- a/plumline/breaker/breaker.py
+++ b/plumline/breaker/breaker.py
@@ -1,15 +1,7 @@
 """A circuit breaker: what it knows of one destination, and when the next call may go there.
 
-Its states are those of the pattern (Nygard, "Release It!"):
-
-    CLOSED --failures in a row--> OPEN --reset timeout--> HALF-OPEN (one trial call)
-    HALF-OPEN --trial served--> CLOSED
-    HALF-OPEN --trial failed or refused--> OPEN, the timeout anew
-
-While closed, a gap paces the calls: refusals double it, served calls shrink it. After an outage calls are
-paced more slowly until the destination is warm (slow start).
-
-Times and durations are microseconds of its owner's clock, whole ones where it gives them.
+Failures in a row open it, one trial after the reset timeout closes it or restarts the timeout, a gap paces
+calls while closed. Times and durations are microseconds of its owner's clock, whole ones where it gives them.
 """
 
 import math
@@ -21,44 +13,27 @@
 
 FAILURE_THRESHOLD = 3  # failures in a row; a small destination would take too long to show the paper's five
 RESET_TIMEOUT = 2_000_000  # us from the last failure to the trial; the design page's figure
-
-# The gap between calls after refusals.
 GAP_STEP = 100_000  # us, the smallest gap: about one call's time at a destination of usual pace
+TOLD_STEP = 0.5  # of the time between calls at this sender's part of the told rate: the step at the most
+TOLD_MOST = 4  # times that: the gap at the most; a cold destination takes a fifth, and has its own gap
+ASKED_STEP = 1.25  # of the time between a crowd's messages to a destination: its first gap there
+ASKED_MOST = 6  # times that: its longest
+WAIT_SLACK = 100_000  # us, at the most, that a crowd adds to a told wait; calls up to 80 ms early were seen
 GAP_SENDERS = 4  # senders up to which the gap ends at the reset timeout; more share a limit more thinly
 GAP_SHRINK = 0.08  # share of the gap that a served call takes off: a refusal may cost a wait of ten calls
-GAP_RELEASE_SHARE = 1 / 8  # of the smallest step: a gap below that is none; above it many limits lie
-# In parts of the time between calls at this sender's part of the advertised rate. A cold destination takes a
-# fifth, and has its own gap.
-ADVERTISED_FIRST_GAP = 0.5  # the smallest gap at the most
-ADVERTISED_MAX_GAP = 4
-# In parts of the time between the messages of one sender of a large fleet to a destination.
-DEMAND_FIRST_GAP = 1.25
-DEMAND_MAX_GAP = 6
-# us, at the most, that a large fleet adds to a Retry-After; calls up to 80 ms early were seen.
-RETRY_AFTER_SLACK = 100_000
-
-# Health, by the calls of late.
-# Share of failures from which a destination is doubtful: far above stray errors.
-UNHEALTHY_SHARE = 0.4
-# Weight of the newest call in that share and in the usual duration; as TCP smooths round trips (RFC 6298).
-SMOOTHING_WEIGHT = 0.125
-# Mean deviations above the usual duration from which a call is overdue; TCP's rule for its time-out.
-OVERDUE_DEVIATIONS = 4
+GAP_LET_GO = 1 / 8  # of the smallest step: a gap below that is none; above it many limits lie
+SICK_SHARE = 0.4  # recent failures among calls from which a destination is doubtful: far above stray errors
+MEMORY = 0.125  # weight of the newest call in that share and in the usual time; as TCP smooths round trips
+OVERDUE_SPREADS = 4  # mean deviations above the usual time from which a call is overdue; TCP's time-out rule
+COLD_PUSH = 0.75  # of fall_multiple: a returning destination is paced at that times its warm share
 # Of a failure: an error is an answer, also a spoilt one; the paper allows a threshold for each kind.
 ERROR_WEIGHT = 1 / 3
-
-# Slow start after an outage.
-COLD_PUSH = 0.75  # of fall_multiple: a returning destination is paced at that times its warm share
-DEFAULT_RATE_MEMORY = 10_000_000  # us: where no destination is cold, how long the usual rate is remembered
-
+UNTOLD_COLD = 10_000_000  # us: where no destination is cold, how long the usual rate is remembered
 NEVER = math.inf
 
 
 class Breaker:
-    """The breaker of one destination, with the gap after refusals, Retry-After and slow start.
-
-    The owner sets `out`, `last_sent` and `trial` as it sends, and reports how each call ended.
-    """
+    """The paper's breaker, with the gap, told waits and the warm-up after an outage."""
 
     #: What another process goes on from, by its name in the state that is handed over: names there stay.
     #: All else follows from the settings, the list and the calls in flight.
@@ -96,7 +71,7 @@
         self.settings, self.random, self.name = settings, random, name
         self.crowd = max(settings.fleet_size / GAP_SENDERS, 1)
         self.contention = 1 - 1 / self.crowd  # 0 for a few senders, near 1 for very many
-        self.rate_memory = settings.cold or DEFAULT_RATE_MEMORY  # us
+        self.rate_memory = settings.cold or UNTOLD_COLD  # us
         self.out = 0  # calls in flight
 
         # The state of the breaker. It is open while `failures` is at the threshold.
@@ -148,21 +123,15 @@
                 setattr(self, field, state[stored])
 
     def told_rate(self, rate: float) -> None:
-        """The endpoint list advertises a rate, in calls a second of all senders: the gap's bounds follow it.
-
-        It keeps busy destinations from gaps that are made for small ones.
-        """
+        """Guards busy destinations from gaps made for small ones: both ends follow the told rate."""
         self.advertised_gap = 1e6 * self.settings.fleet_size / rate
-        self.step = min(GAP_STEP * self.crowd, ADVERTISED_FIRST_GAP * self.advertised_gap)
-        self.most_gap = min(RESET_TIMEOUT * self.crowd, ADVERTISED_MAX_GAP * self.advertised_gap)
+        self.step = min(GAP_STEP * self.crowd, TOLD_STEP * self.advertised_gap)
+        self.most_gap = min(RESET_TIMEOUT * self.crowd, TOLD_MOST * self.advertised_gap)
 
     def asked_for(self, now: int, routes: int) -> None:
-        """A message came for this destination, which has so many routes.
-
-        In a large fleet the gap's bounds follow from how often this sender's messages come: its part of any
-        limit is of that order. A first gap below that changes nothing, and where refused calls use the limit
-        up it then serves nobody; one far above takes many calls to shrink.
-        """
+        """A message came for this destination. In a crowd the gap's ends follow from how often this sender's
+        do: its part of any limit is of that order. A first gap below that changes nothing, and where refused
+        calls use the limit up it then serves nobody; one far above takes many calls to shrink."""
         if (passed := now - self.last_request_at) >= 0:
             fade = math.exp(-passed / self.rate_memory)
             self.request_count = self.request_count * fade + 1 / routes
@@ -170,16 +139,13 @@
         self.last_request_at = now
         if self.contention and self.advertised_gap == NEVER:
             interval = self.request_span / self.request_count
-            self.step = GAP_STEP / self.crowd + DEMAND_FIRST_GAP * interval * self.contention
-            most = DEMAND_MAX_GAP * interval / self.contention
+            self.step = GAP_STEP / self.crowd + ASKED_STEP * interval * self.contention
+            most = ASKED_MOST * interval / self.contention
             self.most_gap = max(RESET_TIMEOUT, min(RESET_TIMEOUT * self.crowd, most))
 
     def told_wait(self, until: int) -> None:
-        """The destination said not to call before `until` (Retry-After).
-
-        In a large fleet a slack is added: senders' clocks may be ahead of the destination's.
-        """
-        self.wait_until = max(self.wait_until, until + math.ceil(RETRY_AFTER_SLACK * self.contention))
+        """Rule: waits. Many senders share machines, whose time may be ahead of the destination's."""
+        self.wait_until = max(self.wait_until, until + math.ceil(WAIT_SLACK * self.contention))
 
     def ready_at(self, now: int) -> float:
         """When the next call may go; NEVER while a trial's result decides it."""
@@ -188,7 +154,7 @@
         return max(self.wait_until, self.last_sent + max(self.gap, self.cold_gap(now)))
 
     def state(self, now: int) -> str:
-        """A phrase for the log: what it counts and when the next call may go."""
+        """For people: what it counts and when the next call may go."""
         waits = {
             "gap": max(self.gap, 0.0),
             "cold gap": self.cold_gap(now),
@@ -198,12 +164,8 @@
         parts = [f"{name} {value / 1e6:.2f} s" for name, value in waits.items() if value]
         return ", ".join([f"(failures {self.failures:.1f}", f"out {self.out}", *parts]) + ")"
 
-    def restart_reset_timeout(self, now: int) -> None:
-        """A call failed: the next trial comes a reset timeout later.
-
-        In a large fleet a failed trial also waits out the gap of a cold destination, so that the trials of
-        all senders don't keep it down.
-        """
+    def restart(self, now: int) -> None:
+        """Guards a destination that is down from a crowd: a failed trial waits out the gap of a cold one."""
         timeout: float = RESET_TIMEOUT
         if self.trial and self.crowd > 1:
             self.cold_since = now
@@ -211,11 +173,8 @@
         self.trial, self.trial_at = None, now + timeout
 
     def cold_gap(self, now: int) -> float:
-        """The time between calls during slow start, us; 0.0 once the destination is warm.
-
-        The usual rate of this sender times the share that is warm, so that a returning destination isn't
-        overloaded. A sender that was started again knows no usual rate, only its part of the advertised one.
-        """
+        """Rule: a returning destination is not pushed over. Own usual rate times the share that is warm; a
+        sender that was started again knows no usual rate, only its part of the told one."""
         cold = self.settings.cold
         if not cold or (warm := (now - self.cold_since) / cold) >= 1:
             return 0.0
@@ -224,34 +183,31 @@
         return min(min(self.served_span / self.served_count, self.advertised_gap) / push, 2 * self.most_gap)
 
     def overdue_at(self, call: TimedCall) -> float:
-        """From when on the call has taken longer than its destination usually does."""
+        """When the call has taken longer than its destination usually does."""
         return call.sent + self.patience()
 
     def patience(self) -> float:
-        """How long a call may take before it is overdue, us: as TCP's retransmission timeout (RFC 6298)."""
-        return max(self.mean_duration + OVERDUE_DEVIATIONS * self.duration_deviation, self.least_target / 4)
+        """How long a call may take before it is overdue."""
+        return max(self.mean_duration + OVERDUE_SPREADS * self.duration_deviation, self.least_target / 4)
 
     def failed(
         self, now: int, weight: float = 1, run: float = FAILURE_THRESHOLD, error: bool = False
     ) -> None:
-        """A call failed.
-
-        `weight`: in the count that opens the breaker; `run`: how many unserved calls in a row may be an
-        outage; `error`: it was answered, though wrongly.
-        """
+        """A call failed. `weight`: in the count that opens the breaker; `run`: how many unserved calls in a
+        row may be an outage; `error`: it was answered, though wrongly."""
         self.failures += weight
-        self.restart_reset_timeout(now)
-        self.failure_share += (1 - self.failure_share) * SMOOTHING_WEIGHT
-        self.suspect_outage(now, run, error)
+        self.restart(now)
+        self.failure_share += (1 - self.failure_share) * MEMORY
+        self.doubt(now, run, error)
 
     def refused(self, now: int, call: TimedCall, wait: int) -> None:
         """A call was refused as the destination is full or shut; `wait`: us that it told, or 0."""
         if call is self.trial:
-            self.restart_reset_timeout(now)
+            self.restart(now)
         if call.sent >= self.gap_changed:  # calls sent before the gap last grew say nothing of it
             self.gap, self.gap_changed = min(max(2 * self.gap, self.step), self.most_gap), now
             # Many senders meet a limit far more often than something shut, which mostly tells a long wait.
-            self.suspect_outage(now, max(FAILURE_THRESHOLD / self.crowd, 2), weight=1 / self.crowd)
+            self.doubt(now, max(FAILURE_THRESHOLD / self.crowd, 2), weight=1 / self.crowd)
             if self.cold_since == now:
                 self.last_shut_refusal = now
             late = self.random.uniform(0, 2 * self.gap) * self.contention  # told alike, back apart
@@ -259,11 +215,8 @@
         if wait >= RESET_TIMEOUT:  # no limit tells so long a wait: it is shut, and opens cold
             self.cold_since, self.last_shut_refusal = max(self.cold_since, now + wait), now
 
-    def suspect_outage(self, now: int, run: float, error: bool = False, weight: float = 1) -> None:
-        """A call was not served: begin a suspicion, or add to it.
-
-        What may be an outage restarts the warm-up: a run of unserved calls, or many failures of late.
-        """
+    def doubt(self, now: int, run: float, error: bool = False, weight: float = 1) -> None:
+        """What may be an outage restarts the warm-up: a run of unserved calls, or many failures of late."""
         if not self.outage_suspected:
             self.outage_suspected, self.suspected_since = True, now
             self.served_before_suspicion = self.last_served
@@ -271,16 +224,13 @@
             self.errors_in_suspicion = False
         self.unserved_run += weight
         self.errors_in_suspicion |= error
-        if self.unserved_run >= run or self.failure_share >= UNHEALTHY_SHARE:
+        if self.unserved_run >= run or self.failure_share >= SICK_SHARE:
             self.cold_since = max(self.cold_since, now)  # it may be the end of a told wait that is to come
 
-    def resolve_suspicion(self, now: int, call: TimedCall) -> None:
-        """A call was served: end the suspicion if that shows what it was.
-
-        Takes the warm-up back if the calls that were not served fit into no outage, as those last far longer
-        than the reset timeout. A call sent before the refusals shows nothing: what is shut serves what it
-        has. Nor does any where there were errors: what fails most calls serves some all the while.
-        """
+    def end_doubt(self, now: int, call: TimedCall) -> None:
+        """Takes the warm-up back if the calls that were not served fit into no outage, as those last far
+        longer than the reset timeout. A call sent before the refusals shows nothing: what is shut serves what
+        it has. Nor does any where there were errors: what fails most calls serves some all the while."""
         if call.sent < self.last_shut_refusal and self.cold_since != self.cold_since_before_suspicion:
             return
         served_at = (self.served_before_suspicion, call.sent)
@@ -294,11 +244,11 @@
     def served(self, now: int, call: TimedCall) -> None:
         """A call was answered well: closes the breaker, and lets go of the gap."""
         if self.outage_suspected:
-            self.resolve_suspicion(now, call)
+            self.end_doubt(now, call)
         duration = now - call.sent
         self.newest_served_sent = max(self.newest_served_sent, call.sent)
         self.duration_samples += 1
-        weight = max(SMOOTHING_WEIGHT, 1 / self.duration_samples)  # the first guess counts as one call
+        weight = max(MEMORY, 1 / self.duration_samples)  # the first guess counts as one call
         self.duration_deviation += (abs(duration - self.mean_duration) - self.duration_deviation) * weight
         self.mean_duration += (duration - self.mean_duration) * weight
         passed = now - self.last_served
@@ -312,6 +262,6 @@
         if call.sent >= self.gap_changed:  # as with refusals: calls sent before it grew say nothing of it
             calm = min((now - self.gap_changed) / (2 * RESET_TIMEOUT), 1)
             self.gap *= (1 - GAP_SHRINK) ** (1 + calm * (self.crowd - 1) / 2)
-            self.gap *= self.gap >= self.step * GAP_RELEASE_SHARE
+            self.gap *= self.gap >= self.step * GAP_LET_GO
         self.failures, self.unserved_run, self.trial = 0, 0, None
-        self.failure_share *= 1 - SMOOTHING_WEIGHT
+        self.failure_share *= 1 - MEMORY
--- a/tests/test_shared_breaker.py
+++ b/tests/test_shared_breaker.py
@@ -12,7 +12,7 @@
     GAP_STEP,
     NEVER,
     RESET_TIMEOUT,
-    RETRY_AFTER_SLACK,
+    WAIT_SLACK,
     Breaker,
 )
 from plumline.breaker.interface import BreakerSettings
@@ -148,7 +148,7 @@
 def test_a_crowd_adds_a_little_to_a_told_wait() -> None:
     breaker = a_breaker(PlainSettings(2 * SECOND, fleet_size=CROWD))
     breaker.told_wait(START)
-    assert START + 80 * MS <= breaker.wait_until <= START + RETRY_AFTER_SLACK
+    assert START + 80 * MS <= breaker.wait_until <= START + WAIT_SLACK
 
 
 def test_after_an_outage_calls_are_paced_until_the_destination_is_warm() -> None:
