--- a/elmglade/rules.py
+++ b/elmglade/rules.py
@@ -192,8 +192,12 @@
     def memory(self) -> dict[str, Any]:
         """What is known of destinations and what is out, for that process; it may be kept as JSON. What is
         held, and how often each was sent, is on record elsewhere: MessageRestored tells it."""
+        breakers = [
+            [*key, {name: getattr(each, name) for name in Breaker.KEPT}]
+            for key, each in self.breakers.items()
+        ]
         return {
-            "breakers": [[*key, breaker.stored_state()] for key, breaker in self.breakers.items()],
+            "breakers": breakers,
             "endpoints": [
                 [name, {kept: getattr(each, kept) for kept in Endpoint.KEPT}]
                 for name, each in self.endpoints.items()
@@ -218,7 +222,9 @@
         """The other end of `memory`. Rules: told waits, cold destinations, slots and the calls still out are
         the whole sender's, whichever process learned of them."""
         for destination, route, told in memory["breakers"]:
-            self.breaker_at(destination, route).restore_state(told)
+            breaker = self.breaker_at(destination, route)
+            for name in Breaker.KEPT:
+                setattr(breaker, name, told.get(name, getattr(breaker, name)))
         for name, told in memory["endpoints"]:
             for kept in Endpoint.KEPT if name in self.endpoints else ():
                 setattr(self.endpoints[name], kept, told.get(kept, getattr(self.endpoints[name], kept)))
@@ -357,8 +363,7 @@
             endpoint.room = endpoint.out
         if self.settings.fleet_size <= GAP_SENDERS:
             return
-        doublings = min(endpoint.turned_away, AGAIN_DOUBLINGS)
-        pause = min(endpoint.breaker.mean_duration * 2**doublings, RESET_TIMEOUT)
+        pause = min(endpoint.breaker.took * 2 ** min(endpoint.turned_away, AGAIN_DOUBLINGS), RESET_TIMEOUT)
         endpoint.again_at = self.now + pause * self.random.uniform(0.5, 1.5)
         endpoint.turned_away += 1
         kind = endpoint.listed.kind
@@ -413,7 +418,7 @@
         stuck = [each for each in self.out if each.overdue and not each.called_off]
         for call in sorted(stuck, key=Call.risks) if self.settings.may_cancel else ():
             lost = self.now - call.sent > 1.5 * (call.breaker.overdue_at(call) - call.sent)
-            alone = call.breaker.newest_served_sent > call.sent and self.may_repeat(call)
+            alone = call.breaker.served_sent > call.sent and self.may_repeat(call)
             harmless = not call.risks() and call.breaker.failures >= FAILURE_THRESHOLD
             if alone or harmless or (short and lost):
                 call.called_off, short = True, False
