--- a/plumline/configuration/route_table.py
+++ b/plumline/configuration/route_table.py
@@ -29,11 +29,13 @@
         self._route: Route | None = None
 
     def route(self) -> Route:
+        """The route, made at the first call."""
         if self._route is None:
             self._route = route_from(self.item)
         return self._route
 
     def host_and_prefix(self) -> tuple[str, str]:
+        """The host as it is compared, and the path prefix."""
         return normalized_host(self.item["Host"]), self.item["PathPrefix"]
 
 
--- a/plumline/configuration/schema.py
+++ b/plumline/configuration/schema.py
@@ -1,7 +1,5 @@
 """The schemas of the objects in a configuration; docs/configuration.md lists their keys."""
 
-from typing import Any
-
 from plumline.configuration.document import SECTIONS
 from plumline.configuration.rules import (
     ADDRESS,
@@ -21,7 +19,7 @@
 )
 
 
-def _is_object_of_lists(value: Any, rule: Rule) -> bool:  # noqa: ANN401
+def _is_object_of_lists(value: object, rule: Rule) -> bool:
     return isinstance(value, dict) and all(map(list_of(rule).test, value.values()))
 
 
--- a/plumline/store/log_writers.py
+++ b/plumline/store/log_writers.py
@@ -51,6 +51,7 @@
         return len(self._queue)
 
     def append(self, now: float, on_synced: SyncedCallback) -> None:
+        """Add a submit made at `now`, in steady seconds."""
         self._queue.append(_Pending(now, on_synced))
 
     def take(self) -> SyncedCallback:
@@ -58,6 +59,7 @@
         return self._queue.popleft().on_synced
 
     def oldest_age_s(self, now: float) -> float:
+        """Seconds that the oldest has waited by `now`; 0 if none."""
         return max(0.0, now - self._queue[0].submitted_at) if self._queue else 0.0
 
 
@@ -202,6 +204,7 @@
         self._calling = False
 
     def call(self, callback: SyncedCallback) -> None:
+        """Call it now, or once the calls before it have returned."""
         self._ready.append(callback)
         if self._calling:
             return
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -94,12 +94,12 @@
         ),
     ],
 )
-def test_packages_are_held_against_the_build(build: str, packages: list[str], faults: list[str]) -> None:
+def test_packages_are_checked_against_the_build(build: str, packages: list[str], faults: list[str]) -> None:
     assert package_faults(build, packages) == faults
 
 
 @pytest.mark.parametrize("packages", ['"python3"', "[1]", '["Python3"]', '["python3=3.11"]', '[""]'])
-def test_what_is_no_list_of_package_names_is_a_fault(packages: str) -> None:
+def test_malformed_package_lists_are_faults(packages: str) -> None:
     found = deploy_faults(f'build = "true"\npackages = {packages}\n[roles]\n'.encode())
     assert found == [
         f"packages: {tomllib.loads('x = ' + packages)['x']!r} is not allowed; "
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -99,7 +99,7 @@
     assert found.cloud_duties == ("list",)
 
 
-def test_what_is_left_out_gets_defaults(file: Path) -> None:
+def test_missing_fields_get_defaults(file: Path) -> None:
     file.write_text(LEAST)
     found = load(file)
     assert found.bounds == Bounds() and found.limits == MachineLimits()
@@ -117,7 +117,7 @@
     assert load(file).region == "r"
 
 
-def test_every_fault_is_told_at_once(file: Path) -> None:
+def test_every_fault_is_reported_at_once(file: Path) -> None:
     file.write_text(
         'IpAddress = "10.0.0.256"\nInternalPortRange = [9, 2]\nFirstStart = 1\nSeedAddresses = ["10.0.0.1"]\n'
         "[Bounds]\nContactMs = -1\nFencingChecked = 2\nDrainMs = nan\n[ListenAddresses]\nFrontHttp = 'x:1'\n"
@@ -143,13 +143,13 @@
 
 
 @pytest.mark.parametrize("text", ["NodeName = ", "a = 1\na = 2"])
-def test_no_toml(file: Path, text: str) -> None:
+def test_malformed_toml(file: Path, text: str) -> None:
     file.write_text(text)
     with pytest.raises(SettingsInvalidError, match="TOML"):
         load(file)
 
 
-def test_no_file_and_no_variable(file: Path) -> None:
+def test_missing_file_and_missing_variable(file: Path) -> None:
     with pytest.raises(SettingsInvalidError):
         load(file)
     file.write_bytes(b"\xff")
@@ -169,7 +169,7 @@
     assert captured.out == ""
 
 
-def test_a_log_word_stays_on_its_line() -> None:
+def test_a_log_field_stays_on_its_line() -> None:
     assert event("x", text="a\nb=c") == "event=x text='a\\nb=c'"
 
 
@@ -186,7 +186,7 @@
     assert counters.changed_lines() == []
 
 
-def test_a_file_that_was_written_anew_is_read_at_the_next_look(tmp_path: Path) -> None:
+def test_a_rewritten_file_is_read_at_the_next_check(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(LEAST)
     file = SettingsFile(path)
@@ -201,7 +201,7 @@
     assert file.poll(2 * SettingsFile.CHECK_INTERVAL_S + 0.1) is not None
 
 
-def test_a_file_that_cannot_be_read_changes_nothing_and_is_tried_again(tmp_path: Path) -> None:
+def test_an_unreadable_file_changes_nothing_and_is_tried_again(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(LEAST)
     file = SettingsFile(path)
