--- a/plumline/coordination/failure_detector.py
+++ b/plumline/coordination/failure_detector.py
@@ -21,7 +21,7 @@
 STABLE_AFTER_S = 0.4  # a peer that was silent must answer for so long before it may join the chain
 #: A peer that no view and no setting names is dropped after so long a silence; machines come back sooner.
 FORGET_TIMEOUT_S = 12.0
-KEPT_PINGS = 200  # whose echoes are still recognised: half a minute of them
+RETAINED_PINGS = 200  # whose echoes are still recognised: half a minute of them
 
 _NEVER = -1e9  # s; before any reading of the steady clock
 
@@ -61,7 +61,7 @@
         if address != self.local_member.address and address not in self.peers:
             self.peers[address] = Peer(address, discovered_at=now)
 
-    def remove_silent_peers(self, now: float, named: set[str]) -> None:
+    def remove_unresponsive_peers(self, now: float, named: set[str]) -> None:
         """Drops the peers that are not `named` (addresses) and have been silent for FORGET_TIMEOUT_S."""
         for address in list(self.peers):
             if address not in named and self.time_since_contact(now, address) > FORGET_TIMEOUT_S:
@@ -76,7 +76,7 @@
         self._next_ping_at = now + PING_INTERVAL_S
         self._nonce += 1
         self._sent_at[self._nonce] = now
-        self._sent_at.pop(self._nonce - KEPT_PINGS, None)
+        self._sent_at.pop(self._nonce - RETAINED_PINGS, None)
         report = local_status.to_wire()
         for address in self.peers:
             self.environment.send(address, [PING_KIND, self._nonce, *report])
