--- a/tests/frozen_story.py
+++ b/tests/frozen_story.py
@@ -560,11 +560,24 @@
 
 
 def forms(bodies: list[bytes]) -> dict[str, Any]:
-    """Of messages or records of one kind: the types of their fields, and the bytes of two of them."""
+    """Of messages or records of one kind: the types of their fields, and the bytes of a few of them.
+
+    They are the first one, the first of each set of flags, the longest, and the one whose fields differ most:
+    between them no two fields of a type can change places unseen.
+    """
     types = {" ".join(type(each).__name__ for each in ormsgpack.unpackb(body)) for body in bodies}
-    short = [each for each in bodies if len(each) <= SHORT]
-    examples = list(dict.fromkeys([bodies[0], max(short, key=len, default=bodies[0])]))
-    return {"types": sorted(types), "examples": [example(each) for each in examples]}
+    short = [each for each in bodies if len(each) <= SHORT] or bodies[:1]
+    by_flags = {flags(each): each for each in reversed(short)}
+    chosen = [bodies[0], max(short, key=len), max(short, key=differences), *reversed(by_flags.values())]
+    return {"types": sorted(types), "examples": [example(each) for each in dict.fromkeys(chosen)]}
+
+
+def flags(body: bytes) -> tuple[bool, ...]:
+    return tuple(each for each in ormsgpack.unpackb(body) if isinstance(each, bool))
+
+
+def differences(body: bytes) -> int:
+    return len({repr(each) for each in ormsgpack.unpackb(body)})
 
 
 def example(body: bytes) -> dict[str, Any]:
