--- a/plumline/router/process.py
+++ b/plumline/router/process.py
@@ -29,14 +29,14 @@
         self.settings, self.file = settings, file or SettingsFile(None)
         self.loop = asyncio.get_running_loop()
         self.counters, self.fleet = Counters(), Fleet()
-        self.follower = FeedSubscriber(settings, self.fleet, self.counters, self.file)
+        self.subscriber = FeedSubscriber(settings, self.fleet, self.counters, self.file)
         bounds = settings.bounds
         self.budget = retry_budget(settings, self.loop.time())
         self.dispatcher = Dispatcher(settings, self.fleet, self.counters, self.loop.time, budget=self.budget)
-        self.dispatcher.tell = self.follower.tell
-        self.follower.work = self.dispatcher.work_rates
-        self.follower.on_work = self.dispatcher.told_work
-        self.follower.on_news = self.dispatcher.told_news
+        self.dispatcher.tell = self.subscriber.publish_prompt_event
+        self.subscriber.local_loads = self.dispatcher.work_rates
+        self.subscriber.on_fleet_loads = self.dispatcher.told_work
+        self.subscriber.on_prompt_events = self.dispatcher.told_news
         self.server = Server(
             self.dispatcher.handle,
             lambda: self.fleet.table.limits if self.fleet.table else UNTOLD_LIMITS,
@@ -66,12 +66,12 @@
         self.loop.add_signal_handler(signal.SIGTERM, self.lifecycle.begin_shutdown)
         self.loop.add_signal_handler(signal.SIGHUP, self.file.request_reload)
         log.info(logs.event("started", node=self.settings.node_name))
-        work = [self.loop.create_task(each) for each in (self.follower.run(), self.summarise())]
+        work = [self.loop.create_task(each) for each in (self.subscriber.run(), self.summarise())]
         stop = self.loop.create_task(self.lifecycle.run_until_stopped())
         done, _ = await asyncio.wait([*work, stop], return_when=asyncio.FIRST_COMPLETED)
         for task in done - {stop}:
             task.result()
-        self.follower.close()
+        self.subscriber.close()
         self.readiness.end()
         for task in work:
             task.cancel()
--- a/plumline/router/subscriber.py
+++ b/plumline/router/subscriber.py
@@ -1,18 +1,17 @@
-"""Follows the feed: keeps `Fleet` what the core has committed, from two registrars at a time.
+"""Subscribes to the configuration feed of two registrars at a time, and keeps `Fleet` up to date from it.
 
-Which two, a rendezvous hash names (of this router over the registrars, in two zones where it can); they
-are also this router's watchers, to which its heartbeats go. A source that is silent or not fresh is left for
-the next best.
+A rendezvous hash of this router's name over the registrars chooses the two, in two zones where it can. They
+also receive this router's heartbeats. A source that times out, or says for long that it is not current, is
+replaced by the next one in the order.
 
-Entries come from one of the two, the primary; the other one's beats tell the place at which the core is.
-Where the primary lags behind that, and sends nothing, the other takes over. What is told is applied by
-number, so nothing goes back within a life.
+One of the two is the primary: it sends the entries. The other one's heartbeats tell how far the core is, and
+it becomes the primary where that one lags. Entries are applied by number, so a router never goes back to an
+older configuration while it runs.
 """
 
 import asyncio
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any
 
 from plumline import logs
@@ -23,137 +22,137 @@
 from plumline.coordination.soft_state import SoftState
 from plumline.counters import Counters
 from plumline.errors import FrameError, PlumlineError
+from plumline.router.feed_source import FeedLag, FeedSource
 from plumline.routing.fleet import Fleet
 from plumline.settings import Settings, SettingsFile
 from plumline.wire.frames import FrameLink, hello
 
-SOURCES = 2
-LOOK = 0.2  # s between looks at the sources
-CONNECT_S = 0.4  # s for a connection to come up
-SILENT = 1.2  # s without a frame after which a source is left: three beats
-LAG = 0.5  # s for an entry that a beat has told of to come, or a part of it: a little over a beat
-STALE = 1.0  # s that a source may say that it is not fresh
-SHUNNED = 2.0  # s for which a source that was left is not tried, while there are others
+SOURCE_COUNT = 2
+RECONCILE_INTERVAL_S = 0.2  # s between looks at the sources
+CONNECT_TIMEOUT_S = 0.4  # s for a connection to come up
+HELLO_POLL_S = CONNECT_TIMEOUT_S / 8
+SILENCE_TIMEOUT_S = 1.2  # s without a frame after which a source is replaced: three heartbeats
+LAG_TIMEOUT_S = 0.5  # s for a reported entry, or a chunk of it, to arrive: a little over a heartbeat
+STALE_TIMEOUT_S = 1.0  # s that a source may say that it is not current
+BACKOFF_S = 2.0  # s for which a replaced source is not tried while there are others
+RECONNECT_BACKOFF_S = BACKOFF_S / 4  # s after a connection that ended or did not come up
 
-log = logs.logger("following")
-
-
-@dataclass(slots=True)
-class Source:
-    address: str
-    task: "asyncio.Task[None]"
-    began: float
-    link: FrameLink | None = None
-    heard: float = 0.0
-    fresh: bool = False
-    fresh_at: float = 0.0  # when it last was, or when it came up
-    committed: int = 0  # number of the newest entry that it told of
-    progress_at: float = 0.0  # when it last sent an entry or a state, or was asked for them
-
-    def last_word(self) -> float:
-        """When the newest frame of it came; a piece of a large one is one too."""
-        return max(self.heard, self.link.heard_at if self.link is not None else 0.0)
-
-    def last_progress(self) -> float:
-        return max(self.progress_at, self.link.piece_at if self.link is not None else 0.0)
-
-
-@dataclass(slots=True)
-class Arrears:
-    """Entries that a source has told of and that are not here yet."""
-
-    number: int = 0  # the newest of them
-    since: float | None = None  # None: there are none
-
-    def told(self, number: int, place: int, now: float) -> None:
-        if number > place and self.since is None:
-            self.number, self.since = number, now
+LoadReports = dict[str, list[Any]]  # by service, see plumline.registrar.service_load
 
-    def reached(self, place: int) -> None:
-        if place >= self.number:
-            self.since = None
-
-    def last_for(self, now: float) -> float:
-        return 0.0 if self.since is None else now - self.since
+log = logs.logger("following")
 
 
 class FeedSubscriber:
+    """A router's side of the feed. Its owner runs `run`, and sets the callbacks before."""
+
     def __init__(
-        self, settings: Settings, fleet: Fleet, counters: Counters, file: SettingsFile | None = None
+        self,
+        settings: Settings,
+        fleet: Fleet,
+        counters: Counters,
+        settings_file: SettingsFile | None = None,
     ) -> None:
-        """`file`: looked at now and then for other seeds."""
-        self.file = file or SettingsFile(None)
+        """`settings_file` is polled for other seeds."""
+        self.settings_file = settings_file or SettingsFile(None)
         self.settings, self.fleet, self.counters = settings, fleet, counters
         self.loop = asyncio.get_running_loop()
-        port = settings.internal_ports[0]
         self.seeds = settings.seeds
-        self.registrars: dict[str, str] = {}  # address -> zone, as told by the newest beat
-        self.topics = SoftState()
-        self.sources: dict[str, Source] = {}
-        self.shunned: dict[str, float] = {}
-        self.state, self.place = ReplicatedConfiguration(), 0  # the newest that came
-        self.news: list[list[Any]] = []  # of this router's prompts, not yet sent
-        self.on_news: Callable[[str, list[Any]], None] = lambda node, events: None
-        self.work: Callable[[], dict[str, list[Any]]] = dict  # this router's, for heartbeats
-        self.on_work: Callable[[dict[str, list[Any]]], None] = lambda work: None  # the fleet's
-        self.primary: Source | None = None  # the one over which entries come, and news come and go
-        self.arrears = Arrears()
-        self.greeting = hello(settings.node_name, "router", f"{settings.ip_address}:{port}", settings.zone)
-
-    # Sources.
-
-    def candidates(self, now: float) -> list[str]:
-        """Best first: by rendezvous hash over the known registrars, before any are known over the seeds."""
-        known = dict(self.registrars) or {each: "" for each in self.seeds}
-        order = choose_across_zones(
-            self.settings.node_name, [Candidate(a, z) for a, z in known.items()], len(known)
-        )
-        spare = [each for each in self.seeds if each not in known]
-        random.shuffle(spare)
-        order += spare
-        return sorted(order, key=lambda each: self.shunned.get(each, 0.0) > now)
+        self.registrars: dict[str, str] = {}  # zone by address, as the newest heartbeat reports
+        self.soft_state = SoftState()
+        self.sources: dict[str, FeedSource] = {}  # by address
+        self.primary: FeedSource | None = None  # sends entries, and carries prompt events both ways
+        self.backoff_until: dict[str, float] = {}  # by address
+        self.lag = FeedLag()
+        self.state = ReplicatedConfiguration()  # the newest that has arrived
+        self.applied_index = 0  # number of its newest entry
+        #: Called with the router, or the address of the cache store, that events are about.
+        self.on_prompt_events: Callable[[str, list[Any]], None] = lambda origin, events: None
+        self.local_loads: Callable[[], LoadReports] = dict  # this router's, for its heartbeats
+        self.on_fleet_loads: Callable[[LoadReports], None] = lambda loads: None
+        self._unsent_prompt_events: list[list[Any]] = []
+        port = settings.internal_ports[0]
+        self._greeting = hello(settings.node_name, "router", f"{settings.ip_address}:{port}", settings.zone)
 
-    def look(self, now: float) -> None:
+    # Which registrars to subscribe to.
+
+    def reconcile_sources(self, now: float) -> None:
+        """Replaces sources that failed, connects to those that should be, and chooses the primary."""
+        self._remove_failed_sources(now)
+        desired = self._candidates(now)[:SOURCE_COUNT]
+        for address in desired:
+            if address not in self.sources:
+                task = self.loop.create_task(self._connect(address))
+                self.sources[address] = FeedSource(address, task)
+        self._close_surplus_sources(desired)
+        self._update_freshness(now)
+        self._choose_primary(now)
+
+    def _candidates(self, now: float) -> list[str]:
+        """All addresses, best first: the known registrars, or the seeds before any are known."""
+        known = dict(self.registrars) or {seed: "" for seed in self.seeds}
+        candidates = [Candidate(address, zone) for address, zone in known.items()]
+        order = choose_across_zones(self.settings.node_name, candidates, len(known))
+        other_seeds = [seed for seed in self.seeds if seed not in known]
+        random.shuffle(other_seeds)
+        order += other_seeds
+        return sorted(order, key=lambda address: self.backoff_until.get(address, 0.0) > now)
+
+    def _remove_failed_sources(self, now: float) -> None:
         for address, source in list(self.sources.items()):
-            if source.link is not None and now - source.last_word() > SILENT:
-                self.leave(source, now, "silent")
-            elif source.link is not None and not source.fresh and now - source.fresh_at > STALE:
-                self.leave(source, now, "stale")
-            elif source.link is None and source.task.done():
+            if source.link is not None and now - source.last_received_at() > SILENCE_TIMEOUT_S:
+                self._replace_source(source, now, "silent")
+            elif (
+                source.link is not None
+                and not source.is_current
+                and now - source.last_current_at > STALE_TIMEOUT_S
+            ):
+                self._replace_source(source, now, "stale")
+            elif source.link is None and source.connect_task.done():
                 del self.sources[address]
-        wanted = self.candidates(now)[:SOURCES]
-        for address in wanted:
-            if address not in self.sources:
-                task = self.loop.create_task(self.connect(address))
-                self.sources[address] = Source(address, task, now)
-        fresh = self.fresh_sources()
+
+    def _close_surplus_sources(self, desired: list[str]) -> None:
+        """A source that is no longer desired stays until those that are have become current."""
+        current = self._current_sources()
         for address, source in list(self.sources.items()):
-            # One that is no longer wanted is kept until those that are have come up.
-            others = [each for each in fresh if each is not source and each.address in wanted]
-            if address not in wanted and (len(others) >= min(SOURCES, len(wanted)) or not source.link):
-                self.drop(source)
-        self.note_fresh(now)
-        self.choose_primary(now)
-
-    def fresh_sources(self) -> list[Source]:
-        return [each for each in self.sources.values() if each.fresh and each.link is not None]
-
-    def note_fresh(self, now: float) -> None:
-        """What is known counts as the newest if a source vouches for itself and none tells of more."""
-        self.fleet.fresh = bool(self.fresh_sources()) and self.arrears.last_for(now) <= LAG
+            if address in desired:
+                continue
+            others = [other for other in current if other is not source and other.address in desired]
+            if len(others) >= min(SOURCE_COUNT, len(desired)) or not source.link:
+                self._close_source(source)
+
+    def _current_sources(self) -> list[FeedSource]:
+        return [source for source in self.sources.values() if source.is_current and source.link is not None]
+
+    def _update_freshness(self, now: float) -> None:
+        """The router's configuration counts as the newest if a source is current and none reports more."""
+        self.fleet.fresh = bool(self._current_sources()) and self.lag.duration_s(now) <= LAG_TIMEOUT_S
         if self.fleet.fresh:
             self.fleet.fresh_at = now
 
+    def _replace_source(self, source: FeedSource, now: float, why: str) -> None:
+        self.counters.add(f"feed.left.{why}")
+        log.info(logs.event("source-left", address=source.address, why=why))
+        self.backoff_until[source.address] = now + BACKOFF_S
+        self._close_source(source)
+
+    def _close_source(self, source: FeedSource) -> None:
+        self.sources.pop(source.address, None)
+        source.is_current = False
+        source.connect_task.cancel()
+        if source.link is not None:
+            source.link.abort()
+
     # The primary.
 
-    def choose_primary(self, now: float) -> None:
-        fresh = self.fresh_sources()
-        lags = self.lags(now)
-        if self.primary in fresh and not lags:
+    def _choose_primary(self, now: float) -> None:
+        """Keeps the primary while it is current and does not lag, else chooses another and subscribes."""
+        current = self._current_sources()
+        lags = self._primary_lags(now)
+        if self.primary in current and not lags:
             return
-        others = [each for each in fresh if each is not self.primary] or fresh
-        ahead = [each for each in others if each.committed > self.place]
-        chosen = self.nearest(ahead or others)
+        others = [source for source in current if source is not self.primary] or current
+        ahead = [source for source in others if source.committed_index > self.applied_index]
+        chosen = self._nearest(ahead or others)
         if chosen is not self.primary:
             if self.primary is not None and self.primary.link is not None:
                 self.primary.link.send(["primary", False])
@@ -161,150 +160,156 @@
                 self.counters.add("feed.primary-lags")
             self.primary = chosen
         if chosen is not None:
-            self.ask(chosen, now)
+            self._subscribe_as_primary(chosen, now)
 
-    def lags(self, now: float) -> bool:
-        """Whether the primary sends nothing of what the core has committed."""
-        if self.primary is None or self.arrears.since is None:
+    def _primary_lags(self, now: float) -> bool:
+        """Whether entries are missing, and the primary has sent nothing for long."""
+        if self.primary is None or self.lag.began_at is None:
             return False
-        return now - max(self.arrears.since, self.primary.last_progress()) > LAG
+        return now - max(self.lag.began_at, self.primary.last_progress_at()) > LAG_TIMEOUT_S
 
-    def nearest(self, sources: list[Source]) -> Source | None:
+    def _nearest(self, sources: list[FeedSource]) -> FeedSource | None:
         """The first in this router's own zone, else the first."""
-        near = [each for each in sources if self.registrars.get(each.address) == self.settings.zone]
-        return next(iter(near or sources), None)
-
-    def ask(self, source: Source, now: float) -> None:
-        """For all entries from here on."""
-        source.progress_at = now
+        same_zone = [
+            source for source in sources if self.registrars.get(source.address) == self.settings.zone
+        ]
+        return next(iter(same_zone or sources), None)
+
+    def _subscribe_as_primary(self, source: FeedSource, now: float) -> None:
+        """Asks for all entries after the newest that is here."""
+        source.last_feed_at = now
         if source.link is not None:
-            source.link.send(["follow", self.place])
+            source.link.send(["follow", self.applied_index])
             source.link.send(["primary", True])
 
-    # News of prompts.
+    # Prompt events of this router.
 
-    def tell(self, event: list[Any]) -> None:
-        """To the other routers, with all else that this turn of the loop tells."""
-        if not self.news:
-            self.loop.call_soon(self.send_news)
-        self.news.append(event)
+    def publish_prompt_event(self, event: list[Any]) -> None:
+        """Sends the event to the other routers, together with all others of this turn of the loop."""
+        if not self._unsent_prompt_events:
+            self.loop.call_soon(self._send_prompt_events)
+        self._unsent_prompt_events.append(event)
 
-    def send_news(self) -> None:
-        news, self.news = self.news, []
+    def _send_prompt_events(self) -> None:
+        events, self._unsent_prompt_events = self._unsent_prompt_events, []
         if self.primary is not None and self.primary.link is not None:
-            self.primary.link.send(["news", self.settings.node_name, news])
-
-    def leave(self, source: Source, now: float, why: str) -> None:
-        self.counters.add(f"feed.left.{why}")
-        log.info(logs.event("source-left", address=source.address, why=why))
-        self.shunned[source.address] = now + SHUNNED
-        self.drop(source)
+            self.primary.link.send(["news", self.settings.node_name, events])
 
-    def drop(self, source: Source) -> None:
-        self.sources.pop(source.address, None)
-        source.fresh = False
-        source.task.cancel()
-        if source.link is not None:
-            source.link.abort()
+    # Connections.
 
-    async def connect(self, address: str) -> None:
+    async def _connect(self, address: str) -> None:
         host, _, port = address.rpartition(":")
         link = FrameLink(
-            self.greeting, lambda link: self.up(address, link), self.heard, self.went, self.counters
+            self._greeting,
+            lambda link: self._on_link_up(address, link),
+            self._on_message,
+            self._on_link_down,
+            self.counters,
         )
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self.loop.create_connection(lambda: link, host, int(port))
-                # The hello comes at once, or the one that has the port now is not ours.
+                # A registrar says hello at once; otherwise something else has the port now.
                 while link.peer is None and not link.down:
-                    await asyncio.sleep(CONNECT_S / 8)
+                    await asyncio.sleep(HELLO_POLL_S)
         except (OSError, TimeoutError):
             self.counters.add("feed.not-up")
-            self.shunned[address] = self.loop.time() + SHUNNED / 4
+            self.backoff_until[address] = self.loop.time() + RECONNECT_BACKOFF_S
             link.abort()
 
-    def source_of(self, link: FrameLink) -> Source | None:
-        return next((each for each in self.sources.values() if each.link is link), None)
+    def _source_of(self, link: FrameLink) -> FeedSource | None:
+        return next((source for source in self.sources.values() if source.link is link), None)
 
-    def up(self, address: str, link: FrameLink) -> None:
+    def _on_link_up(self, address: str, link: FrameLink) -> None:
         source = self.sources.get(address)
         if source is None or link.peer is None or link.peer["role"] != "registrar":
             link.abort()
             return
         now = self.loop.time()
-        source.link, source.heard, source.fresh_at = link, now, now
-        link.send(["follow", self.place])
+        source.link, source.last_message_at, source.last_current_at = link, now, now
+        link.send(["follow", self.applied_index])
 
-    def went(self, link: FrameLink) -> None:
-        if source := self.source_of(link):
+    def _on_link_down(self, link: FrameLink) -> None:
+        if source := self._source_of(link):
             self.counters.add("feed.ended")
-            self.drop(source)
-            self.shunned[source.address] = self.loop.time() + SHUNNED / 4
+            self._close_source(source)
+            self.backoff_until[source.address] = self.loop.time() + RECONNECT_BACKOFF_S
 
-    # What they say.
+    # Messages of registrars.
 
-    def heard(self, link: FrameLink, message: list[Any]) -> None:
-        source = self.source_of(link)
+    def _on_message(self, link: FrameLink, message: list[Any]) -> None:
+        """Dispatches a message. Raises FrameError for one that can't be applied: the link ends with it."""
+        source = self._source_of(link)
         if source is None:
             return
-        now = source.heard = self.loop.time()
+        now = source.last_message_at = self.loop.time()
         try:
             match message:
-                case ["beat", bool(fresh), int(committed), list(registrars), int(routers), dict(work)]:
-                    source.fresh, source.committed = fresh, committed
-                    if fresh:
-                        self.arrears.told(committed, self.place, now)
-                        self.on_work(work)
-                        source.fresh_at = now
-                        self.registrars = {str(address): str(zone) for address, zone in registrars}
-                        if routers != self.fleet.routers:
-                            self.fleet.routers = routers
-                            self.fleet.tell("members")
-                    self.note_fresh(now)
-                    if self.primary is None:
-                        self.choose_primary(now)
-                case ["entry", int(number), list(change)]:
-                    source.progress_at = now
-                    if number == self.place + 1:
-                        self.take(number, self.state.apply(change), change)
-                    elif number > self.place + 1:
-                        link.send(["follow", self.place])
-                case ["state", int(number), wire]:
-                    source.progress_at = now
-                    if number > self.place:
-                        self.take(number, ReplicatedConfiguration.from_wire(wire))
+                case ["beat", bool(), int(), list(), int(), dict()]:
+                    self._on_heartbeat(source, now, message)
+                case ["entry", int(index), list(change)]:
+                    self._on_entry(source, now, index, change)
+                case ["state", int(index), wire]:
+                    source.last_feed_at = now
+                    if index > self.applied_index:
+                        self._apply(index, ReplicatedConfiguration.from_wire(wire))
                 case ["topic", str(name), [int(term), int(count)], payload]:
-                    self.take_topic(name, (term, count), payload)
-                case ["news", str(node), list(events)]:
-                    if node != self.settings.node_name:
-                        self.on_news(node, events)
+                    self._on_soft_state(name, (term, count), payload)
+                case ["news", str(origin), list(events)]:
+                    if origin != self.settings.node_name:
+                        self.on_prompt_events(origin, events)
                 case _:
                     self.counters.add("frames.unknown")
         except (PlumlineError, ValueError, TypeError, KeyError) as error:
             raise FrameError(f"a feed's message can't be applied: {error!r}") from error
 
-    def take(self, number: int, state: ReplicatedConfiguration, change: list[Any] | None = None) -> None:
-        """The state of this number; `change`: what led to it from the present one. A router that begins shows
-        none to its requests before it has all that the first beat told of."""
-        known, self.state, self.place = self.state, state, number
-        self.arrears.reached(number)
-        if self.fleet.state is None and self.arrears.since is not None:
+    def _on_heartbeat(self, source: FeedSource, now: float, message: list[Any]) -> None:
+        _, source.is_current, source.committed_index, registrars, router_count, loads = message
+        if source.is_current:
+            self.lag.on_committed(source.committed_index, self.applied_index, now)
+            self.on_fleet_loads(loads)
+            source.last_current_at = now
+            self.registrars = {str(address): str(zone) for address, zone in registrars}
+            if router_count != self.fleet.routers:
+                self.fleet.routers = router_count
+                self.fleet.tell("members")
+        self._update_freshness(now)
+        if self.primary is None:
+            self._choose_primary(now)
+
+    def _on_entry(self, source: FeedSource, now: float, index: int, change: list[Any]) -> None:
+        source.last_feed_at = now
+        if index == self.applied_index + 1:
+            self._apply(index, self.state.apply(change), change)
+        elif index > self.applied_index + 1 and source.link is not None:
+            source.link.send(["follow", self.applied_index])
+
+    def _apply(self, index: int, state: ReplicatedConfiguration, change: list[Any] | None = None) -> None:
+        """Takes on the state after the entry `index`; `change`: what led to it from the present one.
+
+        A router that starts shows no state to its requests before it has all entries that the first heartbeat
+        reported.
+        """
+        previous, self.state, self.applied_index = self.state, state, index
+        self.lag.on_applied(index)
+        if self.fleet.state is None and self.lag.began_at is not None:
             return
-        changed = state.configuration is not known.configuration or self.fleet.table is None
-        self.fleet.state, self.fleet.place = state, number
+        changed = state.configuration is not previous.configuration or self.fleet.table is None
+        self.fleet.state, self.fleet.place = state, index
         if changed and state.configuration is not None:
-            self.fleet.table = self.table_of(state.configuration, change)
-            log.info(logs.event("configuration", version=state.version, place=number))
+            self.fleet.table = self._route_table(state.configuration, change)
+            log.info(logs.event("configuration", version=state.version, place=index))
         self.fleet.tell("configuration")
 
-    def table_of(self, document: Document, change: list[Any] | None) -> RouteTable:
+    def _route_table(self, document: Document, change: list[Any] | None) -> RouteTable:
+        """The document's table; after an amendment only what it changed is built anew."""
         table: RouteTable | None = self.fleet.table
         if table is not None and change is not None and change[0] == "amend":
             return table.with_amendment(document, change[2])
         return RouteTable(document, table)
 
-    def take_topic(self, name: str, number: tuple[int, int], payload: Any) -> None:  # noqa: ANN401
-        if not self.topics.update(name, number, payload):
+    def _on_soft_state(self, name: str, version: tuple[int, int], payload: Any) -> None:  # noqa: ANN401
+        if not self.soft_state.update(name, version, payload):
             return
         if name == "roster":
             self.fleet.take_roster(payload)
@@ -313,31 +318,27 @@
         elif name == "stores":
             self.fleet.take_stores(payload)
 
-    # Loops.
-
-    def heartbeat(self) -> None:
-        for each in self.sources.values():
-            if each.link is not None:
-                each.link.send(["heartbeat", self.place, self.work()])
+    # To the registrars.
 
-    def hurry(self) -> None:
-        """An endpoint seems to be gone: the list is worth a look."""
-        for each in self.sources.values():
-            if each.link is not None:
-                each.link.send(["hurry"])
+    def _send_heartbeats(self) -> None:
+        for source in self.sources.values():
+            if source.link is not None:
+                source.link.send(["heartbeat", self.applied_index, self.local_loads()])
 
     async def run(self) -> None:
-        beat_at = 0.0
+        """Until cancelled."""
+        next_heartbeat_at = 0.0
         while True:
             now = self.loop.time()
-            if (changed := self.file.poll(now)) is not None:
+            if (changed := self.settings_file.poll(now)) is not None:
                 self.seeds = changed.seeds
-            self.look(now)
-            if now >= beat_at:
-                beat_at = now + self.settings.heartbeat_interval_ms / 1000
-                self.heartbeat()
-            await asyncio.sleep(LOOK)
+            self.reconcile_sources(now)
+            if now >= next_heartbeat_at:
+                next_heartbeat_at = now + self.settings.heartbeat_interval_ms / 1000
+                self._send_heartbeats()
+            await asyncio.sleep(RECONCILE_INTERVAL_S)
 
     def close(self) -> None:
-        for each in list(self.sources.values()):
-            self.drop(each)
+        """Closes all connections."""
+        for source in list(self.sources.values()):
+            self._close_source(source)
