--- a/plumline/registrar/message_handlers.py
+++ b/plumline/registrar/message_handlers.py
@@ -19,7 +19,7 @@
 from plumline.registrar.singleton_roles import SingletonRoles
 from plumline.registrar.soft_state_replication import SoftStateReplicator
 from plumline.registrar.subscriber_messages import PROMPT_EVENTS_KIND, REFRESH_ENDPOINTS_KIND
-from plumline.wire.frames import FrameLink
+from plumline.wire.frame_link import FrameLink
 from plumline.wire.mesh import Mesh
 
 
@@ -45,7 +45,7 @@
 
     def on_link_up(self, address: str) -> None:
         """Sends a registrar that has just been connected to what it can't know yet."""
-        own_zone = self.zones[self.mesh.me]
+        own_zone = self.zones[self.mesh.local_address]
         self.mesh.links[address].send(ZoneAnnouncement(own_zone).to_wire())
         self.replicator.send_all_to(address)
 
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -160,7 +160,7 @@
                 self._publish_heartbeat(now)
             if report_timer.is_due(now):
                 self.mesh.send_all(SubscriberReport(self.publisher.live_subscribers(now)).to_wire())
-                self.mesh.want(set(self.core.failure_detector.peers))
+                self.mesh.set_peers(set(self.core.failure_detector.peers))
             if counters_timer.is_due(now):
                 for line in self.counters.changed_lines():
                     log.info(line)
--- a/plumline/registrar/publisher.py
+++ b/plumline/registrar/publisher.py
@@ -25,7 +25,8 @@
     Subscribe,
     subscriber_message_from_wire,
 )
-from plumline.wire.frames import FrameLink, pack
+from plumline.wire.frame_link import FrameLink
+from plumline.wire.frames import pack
 
 MAX_MISSED_HEARTBEATS = 3  # a subscriber that is silent for so many of its intervals counts as dead
 
--- a/plumline/router/feed_source.py
+++ b/plumline/router/feed_source.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from plumline.wire.frames import FrameLink
+from plumline.wire.frame_link import FrameLink
 
 
 @dataclass(slots=True)
@@ -21,11 +21,11 @@
 
     def last_received_at(self) -> float:
         """When the newest bytes came; a chunk of a large frame counts."""
-        return max(self.last_message_at, self.link.heard_at if self.link is not None else 0.0)
+        return max(self.last_message_at, self.link.last_received_at if self.link is not None else 0.0)
 
     def last_progress_at(self) -> float:
         """When it last sent, or was asked for, an entry or a snapshot; a chunk of one counts."""
-        return max(self.last_feed_at, self.link.piece_at if self.link is not None else 0.0)
+        return max(self.last_feed_at, self.link.last_chunk_at if self.link is not None else 0.0)
 
 
 @dataclass(slots=True)
--- a/plumline/router/subscriber.py
+++ b/plumline/router/subscriber.py
@@ -25,7 +25,8 @@
 from plumline.router.feed_source import FeedLag, FeedSource
 from plumline.routing.fleet import Fleet
 from plumline.settings import Settings, SettingsFile
-from plumline.wire.frames import FrameLink, hello
+from plumline.wire.frame_link import FrameLink
+from plumline.wire.frames import hello
 
 SOURCE_COUNT = 2
 RECONCILE_INTERVAL_S = 0.2  # s between looks at the sources
--- a/plumline/wire/mesh.py
+++ b/plumline/wire/mesh.py
@@ -9,12 +9,16 @@
 from typing import Any, Protocol
 
 from plumline.counters import Counters
-from plumline.wire.frames import FrameLink, pack
+from plumline.wire.frame_link import FrameLink
+from plumline.wire.frames import pack
 
-CONNECT_S = 0.5  # s for a connection to come up
-HELLO_S = 1.5  # s for the other side's hello: what a cut holds up may come many seconds after it heals
-AGAIN_S = 0.25  # s, at about, until the next try
-ORDERED = frozenset({"chain-entry", "chain-lesson"})  # kinds that are of use only after those sent before
+CONNECT_TIMEOUT_S = 0.5  # s for a connection to come up
+HELLO_TIMEOUT_S = 1.5  # s for the hello: what a partition held up may come long after it heals
+RECONNECT_BACKOFF_S = 0.25  # s until the next attempt, on average
+BACKOFF_JITTER = (0.6, 1.4)  # factors of the backoff
+REGISTRAR_ROLE = "registrar"  # in a hello
+#: Kinds that are of use only after those sent before.
+ORDERED_KINDS = frozenset({"chain-entry", "chain-lesson"})
 
 
 class PeerHandler(Protocol):
@@ -43,111 +47,127 @@
 class Mesh:
     """Links to and from other registrars, whose messages go to one handler; those of others to another."""
 
-    def __init__(self, me: str, greeting: list[Any], counters: Counters) -> None:
-        """`me`: address of this registrar; `greeting`: its hello."""
-        self.me, self.greeting, self.counters = me, greeting, counters
-        self.peers: PeerHandler
-        self.clients: ClientHandler
+    def __init__(self, local_address: str, greeting: list[Any], counters: Counters) -> None:
+        """`local_address` is this registrar's, and `greeting` its hello."""
+        self.local_address, self.counters = local_address, counters
+        self.links: dict[str, FrameLink] = {}  # opened here and up, by address
         self.loop = asyncio.get_running_loop()
-        self.links: dict[str, FrameLink] = {}  # opened here, up
-        self.connecting: dict[str, asyncio.Task[None]] = {}
-        self.wanted: set[str] = set()
-        self.incoming: set[FrameLink] = set()
-        self.server: asyncio.Server | None = None
-
-    def attach(self, peers: PeerHandler, clients: ClientHandler) -> None:
+        self._greeting = greeting
+        self._peer_handler: PeerHandler
+        self._client_handler: ClientHandler
+        self._peers: set[str] = set()  # addresses to have links to
+        self._link_tasks: dict[str, asyncio.Task[None]] = {}  # by address
+        self._incoming: set[FrameLink] = set()
+        self._server: asyncio.Server | None = None
+
+    def attach(self, peer_handler: PeerHandler, client_handler: ClientHandler) -> None:
         """Sets the handlers; before the first message and before `listen`."""
-        self.peers, self.clients = peers, clients
+        self._peer_handler, self._client_handler = peer_handler, client_handler
+
+    # Connections that others open.
 
     async def listen(self, address: tuple[str, int]) -> None:
-        """Raises OSError."""
-        self.server = await self.loop.create_server(self.accept, *address, reuse_address=True)
+        """Accepts connections at the address. Raises OSError."""
+        self._server = await self.loop.create_server(self._accept, *address, reuse_address=True)
 
-    def accept(self) -> FrameLink:
-        return FrameLink(self.greeting, self.came, self.heard, self.went, self.counters)
+    def _accept(self) -> FrameLink:
+        return FrameLink(
+            self._greeting, self._on_incoming_up, self._on_message, self._on_incoming_down, self.counters
+        )
 
-    def came(self, link: FrameLink) -> None:
+    def _on_incoming_up(self, link: FrameLink) -> None:
         assert link.peer is not None
-        self.incoming.add(link)
-        if link.peer["role"] != "registrar":
-            self.clients.on_connected(link)
+        self._incoming.add(link)
+        if link.peer["role"] != REGISTRAR_ROLE:
+            self._client_handler.on_connected(link)
 
-    def heard(self, link: FrameLink, message: list[Any]) -> None:
+    def _on_message(self, link: FrameLink, message: list[Any]) -> None:
         assert link.peer is not None
-        if link.peer["role"] == "registrar":
-            self.peers.on_message(link.peer["address"], message)
+        if link.peer["role"] == REGISTRAR_ROLE:
+            self._peer_handler.on_message(link.peer["address"], message)
         else:
-            self.clients.on_message(link, message)
-
-    def went(self, link: FrameLink) -> None:
-        self.incoming.discard(link)
-        if link.peer is not None and link.peer["role"] != "registrar":
-            self.clients.on_disconnected(link)
-
-    def want(self, addresses: set[str]) -> None:
-        """The registrars to have links to."""
-        self.wanted = {each for each in addresses if each != self.me}
-        for address in self.wanted:
-            if address not in self.connecting:
-                self.connecting[address] = self.loop.create_task(self.keep(address))
-        for address in [each for each in self.links if each not in self.wanted]:
+            self._client_handler.on_message(link, message)
+
+    def _on_incoming_down(self, link: FrameLink) -> None:
+        self._incoming.discard(link)
+        if link.peer is not None and link.peer["role"] != REGISTRAR_ROLE:
+            self._client_handler.on_disconnected(link)
+
+    # Links that this registrar opens.
+
+    def set_peers(self, addresses: set[str]) -> None:
+        """Links are kept up to the registrars at these addresses, and to no others."""
+        self._peers = addresses - {self.local_address}
+        for address in self._peers:
+            if address not in self._link_tasks:
+                self._link_tasks[address] = self.loop.create_task(self._keep_linked(address))
+        for address in [address for address in self.links if address not in self._peers]:
             self.links[address].abort()
 
-    async def keep(self, address: str) -> None:
-        """Opens the link again whenever it is down, for as long as it is wanted."""
-        host, _, port = address.rpartition(":")
+    async def _keep_linked(self, address: str) -> None:
+        """Opens the link again whenever it is down, for as long as the address is a peer's."""
         try:
-            while address in self.wanted:
-                greeted, down = self.loop.create_future(), self.loop.create_future()
-
-                def ended(link: FrameLink, down: "asyncio.Future[None]" = down) -> None:
-                    if self.links.get(address) is link:
-                        del self.links[address]
-                    if not down.done():
-                        down.set_result(None)
-
-                def up(link: FrameLink, greeted: "asyncio.Future[None]" = greeted) -> None:
-                    greeted.set_result(None)
-                    self.links[address] = link
-                    self.peers.on_link_up(address)
-
-                link = FrameLink(self.greeting, up, lambda *_: None, ended, self.counters)
+            while address in self._peers:
                 try:
-                    async with asyncio.timeout(CONNECT_S):
-                        await self.loop.create_connection(lambda link=link: link, host, int(port))
-                    await asyncio.wait((greeted, down), timeout=HELLO_S, return_when=asyncio.FIRST_COMPLETED)
-                    if not greeted.done():
-                        link.abort()
-                    await down
+                    await self._run_link(address)
                 except (OSError, TimeoutError):
                     self.counters.add("links.not-up")
-                await asyncio.sleep(AGAIN_S * random.uniform(0.6, 1.4))
+                await asyncio.sleep(RECONNECT_BACKOFF_S * random.uniform(*BACKOFF_JITTER))
         finally:
-            self.connecting.pop(address, None)
+            self._link_tasks.pop(address, None)
+
+    async def _run_link(self, address: str) -> None:
+        """Opens a link and returns once it is down. Raises OSError, TimeoutError where it doesn't come up."""
+        host, _, port = address.rpartition(":")
+        greeted, down = self.loop.create_future(), self.loop.create_future()
+
+        def on_up(link: FrameLink) -> None:
+            greeted.set_result(None)
+            self.links[address] = link
+            self._peer_handler.on_link_up(address)
+
+        def on_down(link: FrameLink) -> None:
+            if self.links.get(address) is link:
+                del self.links[address]
+            if not down.done():
+                down.set_result(None)
+
+        link = FrameLink(self._greeting, on_up, lambda *_: None, on_down, self.counters)
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            await self.loop.create_connection(lambda: link, host, int(port))
+        await asyncio.wait((greeted, down), timeout=HELLO_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+        if not greeted.done():
+            link.abort()
+        await down
+
+    def renew(self, address: str) -> None:
+        """Ends a link that nothing comes back for; it is opened anew."""
+        if link := self.links.get(address):
+            self.counters.add("links.renewed")
+            link.abort()
+
+    # Sending.
 
     def send(self, to: str, message: list[Any]) -> None:
-        if to == self.me:
-            self.loop.call_soon(self.peers.on_message, self.me, message)
+        """Sends to the registrar at the address, this one included; without a link the message is lost."""
+        if to == self.local_address:
+            self.loop.call_soon(self._peer_handler.on_message, self.local_address, message)
         elif link := self.links.get(to):
-            link.send(message, ordered=message[0] in ORDERED)
+            link.send(message, ordered=message[0] in ORDERED_KINDS)
 
     def send_all(self, message: list[Any]) -> None:
+        """Sends to all other registrars that are linked."""
         if self.links:
             data = pack(message)
             for link in list(self.links.values()):
                 link.send_packed(message[0], data)
 
-    def renew(self, address: str) -> None:
-        """Ends a link that nothing comes back for; it is opened anew."""
-        if link := self.links.get(address):
-            self.counters.add("links.renewed")
-            link.abort()
-
     def close(self) -> None:
-        self.wanted = set()
-        for task in list(self.connecting.values()):
+        """Closes all links and the listener."""
+        self._peers = set()
+        for task in list(self._link_tasks.values()):
             task.cancel()
-        for link in [*self.links.values(), *self.incoming]:
+        for link in [*self.links.values(), *self._incoming]:
             link.abort()
-        if self.server is not None:
-            self.server.close()
+        if self._server is not None:
+            self._server.close()
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -13,8 +13,9 @@
 
 from plumline.counters import Counters
 from plumline.errors import FrameError
-from plumline.wire import frames
-from plumline.wire.frames import FrameLink, Outgoing, Unpacker, framed, hello, pack
+from plumline.wire import frame_link, frames
+from plumline.wire.frame_link import FrameLink, OutgoingFrame
+from plumline.wire.frames import FrameDecoder, framed, hello, pack
 
 SECONDS_OF_LINK = 0.05  # between two looks of a transport that a test plays
 LINK_BYTES_PER_S = 625_000  # 5 Mbit/s
@@ -77,7 +78,7 @@
 def test_beats_pass_between_the_pieces_of_a_state_on_a_thin_link() -> None:
     async def play() -> None:
         link, transport, _ = sender()
-        received, found = Unpacker(), []
+        received, found = FrameDecoder(), []
         state = ["state", 7, noise(4_000_000)]
         link.send(state)
         now, beat_at = 0.0, 0.0
@@ -91,10 +92,10 @@
         assert now > 6  # it takes long, and each beat comes all the same
         late = [at - message[1] for at, message in found if message[0] == "beat"]
         assert len(late) > now / BEAT_S - 1
-        most = (frames.WRITE_BUFFER + 2 * frames.PIECE_BYTES) / LINK_BYTES_PER_S
+        most = (frame_link.WRITE_BUFFER_BYTES + 2 * frame_link.CHUNK_BYTES) / LINK_BYTES_PER_S
         assert max(late) < most + 2 * SECONDS_OF_LINK
         assert found[-1][1] == state
-        assert received.parts > 200
+        assert received.chunk_count > 200
 
     asyncio.run(play())
 
@@ -106,14 +107,14 @@
         link.on_drained = drained.append
         link.send(["state", 7, noise(1_000_000)])
         link.send(["entry", 8, []], ordered=True)
-        received, found, most = Unpacker(), [], 0
+        received, found, most = FrameDecoder(), [], 0
         while transport.buffer:
-            assert link.busy or not link.waiting
+            assert link.busy or not link._send_queue
             assert not (drained and link.busy)
             most = max(most, len(transport.buffer))
             found += received.feed(transport.carry(10_000))
         assert [message[0] for message in found] == ["hello", "state", "entry"]
-        assert most <= frames.WRITE_BUFFER + frames.PIECE_BYTES + 64
+        assert most <= frame_link.WRITE_BUFFER_BYTES + frame_link.CHUNK_BYTES + 64
         assert drained == [link] and not link.busy
 
     asyncio.run(play())
@@ -125,7 +126,7 @@
         link.send(["state", 7, noise(200_000)])
         link.send(["entry", 8, []], ordered=True)
         link.send(["beat"])
-        found = Unpacker().feed(transport.carry(10_000_000))
+        found = FrameDecoder().feed(transport.carry(10_000_000))
         assert [message[0] for message in found] == ["hello", "beat"]
 
     asyncio.run(play())
@@ -150,7 +151,7 @@
     message = ["state", 7, {"configuration": {"Version": 1, "Routes": routes}}]
     data = pack(message)
     assert len(data) < len(ormsgpack.packb(message)) / 10
-    assert Unpacker().feed(data) == [message]
+    assert FrameDecoder().feed(data) == [message]
 
 
 VALUES = st.recursive(
@@ -173,10 +174,10 @@
 ) -> None:
     data = bytearray()
     for message in messages:
-        frame = Outgoing(pack(message) if chance.random() < 0.5 else framed(ormsgpack.packb(message)))
-        while frame.left():
+        frame = OutgoingFrame(pack(message) if chance.random() < 0.5 else framed(ormsgpack.packb(message)))
+        while frame.unsent_bytes():
             data += frame.next_frame()
-    received, found = Unpacker(), []
+    received, found = FrameDecoder(), []
     while data:
         cut = chance.randint(1, most)
         found += received.feed(bytes(data[:cut]))
@@ -197,7 +198,7 @@
 @pytest.mark.parametrize(
     "data",
     [
-        bomb(100_000_000, frames.LARGEST),
+        bomb(100_000_000, frames.MAX_BODY_BYTES),
         wrongly_told(1),
         wrongly_told(1000),
         wrongly_told(-1),
@@ -208,7 +209,7 @@
         framed(ormsgpack.packb(["piece", False, "x"])),
         framed(ormsgpack.packb(["piece", False, ormsgpack.packb(["piece", False, b"x"])])),
         framed(ormsgpack.packb(["piece", False, ormsgpack.packb(7)])),
-        (frames.LARGEST + 1).to_bytes(4, "big"),
+        (frames.MAX_BODY_BYTES + 1).to_bytes(4, "big"),
         framed(ormsgpack.packb({"no": "array"})),
         framed(ormsgpack.packb([])),
         framed(b"\xc1"),
@@ -216,7 +217,7 @@
 )
 def test_what_is_no_frame_is_refused(data: bytes) -> None:
     with pytest.raises(FrameError):
-        Unpacker().feed(data)
+        FrameDecoder().feed(data)
 
 
 def test_a_body_that_expands_to_more_than_it_tells_takes_no_memory() -> None:
@@ -224,7 +225,7 @@
     tracemalloc.start()
     try:
         with pytest.raises(FrameError):
-            Unpacker().feed(data)
+            FrameDecoder().feed(data)
         _, peak = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
@@ -232,9 +233,9 @@
 
 
 def test_pieces_of_more_than_the_largest_body_are_refused() -> None:
-    received = Unpacker()
+    received = FrameDecoder()
     piece = framed(ormsgpack.packb(["piece", True, bytes(1024 * 1024)]))
     with pytest.raises(FrameError):
-        for _ in range(frames.LARGEST // (1024 * 1024) + 1):
+        for _ in range(frames.MAX_BODY_BYTES // (1024 * 1024) + 1):
             received.feed(piece)
-    assert len(received.pieces) <= frames.LARGEST
+    assert len(received._chunks) <= frames.MAX_BODY_BYTES
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -9,7 +9,8 @@
 
 from plumline.counters import Counters
 from plumline.wire import mesh as mesh_module
-from plumline.wire.frames import FrameLink, hello
+from plumline.wire.frame_link import FrameLink
+from plumline.wire.frames import hello
 from plumline.wire.mesh import Mesh
 
 
@@ -47,8 +48,8 @@
     return mesh
 
 
-@patch.object(mesh_module, "HELLO_S", 0.05)
-@patch.object(mesh_module, "AGAIN_S", 0.01)
+@patch.object(mesh_module, "HELLO_TIMEOUT_S", 0.05)
+@patch.object(mesh_module, "RECONNECT_BACKOFF_S", 0.01)
 @play
 async def test_a_link_on_which_no_hello_comes_is_opened_anew(_: Path) -> None:
     """As where a cut began between the connection and the hello: it may be held up for long after the cut."""
@@ -66,7 +67,7 @@
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     up: asyncio.Future[str] = loop.create_future()
     mesh = mesh_of(up)
-    mesh.want({address})
+    mesh.set_peers({address})
     assert await soon(up) == address
     assert len(silent) == 2
     mesh.close()
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -10,7 +10,7 @@
 from plumline.coordination.soft_state import SoftState
 from plumline.registrar import publish_buffer
 from plumline.registrar.publisher import FeedPublisher
-from plumline.wire.frames import Unpacker
+from plumline.wire.frames import FrameDecoder
 
 
 class FakeChain:
@@ -47,7 +47,7 @@
     def received(self) -> list[list[Any]]:
         """The entries and snapshots that came since the last call."""
         frames, self.frames = self.frames, []
-        messages = [Unpacker().feed(frame)[0] for frame in frames]
+        messages = [FrameDecoder().feed(frame)[0] for frame in frames]
         return [message for message in messages if message[0] in ("entry", "state")]
 
 
@@ -256,5 +256,7 @@
 
 def topics_in(link: FakeLink) -> list[str]:
     """The names of the topics that were sent."""
-    messages = [Unpacker().feed(each)[0] if each[0] == 0 else ormsgpack.unpackb(each) for each in link.frames]
+    messages = [
+        FrameDecoder().feed(each)[0] if each[0] == 0 else ormsgpack.unpackb(each) for each in link.frames
+    ]
     return [message[1] for message in messages if message[0] == "topic"]
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -14,7 +14,8 @@
 from plumline.router.subscriber import FeedSubscriber
 from plumline.routing.fleet import Fleet
 from plumline.settings import Settings
-from plumline.wire.frames import PIECE_BYTES, FrameLink, Outgoing, framed, hello
+from plumline.wire.frame_link import CHUNK_BYTES, FrameLink, OutgoingFrame
+from plumline.wire.frames import framed, hello
 
 DOCUMENT = {
     "Version": 3,
@@ -257,10 +258,10 @@
     now = feed_subscriber.loop.time()
     later = now + subscriber.SILENCE_TIMEOUT_S + 1
     # The pieces of a state on their way, and no whole message.
-    large = Outgoing(framed(random.Random(1).randbytes(3 * PIECE_BYTES)))
+    large = OutgoingFrame(framed(random.Random(1).randbytes(3 * CHUNK_BYTES)))
     first.links[0].transport.write(large.next_frame())
-    await soon(until(lambda: primary.link.piece_at > 0))
-    primary.link.heard_at = primary.link.piece_at = other.last_message_at = later
+    await soon(until(lambda: primary.link.last_chunk_at > 0))
+    primary.link.last_received_at = primary.link.last_chunk_at = other.last_message_at = later
     feed_subscriber.reconcile_sources(later + 0.1)
     assert feed_subscriber.sources[primary.address] is primary
     assert feed_subscriber.primary is primary
