--- a/plumline/routing/fleet.py
+++ b/plumline/routing/fleet.py
@@ -12,6 +12,8 @@
 
 Address = tuple[str, int]
 
+NO_ROLLOUT = RolloutState(updating=False, models={})  # of an endpoint without a published state
+
 
 @dataclass(slots=True)
 class Endpoint:
@@ -41,7 +43,7 @@
     found: dict[str, Endpoint] = {}
     for each in roster:
         listed = ListedEndpoint.from_wire(each)
-        state = RolloutState.from_wire(marks.get(listed.id, {}))
+        state = RolloutState.from_wire(marks[listed.id]) if listed.id in marks else NO_ROLLOUT
         models = dict(listed.models)
         for model, version in state.models.items():
             models[model] = max(version, models.get(model, 0))
