--- a/tests/test_message_handlers.py
+++ b/tests/test_message_handlers.py
@@ -24,7 +24,7 @@
         self.counters = Counters()
         self.publisher: Any = Mock(subscriber_timeout_s=TIMEOUT_S)
         self.publisher.live_subscribers.return_value = {"own": {}}
-        self.mesh: Any = Mock(me=OWN, links={PEER: Mock()})
+        self.mesh: Any = Mock(local_address=OWN, links={PEER: Mock()})
         self.core: Any = Mock()
         self.core.on_message.return_value = False
         self.forwarder: Any = Mock()
