--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""The first view is formed once, whatever the order of starts, losses and repeats."""
+"""The first view is created once, whatever the order of starts, losses and repeats."""
 
 from itertools import permutations
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("order", list(permutations("abc")))
-def test_three_seeds_form_once_in_any_order(order: tuple[str, ...]) -> None:
+def test_three_seeds_create_one_view_in_any_order(order: tuple[str, ...]) -> None:
     world = World(1, quiet=True, start=False)
     for name in order:
         assert not world.views
@@ -37,7 +37,7 @@
     assert (killed, f"{killed}-2") in world.views[1].acceptors
 
 
-def test_a_majority_of_seeds_forms_nothing() -> None:
+def test_a_majority_of_seeds_creates_no_view() -> None:
     world = World(3, quiet=True, start=False)
     world.start(world.nodes["a"])
     world.start(world.nodes["b"])
@@ -45,7 +45,7 @@
     assert not world.views
 
 
-def test_what_an_earlier_life_of_the_founder_sent_has_no_effect_after_a_new_question() -> None:
+def test_what_an_earlier_life_of_the_founder_sent_has_no_effect_after_a_new_query() -> None:
     world = World(4, quiet=True, start=False)
     b = world.nodes["b"]
     world.start(b)
@@ -63,8 +63,8 @@
     assert world.views == {1: fresh}
 
 
-def test_an_old_question_that_comes_again_late_has_no_effect() -> None:
-    """The founder goes by the answer to its second question; b must not fall back to the first."""
+def test_an_old_query_that_comes_again_late_has_no_effect() -> None:
+    """The founder goes by the answer to its second query; b must not fall back to the first."""
     world = World(4, quiet=True, start=False)
     b = world.nodes["b"]
     world.start(b)
@@ -79,14 +79,14 @@
     assert not world.views
 
 
-def test_a_later_start_with_all_disks_empty_forms_only_after_a_wait() -> None:
+def test_a_later_start_with_all_disks_empty_creates_a_view_only_after_a_wait() -> None:
     world = World(5, quiet=True, first_start=False)
     world.go(LATER_START_WAIT_S)
     assert not world.views
     world.settle(within=LATER_START_WAIT_S)
 
 
-def test_a_later_start_forms_nothing_while_something_is_known_elsewhere() -> None:
+def test_a_later_start_creates_no_view_while_a_configuration_is_known() -> None:
     world = World(6, quiet=True, first_start=False)
     for node in world.nodes.values():
         node.is_configuration_known = True
@@ -94,7 +94,7 @@
     assert not world.views
 
 
-def test_a_wiped_seed_does_not_form_anew() -> None:
+def test_a_wiped_seed_creates_no_second_first_view() -> None:
     world = World(7, quiet=True)
     world.settle()
     world.put(0)
--- a/tests/test_view_explorer.py
+++ b/tests/test_view_explorer.py
@@ -1,5 +1,5 @@
-"""Views alone, without chain or membership: proposals at random, messages that come late, twice or never, and
-restarts, which keep what was synced. One view follows another, whoever learns it."""
+"""The agreement on views alone, without chain or membership: proposals at random, messages that come late,
+twice or never, and restarts, which keep what was synced. One view follows another, whoever learns it."""
 
 import heapq
 from collections.abc import Callable
@@ -30,9 +30,9 @@
         self.life += 1
         self.disk += self.unsynced[: self.world.random.randint(0, len(self.unsynced))]
         self.unsynced = []
-        self.views = self.world.kind(self.me, self, self.world.installed)
+        self.agreement = self.world.kind(self.me, self, self.world.installed)
         for record in self.disk:
-            self.views.restore(record)
+            self.agreement.restore(record)
 
     def send(self, to: str, message: Message) -> None:
         self.world.send(self.me[0], to, message)
@@ -70,7 +70,7 @@
             return
         late = to != sender and self.random.random() < self.late
         delay = self.random.uniform(0.1, 3.0) if late else 0.005
-        self.at(delay, lambda: self.machines[to].views.on_message(sender, message))
+        self.at(delay, lambda: self.machines[to].agreement.on_message(sender, message))
 
     def installed(self, view: View) -> None:
         if self.decided.setdefault(view.number, view) != view:
@@ -84,7 +84,7 @@
             machine.start()
             return
         chain = tuple(self.random.sample(MEMBERS, self.random.randint(1, 3)))
-        views = machine.views
+        views = machine.agreement
         views.next_proposal_at = 0.0
         if views.view and (
             views.proposal is None or self.now - views.proposal.started_at > PROPOSAL_TIMEOUT_S
