--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -1,192 +1,273 @@
-"""One registrar's share of the core: views, formation, chain, contacts and leases stepped together.
+"""The core of a registrar: its part in views, bootstrap, replication, failure detection and leases.
 
-Pure: time and messages in, messages and records out. A registrar process, or a test by hand, drives it.
+`Core` owns one state machine for each of these protocols, hands each message and record to the one that it
+is for, steps them all together, and tells one protocol what it must know of another. It has no sockets,
+clocks or files: a registrar's process drives it, or a test by hand.
 """
 
-import random
 from collections.abc import Callable
-from typing import Any
+from dataclasses import dataclass
+from random import Random
+from typing import Any, Generic, Protocol
 
-from plumline.coordination.ballot import Ballots, Persist, Send, Terms
-from plumline.coordination.chain import Chain
-from plumline.coordination.contacts import SUSPECT_AFTER, Contacts
-from plumline.coordination.effects import Effects, Member, Message, Record
-from plumline.coordination.formation import Formation
-from plumline.coordination.keeper import Duty, Keeper
-from plumline.coordination.view import View, Views
+from plumline.coordination.bootstrap import Bootstrap
+from plumline.coordination.environment import Environment, Member, Message, Record
+from plumline.coordination.failure_detector import (
+    PING_KIND,
+    SUSPECT_TIMEOUT_S,
+    FailureDetector,
+    reported_view_number,
+)
+from plumline.coordination.lease import (
+    LEASE_MESSAGE_KIND,
+    TERM_RECORD_KIND,
+    LeaseDurations,
+    LeaseElection,
+    Persist,
+    Send,
+)
+from plumline.coordination.log import Change
+from plumline.coordination.membership import LocalReplica, MembershipReconciler, PendingHandover
+from plumline.coordination.read_barrier import ViewCheck
+from plumline.coordination.replica_status import LocalStatus
+from plumline.coordination.replica_storage import State
+from plumline.coordination.replication import ChainReplica
+from plumline.coordination.view import View
+from plumline.coordination.view_agreement import ViewAgreement
+from plumline.coordination.view_messages import RECORD_KINDS as VIEW_RECORD_KINDS
 
 
-class Core:
-    """`changed` is told of each new view, `applied(number, change or None)` of each committed entry."""
+@dataclass(frozen=True, slots=True)
+class CoreConfig:
+    """What a core is told at its start, and never changes."""
+
+    local_member: Member
+    seeds: list[str]  # addresses of the registrars that create the first view
+    replicas_needed: int  # of each committed entry: one more than the machines that may be lost
+    first_start: bool  # the system never ran before
+    leases: dict[str, LeaseDurations]  # by name
+
+
+class CoreObserver(Protocol):
+    """What a core reports to its owner, and asks of it."""
+
+    def on_entry_committed(self, index: int, change: Change | None) -> None:
+        """Called for each committed entry in order; without a change where a snapshot replaced the state."""
+
+    def on_view_installed(self, view: View) -> None:
+        """Called for each view that this registrar has learned, once it is on the disk."""
+
+    def is_configuration_known(self) -> bool:
+        """Whether a router has reported a configuration, so that no first view may be created any more."""
+
+
+class Core(Generic[State]):
+    """The protocols of one registrar, stepped together. Times are seconds on the local steady clock."""
 
     def __init__(
         self,
-        me: Member,
-        seeds: list[str],
-        copies: int,
-        first_start: bool,
-        effects: Effects,
-        empty: Any,  # noqa: ANN401
-        load: Callable[[Any], Any],
-        leases: dict[str, Terms],
-        now: float,
-        chance: random.Random,
-        applied: Callable[[int, list[Any] | None], None],
-        changed: Callable[[View], None],
-        known_elsewhere: Callable[[], bool],
+        config: CoreConfig,
+        environment: Environment,
+        initial_state: State,
+        load_state: Callable[[Any], State],
+        observer: CoreObserver,
+        random: Random,
     ) -> None:
-        self.me, self.seeds, self.effects, self.now = me, seeds, effects, now
-        self.changed, self.leases = changed, tuple(leases)
-        self.views = Views(me, effects, self.installed)
-        self.chain = Chain(me, copies, effects, empty, load, applied)
-        self.contacts = Contacts(me, effects)
-        self.keeper = Keeper(me, self.views, self.contacts, chance, copies)
-        self.formation = Formation(me, seeds, first_start, effects, self.views, known_elsewhere)
-        self.ballots = Ballots(me[0], leases, now, chance)
-        self.sick = False
+        """`initial_state`: before the first entry; `load_state` makes one from its wire form. `random`
+        spreads the timing of proposals and candidacies."""
+        member = config.local_member
+        self.local_member, self.seeds, self.environment = member, config.seeds, environment
+        self.disk_unhealthy = False  # set by the owner while the disk takes no writes
+        self._observer, self._lease_names = observer, tuple(config.leases)
+        self._now = 0.0  # of the newest step
+        self.view_agreement = ViewAgreement(member, environment, self._on_view_installed)
+        self.chain = ChainReplica(
+            member,
+            config.replicas_needed,
+            environment,
+            initial_state,
+            load_state,
+            observer.on_entry_committed,
+        )
+        self.failure_detector = FailureDetector(member, environment)
+        self.membership = MembershipReconciler(
+            member, self.view_agreement, self.failure_detector, random, config.replicas_needed
+        )
+        self.bootstrap = Bootstrap(
+            member,
+            config.seeds,
+            config.first_start,
+            environment,
+            self.view_agreement,
+            observer.is_configuration_known,
+        )
+        self.lease_election = LeaseElection(member.address, config.leases, random)
 
     def set_seeds(self, seeds: list[str]) -> None:
-        """The seeds of now: whom to ask. The first view is formed by those of this process's start, or never:
-        machines that were exchanged may all be empty."""
+        """Changes whom to ping. The first view is created by the seeds of this process's start, or never: if
+        machines were replaced, all of the present ones may be empty."""
         self.seeds = seeds
 
-    # Durable state.
+    # Durable state
 
-    def restore(self, records: list[Record]) -> None:
-        """From a file's records, before the first step."""
-        ballots = []
+    def restore(self, now: float, records: list[Record]) -> None:
+        """Replays the durable records, before the first step. May report entries as committed."""
+        self._now = now
+        lease_records = []
         for record in records:
-            if record[0] in ("view", "promise", "accept"):
-                self.views.restore(record)
-            elif record[0] == "ballot":
-                ballots.append(record)
+            if record[0] in VIEW_RECORD_KINDS:
+                self.view_agreement.restore(record)
+            elif record[0] == TERM_RECORD_KIND:
+                lease_records.append(record)
             else:
                 self.chain.restore(record)
-        self.ballots.restore(ballots)
-        if self.views.view is not None:
-            self.installed(self.views.view)
-            self.suspend_grants()
+        self.lease_election.restore(lease_records)
+        if self.view_agreement.view is not None:
+            self._on_view_installed(self.view_agreement.view)
+            self._stop_granting_superseded_leases()
 
     def records(self) -> list[Record]:
-        return [*self.views.records(), *self.chain.records(), *self.ballots.records()]
-
-    # Steps.
+        """The whole durable state: what `restore` needs to come to it."""
+        return [*self.view_agreement.records(), *self.chain.records(), *self.lease_election.records()]
 
-    def installed(self, view: View) -> None:
-        self.chain.install(view)
-        for address, _ in (*view.acceptors, *view.chain):
-            self.contacts.know(self.now, address)
-        voters = [address for address, _ in view.acceptors] if self.me in view.acceptors else []
-        formed_now = view.number == 1 and self.formation.formed
-        self.ballots.set_view(self.now, view.number, voters, formed_now=formed_now)
-        self.changed(view)
+    # Steps
 
     def tick(self, now: float) -> None:
-        self.now = now
+        """Steps all protocols; to be called every few tens of milliseconds."""
+        self._now = now
         for address in self.seeds:
-            self.contacts.know(now, address)
-        self.formation.tick(now)
-        view = self.views.view
-        present = self.chain.position is not None
-        synced = self.chain.synced if present else min(self.chain.synced, self.chain.committed)
-        self.contacts.tick(
-            now,
-            [
-                *(self.me[1], view.number if view else 0, synced),
-                *(self.sick, self.keeper.leaving, self.chain.standing()),
-            ],
-        )
-        self.keeper.tick(now, self.chain.synced, self.chain.committed, self.chain.caught_up)
+            self.failure_detector.add_peer(now, address)
+        self.bootstrap.tick(now)
+        view = self.view_agreement.view
+        self.failure_detector.tick(now, self._local_status(view))
+        replica = LocalReplica(self.chain.synced_index, self.chain.committed_index, self.chain.caught_up)
+        self.membership.reconcile(now, replica)
         self.chain.tick(now)
-        self.ballots.tick(now)
-        self.flush_ballots()
+        self.lease_election.tick(now)
+        self._perform_lease_actions()
         if view is not None:
-            named = {address for address, _ in (*view.acceptors, *view.chain)} | set(self.seeds)
-            self.contacts.forget(now, named)
+            named = {member.address for member in (*view.acceptors, *view.chain)} | set(self.seeds)
+            self.failure_detector.remove_unresponsive_peers(now, named)
+
+    def _local_status(self, view: View | None) -> LocalStatus:
+        synced = self.chain.synced_index
+        if self.chain.role.is_learner():  # what is beyond that may be discarded
+            synced = min(synced, self.chain.committed_index)
+        return LocalStatus(
+            incarnation=self.local_member.incarnation,
+            view_number=view.number if view else 0,
+            last_synced=synced,
+            disk_unhealthy=self.disk_unhealthy,
+            draining=self.membership.draining,
+            status=self.chain.status(),
+        )
+
+    def _on_view_installed(self, view: View) -> None:
+        self.chain.install_view(view)
+        for member in (*view.acceptors, *view.chain):
+            self.failure_detector.add_peer(self._now, member.address)
+        voters: list[str] = []
+        if self.local_member in view.acceptors:
+            voters = [member.address for member in view.acceptors]
+        created_now = view.number == 1 and self.bootstrap.took_part
+        self.lease_election.set_view(self._now, view.number, voters, formed_now=created_now)
+        self._observer.on_view_installed(view)
 
     def on_message(self, now: float, sender: str, message: Message) -> bool:
-        """False if nobody here knows the kind of message."""
-        self.now = now
-        if self.contacts.on_message(now, sender, message):
-            if message[0] == "ping":
-                self.views.heard_number(sender, message[3])
-            return True
-        if message[0] == "view-check":
-            _, nonce, number = message
-            if self.views.is_present(number) and self.views.may_accept():
-                self.effects.send(sender, ["view-checked", nonce, number])
+        """Hands the message to its protocol; whether there is one for its kind."""
+        self._now = now
+        if self.failure_detector.on_message(now, sender, message):
+            if message[0] == PING_KIND:
+                self.view_agreement.on_peer_view_number(sender, reported_view_number(message))
             return True
-        if self.views.on_message(sender, message):
-            self.suspend_grants()
+        if message[0] == ViewCheck.KIND:
+            self._on_view_check(sender, message)
             return True
-        if self.chain.on_message(sender, message):
+        if self.view_agreement.on_message(sender, message):
+            self._stop_granting_superseded_leases()
             return True
-        if self.formation.on_message(sender, message):
+        if self.chain.on_message(sender, message) or self.bootstrap.on_message(sender, message):
             return True
-        if message[0] == "ballot":
-            self.ballots.on_message(now, sender, message[1:])
-            self.flush_ballots()
+        if message[0] == LEASE_MESSAGE_KIND:
+            self.lease_election.on_message(now, sender, message[1:])
+            self._perform_lease_actions()
             return True
         return False
 
-    def suspend_grants(self) -> None:
-        """Whoever has accepted the next view votes for no lease in the present one."""
-        if self.views.view is not None and self.views.accepted is not None:
-            self.ballots.suspend_grants(self.views.view.number)
+    def _on_view_check(self, sender: str, message: Message) -> None:
+        """The read barrier's question: whether the view of this number is still the newest."""
+        check = ViewCheck.from_wire(message)
+        if self.view_agreement.knows_no_successor(check.view_number) and self.view_agreement.is_acceptor():
+            self.environment.send(sender, check.confirmed().to_wire())
+
+    # Leases
 
-    def flush_ballots(self) -> None:
-        for action in self.ballots.take_actions():
+    def _stop_granting_superseded_leases(self) -> None:
+        """An acceptor that has accepted the next view grants no lease in the present one."""
+        if self.view_agreement.view is not None and self.view_agreement.accepted is not None:
+            self.lease_election.stop_granting(self.view_agreement.view.number)
+
+    def _perform_lease_actions(self) -> None:
+        for action in self.lease_election.take_actions():
             if isinstance(action, Send):
-                self.effects.send(action.to, ["ballot", *action.message])
+                self.environment.send(action.to, [LEASE_MESSAGE_KIND, *action.message])
             else:
-                self.effects.persist(action.record, lambda action=action: self.ballot_synced(action))
+                self.environment.persist(
+                    action.record, lambda action=action: self._on_lease_record_synced(action)
+                )
 
-    def ballot_synced(self, action: Persist) -> None:
-        self.ballots.on_synced(action.record)
+    def _on_lease_record_synced(self, action: Persist) -> None:
+        self.lease_election.on_synced(action.record)
         for to, message in action.send_after:
-            self.effects.send(to, ["ballot", *message])
+            self.environment.send(to, [LEASE_MESSAGE_KIND, *message])
+
+    def campaign(self, now: float, lease: str) -> None:
+        """Makes this registrar a candidate for the lease, until it drains."""
+        self.lease_election.campaign(now, lease)
+        self._perform_lease_actions()
 
-    def wish(self, now: float, lease: str, wanted: bool) -> None:
-        """Whether this registrar stands for the lease; unset, it is given back."""
-        self.ballots.wish(now, lease, wanted)
-        self.flush_ballots()
+    # Shutdown
 
-    def leave(self, now: float) -> None:
-        """Gives all leases back and tells the others to take this registrar out."""
-        self.keeper.leaving = True
-        for lease in self.leases:
-            self.wish(now, lease, False)
+    def begin_draining(self, now: float) -> None:
+        """Releases all leases and asks the others to take this registrar out of the view."""
+        self.membership.draining = True
+        for name in self._lease_names:
+            self.lease_election.release(now, name)
+        self._perform_lease_actions()
 
-    def remaining_duty(self, now: float) -> Duty | None:
+    def pending_handover(self, now: float) -> PendingHandover | None:
         """What must still be handed over before this registrar may end; None: nothing."""
-        if any(self.ballots.holds(lease, now) is not None for lease in self.leases):
-            return Duty.LEASE
-        return self.keeper.remaining_duty(now)
+        if any(self.lease_election.fencing_token(now, name) is not None for name in self._lease_names):
+            return PendingHandover.LEASE
+        return self.membership.pending_handover(now)
 
-    # What others may ask.
+    # What the owner asks
 
-    def fresh(self, now: float) -> bool:
-        """Whether what this registrar has is the newest, as far as a majority in touch shows."""
-        view = self.views.view
-        if view is None or self.chain.position is None:
+    def is_up_to_date(self, now: float) -> bool:
+        """Whether this registrar holds what is committed now, as far as the views show that a majority of the
+        acceptors reports."""
+        view = self.view_agreement.view
+        if view is None or self.chain.role.is_learner():
             return False
-        if not self.contacts.know_views(now, view.acceptors):
+        if not self.failure_detector.has_quorum_of_reported_views(now, view.acceptors):
             return False
-        newer = any(
-            peer.view > view.number and now - peer.echoed < SUSPECT_AFTER
-            for peer in self.contacts.peers.values()
+        newer_view_reported = any(
+            peer.view_number > view.number and now - peer.last_echoed_at < SUSPECT_TIMEOUT_S
+            for peer in self.failure_detector.peers.values()
         )
-        return self.chain.caught_up and not newer
+        return self.chain.caught_up and not newer_view_reported
 
-    def has_majority(self, now: float) -> bool:
+    def has_quorum_contact(self, now: float) -> bool:
         """Whether a majority of the acceptors answered this registrar lately."""
-        view = self.views.view
-        return view is not None and self.contacts.in_touch(now, view.acceptors)
+        view = self.view_agreement.view
+        return view is not None and self.failure_detector.has_quorum_contact(now, view.acceptors)
 
-    def head(self) -> str | None:
-        view = self.views.view
-        return view.chain[0][0] if view and view.chain else None
+    def head_address(self) -> str | None:
+        """Where changes are submitted, as far as known: the address of the chain's first member."""
+        view = self.view_agreement.view
+        return view.chain[0].address if view and view.chain else None
 
-    def tail(self) -> str | None:
-        view = self.views.view
-        return view.chain[-1][0] if view and view.chain else None
+    def tail_address(self) -> str | None:
+        """Where reads are answered, as far as known: the address of the chain's last member."""
+        view = self.view_agreement.view
+        return view.chain[-1].address if view and view.chain else None
--- a/plumline/router/send.py
+++ b/plumline/router/attempt.py
@@ -4,7 +4,7 @@
 
 import h11
 
-from plumline.prompts.index import Placement
+from plumline.prefix_cache.index import Placement
 from plumline.router.progress import COME_BACK, MARGIN, Proof
 from plumline.router.relay import (
     LONGEST_END,
@@ -17,8 +17,8 @@
     is_framed,
     value_of,
 )
+from plumline.router.router_state import address_text
 from plumline.router.selection import Picked, Selection
-from plumline.router.state import address_text
 from plumline.router.upstream import (
     UpstreamConnectError,
     UpstreamConnection,
@@ -26,8 +26,8 @@
     UpstreamUnsentError,
     idle_time,
 )
-from plumline.routing.choice import READ_RATE, Candidate, expected_ms
-from plumline.routing.loads import Load
+from plumline.routing.endpoint_load import Load
+from plumline.routing.endpoint_scoring import READ_RATE, Candidate, expected_ms
 from plumline.routing.outcomes import Call
 
 SHUNNED = 1.0  # s without sends to an endpoint whose weights turned out to be others than known
@@ -204,7 +204,7 @@
                 headers.append((b"expect-version", b"%d" % self.salt.version))
                 store = self.router.store_for(prompt.parts) if prompt.parts else None
                 # A short request's parts are read faster than they wait for the store's link.
-                address = store.store_address if store and prompt.long else None
+                address = store.cache_store_address if store and prompt.long else None
                 if source := self.candidate.source or address:
                     headers.append((b"kv-fetch", address_text(source).encode()))
                 if address and self.worth_saving(address_text(address)):
@@ -378,7 +378,7 @@
         now = self.router.clock()
         excess_ms = (now - self.began) * 1000 - expected_ms(self.candidate)
         self.load.first_piece(now, excess_ms)
-        self.router.shares.ended(self.request.service, excess_ms > self.request.route.aim_ms / 2)
+        self.router.shares.ended(self.request.service, excess_ms > self.request.route.latency_target_ms / 2)
 
     def keep(self, connection: UpstreamConnection, headers: Headers) -> None:
         """Gives the connection back for as long as the answer allows."""
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -12,8 +12,8 @@
 from enum import StrEnum
 from typing import Any
 
-from plumline.coordination.ballot import Terms
-from plumline.coordination.effects import Message
+from plumline.coordination.environment import Message
+from plumline.coordination.lease import LeaseDurations
 from plumline.errors import PlumlineError
 from tests.core_leases import Holder, LeaseObserver
 from tests.core_register import Register, ViolationError
@@ -24,7 +24,7 @@
 LEASE_S = 14.0  # for a lease to be held again: lease, rest, abstention of newcomers, and some rounds
 LEAVE_S = 6.0  # that a leaving process waits at the most
 SICK_AFTER_S = 0.6  # a write not synced for so long makes the machine say that its disk is sick
-LEASES = {"discovery": Terms(1.2, 0.0), "weights": Terms(1.0, 3.4)}
+LEASES = {"discovery": LeaseDurations(1.2, 0.0), "weights": LeaseDurations(1.0, 3.4)}
 FOREVER = float("inf")
 
 
@@ -128,7 +128,7 @@
         )
         self.losses, self.overrun = losses, overrun
         self.leases = LEASES
-        self.observers = [LeaseObserver(name, terms) for name, terms in LEASES.items()]
+        self.observers = [LeaseObserver(name, durations) for name, durations in LEASES.items()]
         self.places = [Place(name) for name in self.nodes]
         self.around = Surroundings()
         self.syncs = self.random.choice([(0.002,), (0.002, 0.01), (0.005, 0.05)])
@@ -154,7 +154,7 @@
     def lost_copies(self) -> int:
         """Whoever is lost or leaves may have been taken out, and have dropped what its successor in the chain
         then commits, in the view before."""
-        leaving = [node for node in self.nodes.values() if node.core and node.core.keeper.leaving]
+        leaving = [node for node in self.nodes.values() if node.core and node.core.membership.draining]
         return sum(place.lost_machines(self.now) for place in self.places) + len(leaving)
 
     def is_beyond(self) -> bool:
@@ -202,7 +202,7 @@
 
     def before_tick(self, node: Node) -> None:
         waited = self.now - self.around.unsynced_since.get(node.name, self.now)
-        node.core.sick = bool(node.unsynced) and waited > SICK_AFTER_S
+        node.core.disk_unhealthy = bool(node.unsynced) and waited > SICK_AFTER_S
 
     def arrive(self, sent: float, sender: str, to: str, message: Message) -> None:
         resets = self.around.reset_at
@@ -212,7 +212,7 @@
     def start_core(self, node: Node) -> None:
         super().start_core(node)
         for lease in self.leases:
-            node.core.wish(self.now + node.offset, lease, True)
+            node.core.campaign(self.now + node.offset, lease)
 
     def after(self, node: Node) -> None:
         super().after(node)
@@ -223,9 +223,9 @@
         found = []
         for node in self.nodes.values():
             if node.core and self.now >= node.thaws_at:
-                fence = node.core.ballots.holds(lease, self.now + node.offset)
-                if fence is not None:
-                    found.append((Holder(node.name, node.life), fence))
+                token = node.core.lease_election.fencing_token(self.now + node.offset, lease)
+                if token is not None:
+                    found.append((Holder(node.name, node.life), token))
         return found
 
     # Troubles
@@ -377,14 +377,14 @@
         if node.core is None:
             ended()
             return
-        node.core.leave(self.now + node.offset)
+        node.core.begin_draining(self.now + node.offset)
 
         def look() -> None:
             if node.life != life or node.core is None:  # killed meanwhile
                 ended()
                 return
             thawed = self.now >= node.thaws_at
-            done = thawed and node.core.remaining_duty(self.now + node.offset) is None
+            done = thawed and node.core.pending_handover(self.now + node.offset) is None
             if done or self.now >= deadline:
                 self.counts["handed over" if done else "left without handing over"] += 1
                 self.crash(node, keep=len(node.unsynced))
@@ -473,10 +473,14 @@
                 return
             self.at(0.25, try_again)
             for node in self.nodes.values():
-                if node.core is None or self.now < node.thaws_at or node.core.views.view != self.newest:
+                if (
+                    node.core is None
+                    or self.now < node.thaws_at
+                    or node.core.view_agreement.view != self.newest
+                ):
                     continue
                 if not done and node.core.chain.is_head():
-                    self.submit(node, self.change(len(node.core.chain.newest.ids)), answered)
+                    self.submit(node, self.change(len(node.core.chain.latest_state.ids)), answered)
                 if done and node.core.chain.is_tail():
                     self.read(node, lambda state: answers.append(state) if state is not None else None)
 
@@ -494,7 +498,7 @@
         told = [f"{self.newest}", f"lost: {[each.name for each in self.lost_places()]}"]
         for node in self.nodes.values():
             if core := node.core:
-                view = core.views.view
+                view = core.view_agreement.view
                 told.append(f"{node.me[1]} view {view and view.number} caught up {core.chain.caught_up}")
         return "; ".join(told)
 
@@ -554,7 +558,8 @@
         def whole() -> bool:
             view = self.newest
             chain, acceptors = ({each for each, _ in members} for members in (view.chain, view.acceptors))
-            return chain == names == acceptors
+            voting = min(len(names), 2 * self.losses + 1)
+            return chain == names and acceptors <= names and len(view.acceptors) == voting
 
         if not self.go(CATCH_UP_S, whole):
             raise ViolationError(f"not whole again: {self.state()}")
@@ -567,13 +572,13 @@
         asked = self.random.choice(list(self.nodes.values()))
         if asked.core is None or self.now < asked.thaws_at:
             return
-        to = asked.core.tail() if self.random.random() < 0.4 else asked.core.head()
+        to = asked.core.tail_address() if self.random.random() < 0.4 else asked.core.head_address()
         if not to or self.is_cut(asked.name, to):
             return
-        if to == asked.core.tail() and self.random.random() < 0.5:
+        if to == asked.core.tail_address() and self.random.random() < 0.5:
             self.read(self.nodes[to])
-        elif to == asked.core.head():
-            self.submit(self.nodes[to], self.change(len(asked.core.chain.newest.ids)))
+        elif to == asked.core.head_address():
+            self.submit(self.nodes[to], self.change(len(asked.core.chain.latest_state.ids)))
 
 
 def explore_tolerance(
@@ -592,5 +597,5 @@
             counts += schedule.counts
             counts["schedules"] += 1
             counts["views"] += len(schedule.views)
-            counts["turns"] += sum(each.turns for each in schedule.observers)
+            counts["turns"] += sum(each.holder_changes for each in schedule.observers)
     return counts
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -11,10 +11,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plumline.configuration.document import amended, check, digest, parse, replaced
-from plumline.configuration.history import REMEMBERED, SEGMENT, History
-from plumline.configuration.routes import RouteTable, Tenant
-from plumline.configuration.state import State, StateInvalidError
+from plumline.configuration.amendment import amend_document, replace_document
+from plumline.configuration.document import change_digest, parse_document
+from plumline.configuration.entities import Tenant
+from plumline.configuration.history import MIN_REMEMBERED_CHANGES, SEGMENT_CHANGES, History
+from plumline.configuration.replicated_state import ReplicatedConfiguration, ReplicatedStateInvalidError
+from plumline.configuration.route_table import RouteTable
+from plumline.configuration.validation import validate
 from plumline.errors import ConfigurationInvalidError, UnavailableError, VersionConflictError
 
 Document = dict[str, Any]
@@ -75,15 +78,15 @@
 
 
 @pytest.mark.parametrize("raw", UNREADABLE.values(), ids=UNREADABLE.keys())
-def test_unreadable_bodies_are_refused(raw: bytes) -> None:
+def test_unreadable_bodies_are_rejected(raw: bytes) -> None:
     with pytest.raises(ConfigurationInvalidError):
-        parse(raw)
+        parse_document(raw)
 
 
-def test_parse_gives_back_what_was_sent() -> None:
+def test_parse_returns_the_document_as_sent() -> None:
     sent = document(Deep=json.loads("[" * 60 + "]" * 60))
-    assert parse(json.dumps(sent).encode()) == sent
-    assert parse(json.dumps(sent, ensure_ascii=False).encode()) == sent
+    assert parse_document(json.dumps(sent).encode()) == sent
+    assert parse_document(json.dumps(sent, ensure_ascii=False).encode()) == sent
 
 
 def routes(*items: Document) -> Document:
@@ -148,12 +151,15 @@
 
 
 @pytest.mark.parametrize(("fields", "word"), INVALID.values(), ids=INVALID.keys())
-def test_invalid_documents_are_refused_without_effect(fields: Document, word: str) -> None:
+def test_invalid_documents_are_rejected_without_effect(fields: Document, word: str) -> None:
     body = document(3) | fields
     with pytest.raises(ConfigurationInvalidError) as error:
-        check(body)
+        validate(body)
     assert word in error.value.text and "allowed" in error.value.text
-    for state, based_on in ((State(), 0), (State().apply(["replace", 0, document(1)]), 1)):
+    for state, based_on in (
+        (ReplicatedConfiguration(), 0),
+        (ReplicatedConfiguration().apply(["replace", 0, document(1)]), 1),
+    ):
         before, sent = copy.deepcopy(state), copy.deepcopy(body)
         with pytest.raises(ConfigurationInvalidError):
             state.check(["replace", based_on, body])
@@ -169,8 +175,8 @@
     ],
     ids=[name for name, (fields, _) in INVALID.items() if all(isinstance(v, list) for v in fields.values())],
 )
-def test_invalid_items_are_refused_in_an_amend_as_well(fields: Document, word: str) -> None:
-    state = State().apply(["replace", 0, document(1)])
+def test_invalid_items_are_rejected_in_an_amend_as_well(fields: Document, word: str) -> None:
+    state = ReplicatedConfiguration().apply(["replace", 0, document(1)])
     before = copy.deepcopy(state)
     (section, items), *_ = fields.items()
     names = [item.get("Name") for item in items if isinstance(item, dict)]
@@ -181,50 +187,52 @@
     assert state == before
 
 
-def test_missing_version_is_refused() -> None:
+def test_missing_version_is_rejected() -> None:
     with pytest.raises(ConfigurationInvalidError, match="Version"):
-        check({"Routes": []})
+        validate({"Routes": []})
 
 
-def test_every_fault_is_told_and_no_key() -> None:
+def test_every_fault_is_reported_and_no_api_key() -> None:
     body = document(
         Routes=[route("r1", TimeoutMs=0, PathPrefix="x"), route("r2", Service="s9")],
         Tenants=[{"Name": "t1", "ApiKeys": ["secret"]}, {"Name": "t2", "ApiKeys": ["secret"]}],
     )
     with pytest.raises(ConfigurationInvalidError) as error:
-        check(body)
+        validate(body)
     text = error.value.text
     assert all(word in text for word in ("Routes[r1].TimeoutMs: 0", "PathPrefix: 'x'", "s9", "Tenants[t2]"))
     assert "secret" not in text
 
 
 def test_bare_documents_are_valid() -> None:
-    check({"Version": 1})
+    validate({"Version": 1})
     bare = {"Name": "r", "Host": "h", "PathPrefix": "/", "TimeoutMs": 0.5}
-    check({"Version": 1, "Routes": [bare | {"TrafficSplit": split(0, 2)}], "Services": [{"Name": "s1"}]})
-    check({"Version": 1, "Routes": [bare | {"Service": "s1", "Kind": "later"}], "Services": [{"Name": "s1"}]})
+    validate({"Version": 1, "Routes": [bare | {"TrafficSplit": split(0, 2)}], "Services": [{"Name": "s1"}]})
+    validate(
+        {"Version": 1, "Routes": [bare | {"Service": "s1", "Kind": "later"}], "Services": [{"Name": "s1"}]}
+    )
 
 
 @pytest.mark.parametrize("based_on", [0, 1, 3, -1, True, "2", None])
 def test_a_change_on_another_version_conflicts(based_on: object) -> None:
-    present = document(2)
-    for change in (replaced, amended):
+    current = document(2)
+    for change in (replace_document, amend_document):
         with pytest.raises(VersionConflictError):
-            change(present, based_on, document(5) if change is replaced else {"Version": 5})  # type: ignore[arg-type]
+            change(current, based_on, document(5) if change is replace_document else {"Version": 5})  # type: ignore[arg-type]
 
 
 def test_the_first_configuration() -> None:
     first = document(4)
-    assert replaced(None, 0, first) == first
-    for change, based_on in ((replaced, 1), (amended, 0), (amended, 1)):
+    assert replace_document(None, 0, first) == first
+    for change, based_on in ((replace_document, 1), (amend_document, 0), (amend_document, 1)):
         with pytest.raises(VersionConflictError):
             change(None, based_on, document(4))
 
 
 @pytest.mark.parametrize("version", [1, 2])
-def test_a_version_not_above_the_present_one_is_invalid(version: int) -> None:
+def test_a_version_not_above_the_current_one_is_invalid(version: int) -> None:
     for kind, body in (("replace", document(version)), ("amend", {"Version": version})):
-        state = State().apply(["replace", 0, document(2)])
+        state = ReplicatedConfiguration().apply(["replace", 0, document(2)])
         with pytest.raises(ConfigurationInvalidError, match="Version"):
             state.check([kind, 2, body])
 
@@ -250,8 +258,8 @@
 
 
 @pytest.mark.parametrize("body", AMENDMENTS_INVALID.values(), ids=AMENDMENTS_INVALID.keys())
-def test_invalid_amends_are_refused_without_effect(body: Document) -> None:
-    state = State().apply(["replace", 0, document(2)])
+def test_invalid_amends_are_rejected_without_effect(body: Document) -> None:
+    state = ReplicatedConfiguration().apply(["replace", 0, document(2)])
     before = copy.deepcopy(state)
     with pytest.raises(ConfigurationInvalidError, match="allowed"):
         state.check(["amend", 2, body])
@@ -259,8 +267,8 @@
 
 
 def test_an_amend_replaces_in_place_adds_removes_and_sets() -> None:
-    present = document(2)
-    before = copy.deepcopy(present)
+    current = document(2)
+    before = copy.deepcopy(current)
     body = {
         "Version": 9,
         "Upserts": {"Routes": [route("r3"), route("r1", TimeoutMs=5)], "Later2": [{"Name": "n"}]},
@@ -269,14 +277,14 @@
         "Flag": True,
     }
     sent = copy.deepcopy(body)
-    new = amended(present, 2, body)
-    assert (present, body) == (before, sent)
+    new = amend_document(current, 2, body)
+    assert (current, body) == (before, sent)
     assert new["Routes"] == [route("r1", TimeoutMs=5), route("r2"), route("r3")]
-    assert new["Routes"][1] is present["Routes"][1]
+    assert new["Routes"][1] is current["Routes"][1]
     assert new["Tenants"] == before["Tenants"][1:] and new["Later2"] == [{"Name": "n"}]
     assert (new["Version"], new["Limits"], new["Flag"]) == (9, {"IdleTimeoutMs": 7}, True)
-    assert new["Later"] is present["Later"] and new.keys().isdisjoint({"Upserts", "Removals", "Later3"})
-    check(new)
+    assert new["Later"] is current["Later"] and new.keys().isdisjoint({"Upserts", "Removals", "Later3"})
+    validate(new)
 
 
 names = st.sampled_from([f"r{i}" for i in range(8)])
@@ -286,7 +294,7 @@
 
 @given(first=plain, changes=steps)
 def test_amends_agree_with_a_plain_model(first: dict[str, int], changes: list[Any]) -> None:
-    state = State().apply(
+    state = ReplicatedConfiguration().apply(
         ["replace", 0, document(1, Routes=[route(n, TimeoutMs=t) for n, t in first.items()])]
     )
     model = dict(first)
@@ -307,39 +315,39 @@
             model.pop(name, None)
         assert new.configuration is not None
         assert [(r["Name"], r["TimeoutMs"]) for r in new.configuration["Routes"]] == list(model.items())
-        assert new.configuration == amended(state.configuration, version - 1, body)
+        assert new.configuration == amend_document(state.configuration, version - 1, body)
         assert new.check(change) is True and new.apply(change) is new
-        check(new.configuration)
+        validate(new.configuration)
         state = new
 
 
-def shuffled(value: Any, chance: random.Random) -> Any:  # noqa: ANN401
+def shuffled(value: Any, rng: random.Random) -> Any:  # noqa: ANN401
     if isinstance(value, dict):
-        items = [(key, shuffled(each, chance)) for key, each in value.items()]
-        chance.shuffle(items)
+        items = [(key, shuffled(item, rng)) for key, item in value.items()]
+        rng.shuffle(items)
         return dict(items)
-    return [shuffled(each, chance) for each in value] if isinstance(value, list) else value
+    return [shuffled(item, rng) for item in value] if isinstance(value, list) else value
 
 
 @given(st.randoms(use_true_random=False))
-def test_the_digest_ignores_the_order_of_keys_alone(chance: random.Random) -> None:
+def test_the_digest_ignores_the_order_of_keys_alone(rng: random.Random) -> None:
     body = document()
-    assert digest("replace", 0, shuffled(body, chance)) == digest("replace", 0, body)
+    assert change_digest("replace", 0, shuffled(body, rng)) == change_digest("replace", 0, body)
 
 
-def test_the_digest_tells_changes_apart() -> None:
-    marks = [
-        digest(kind, based_on, body)
+def test_different_changes_have_different_digests() -> None:
+    digests = [
+        change_digest(kind, based_on, body)
         for kind in ("replace", "amend")
         for based_on in (0, 1)
         for body in ({"a": 1}, {"a": 1.0}, {"a": True}, {"a": "1"}, {"a": [1]}, {"a": None}, {})
     ]
-    assert len(set(marks)) == len(marks)
+    assert len(set(digests)) == len(digests)
 
 
 def test_two_changes_on_one_version_and_a_repeat() -> None:
     one, two = ["replace", 0, document(3)], ["replace", 0, document(3, Extra=1)]
-    state = State().apply(one)
+    state = ReplicatedConfiguration().apply(one)
     assert state.check(one) is True
     with pytest.raises(VersionConflictError):
         state.check(two)
@@ -349,36 +357,39 @@
     assert later.version == 8 and later.check(one) is True and later.apply(one) is later
 
 
-def test_a_repeat_of_a_change_too_old_to_remember_is_never_refused() -> None:
-    state = State().apply(["replace", 0, {"Version": 1}])
+def test_a_repeat_of_a_change_too_old_to_remember_is_never_rejected() -> None:
+    state = ReplicatedConfiguration().apply(["replace", 0, {"Version": 1}])
     changes = [
-        ["amend", version, {"Version": version + 1}] for version in range(1, REMEMBERED + 2 * SEGMENT + 1)
+        ["amend", version, {"Version": version + 1}]
+        for version in range(1, MIN_REMEMBERED_CHANGES + 2 * SEGMENT_CHANGES + 1)
     ]
     for change in changes:
         state = state.apply(change)
-    assert REMEMBERED <= len(state.history) < REMEMBERED + SEGMENT
-    for change in changes[-REMEMBERED:]:
+    assert MIN_REMEMBERED_CHANGES <= len(state.history) < MIN_REMEMBERED_CHANGES + SEGMENT_CHANGES
+    for change in changes[-MIN_REMEMBERED_CHANGES:]:
         assert state.check(change) is True
         with pytest.raises(VersionConflictError):
             state.check([change[0], change[1], change[2] | {"Limits": {}}])
-    for change in changes[:SEGMENT]:
+    for change in changes[:SEGMENT_CHANGES]:
         with pytest.raises(UnavailableError):
             state.check(change)
 
 
-def test_a_change_on_a_version_that_may_still_come_is_not_refused() -> None:
+def test_a_change_on_a_version_that_may_still_come_is_not_rejected() -> None:
     # A copy of it that arrives after that version would be taken.
     early = ["amend", 5, {"Version": 9}]
-    state = State().apply(["replace", 0, {"Version": 3}])
+    state = ReplicatedConfiguration().apply(["replace", 0, {"Version": 3}])
     with pytest.raises(UnavailableError):
         state.check(early)
     assert state.apply(["amend", 3, {"Version": 5}]).check(early) is False
 
 
-def test_a_repeat_is_known_after_changes_of_the_other_kind() -> None:
+def test_a_repeat_is_recognised_after_changes_of_the_other_kind() -> None:
     replaced_once = ["replace", 0, document(2)]
     amended_once = ["amend", 2, {"Version": 4}]
-    state = State().apply(replaced_once).apply(amended_once).apply(["replace", 4, document(7)])
+    state = (
+        ReplicatedConfiguration().apply(replaced_once).apply(amended_once).apply(["replace", 4, document(7)])
+    )
     assert state.check(replaced_once) is True and state.check(amended_once) is True
     with pytest.raises(VersionConflictError):
         state.check(["replace", 2, {"Version": 4}])  # the same body as another kind of change
@@ -386,16 +397,16 @@
         state.check(["amend", 2, {"Version": 4.0}])
 
 
-def test_named_versions_of_weights() -> None:
-    state = State()
+def test_named_weight_versions() -> None:
+    state = ReplicatedConfiguration()
     change = ["weights", {"Model": "m1", "Version": 3}]
     assert state.check(change) is False
     new = state.apply(change)
-    assert (state.versions, new.versions) == ({}, {"m1": 3})
+    assert (state.weight_versions, new.weight_versions) == ({}, {"m1": 3})
     assert new.check(change) is True and new.apply(change) is new
     late = ["weights", {"Model": "m1", "Version": 2}]
     assert new.check(late) is True and new.apply(late) is new
-    assert new.apply(["weights", {"Model": "m2", "Version": 1}]).versions == {"m1": 3, "m2": 1}
+    assert new.apply(["weights", {"Model": "m2", "Version": 1}]).weight_versions == {"m1": 3, "m2": 1}
 
 
 @pytest.mark.parametrize(
@@ -412,15 +423,15 @@
         {"Model": "m1", "Version": 2**63},
     ],
 )
-def test_invalid_named_versions(named: Document) -> None:
+def test_invalid_named_weight_versions(named: Document) -> None:
     with pytest.raises(ConfigurationInvalidError, match="allowed"):
-        State().apply(["replace", 0, document()]).check(["weights", named])
+        ReplicatedConfiguration().apply(["replace", 0, document()]).check(["weights", named])
 
 
-def test_a_version_of_a_model_that_may_still_be_named_is_not_refused() -> None:
+def test_a_version_of_a_model_that_may_still_be_named_is_not_rejected() -> None:
     # A copy of it that arrives after such a configuration would be taken.
     change = ["weights", {"Model": "later", "Version": 2}]
-    state = State().apply(["replace", 0, document(1)])
+    state = ReplicatedConfiguration().apply(["replace", 0, document(1)])
     with pytest.raises(UnavailableError):
         state.check(change)
     service = {"Name": "more", "Engine": {"Models": [{"Name": "later"}]}}
@@ -428,24 +439,24 @@
     assert state.check(change) is False
 
 
-def test_models_are_free_while_none_is_listed() -> None:
+def test_any_model_is_accepted_while_none_is_listed() -> None:
     change = ["weights", {"Model": "unknown", "Version": 2}]
-    assert State().check(change) is False
-    assert State().apply(["replace", 0, {"Version": 1}]).check(change) is False
+    assert ReplicatedConfiguration().check(change) is False
+    assert ReplicatedConfiguration().apply(["replace", 0, {"Version": 1}]).check(change) is False
 
 
 @pytest.mark.parametrize("change", [[], ["drop"], ["replace", 0], ["replace", 0, []], ["weights", []]])
-def test_unknown_changes_are_refused(change: list[Any]) -> None:
+def test_unknown_changes_are_rejected(change: list[Any]) -> None:
     with pytest.raises(ConfigurationInvalidError):
-        State().check(change)
+        ReplicatedConfiguration().check(change)
 
 
-def test_the_wall_rises_when_a_tenant_leaves_the_shared_pool() -> None:
+def test_the_shared_cache_generation_rises_when_a_tenant_leaves_the_shared_cache() -> None:
     def tenant(name: str, isolated: bool) -> Document:
         return {"Name": name, "Isolated": isolated}
 
-    state = State()
-    walls = []
+    state = ReplicatedConfiguration()
+    generations = []
     for version, listed in enumerate(
         [
             [tenant("a", False), tenant("b", True)],  # new ones, isolated or not: 0
@@ -459,19 +470,23 @@
         ],
         1,
     ):
-        state = State.from_wire(state.to_wire()).apply(
+        state = ReplicatedConfiguration.from_wire(state.to_wire()).apply(
             ["replace", version - 1, {"Version": version, "Tenants": listed}]
         )
-        walls.append(state.wall)
-    assert walls == [0, 0, 1, 1, 1, 2, 2, 2]
+        generations.append(state.shared_cache_generation)
+    assert generations == [0, 0, 1, 1, 1, 2, 2, 2]
 
 
-def test_the_state_survives_the_wire() -> None:
-    state = State().apply(["weights", {"Model": "m1", "Version": 2}]).apply(["replace", 0, document(2)])
+def test_the_state_survives_serialization() -> None:
+    state = (
+        ReplicatedConfiguration()
+        .apply(["weights", {"Model": "m1", "Version": 2}])
+        .apply(["replace", 0, document(2)])
+    )
     state = state.apply(["amend", 2, {"Version": 5, "Removals": {"Tenants": ["t1"]}}])
-    again = State.from_wire(ormsgpack.unpackb(ormsgpack.packb(state.to_wire())))
+    again = ReplicatedConfiguration.from_wire(ormsgpack.unpackb(ormsgpack.packb(state.to_wire())))
     assert again == state and again.history.to_wire() == state.history.to_wire() and again.version == 5
-    assert State.from_wire(State().to_wire()) == State()
+    assert ReplicatedConfiguration.from_wire(ReplicatedConfiguration().to_wire()) == ReplicatedConfiguration()
 
 
 @pytest.mark.parametrize(
@@ -480,39 +495,39 @@
         None,
         [],
         {},
-        State().to_wire() | {"wall": "1"},
-        State().to_wire() | {"taken": []} | {"history": {}},
-        State().to_wire() | {"history": [0, [1], b""]},
-        State().to_wire() | {"history": [0, [1, 2]]},
+        ReplicatedConfiguration().to_wire() | {"wall": "1"},
+        ReplicatedConfiguration().to_wire() | {"taken": []} | {"history": {}},
+        ReplicatedConfiguration().to_wire() | {"history": [0, [1], b""]},
+        ReplicatedConfiguration().to_wire() | {"history": [0, [1, 2]]},
     ],
 )
-def test_what_is_no_state_is_refused(wire: object) -> None:
-    with pytest.raises(StateInvalidError):
-        State.from_wire(wire)
+def test_malformed_states_are_rejected(wire: object) -> None:
+    with pytest.raises(ReplicatedStateInvalidError):
+        ReplicatedConfiguration.from_wire(wire)
 
 
-def test_who_only_follows_gets_no_history_and_refuses_nothing_by_it() -> None:
+def test_a_subscriber_gets_no_history_and_rejects_nothing_by_it() -> None:
     first, second = ["replace", 0, document(2)], ["amend", 2, {"Version": 5}]
-    state = State().apply(first)
-    follower = State.from_wire(state.to_wire(history=False))
+    state = ReplicatedConfiguration().apply(first)
+    follower = ReplicatedConfiguration.from_wire(state.to_wire(history=False))
     assert len(follower.history) == 0
     assert follower.apply(second).configuration == state.apply(second).configuration
     with pytest.raises(UnavailableError):
         follower.check(first)
 
 
-def test_a_state_of_an_earlier_release_keeps_its_repeats() -> None:
+def test_a_state_of_an_earlier_release_recognises_its_repeats() -> None:
     changes = [["replace", 0, document(2)], ["amend", 2, {"Version": 5}], ["amend", 5, {"Version": 6}]]
-    state = State()
+    state = ReplicatedConfiguration()
     for change in changes:
         state = state.apply(change)
-    taken = {digest(*change): change[2]["Version"] for change in changes}
+    taken = {change_digest(*change): change[2]["Version"] for change in changes}
     old = {key: value for key, value in state.to_wire().items() if key != "history"} | {"taken": taken}
-    again = State.from_wire(old)
+    again = ReplicatedConfiguration.from_wire(old)
     assert again.check(changes[1]) is True and again.check(changes[2]) is True
     with pytest.raises(UnavailableError):  # what the oldest was based on isn't known
         again.check(changes[0])
-    assert State.from_wire(old | {"taken": {}}).history == History()
+    assert ReplicatedConfiguration.from_wire(old | {"taken": {}}).history == History()
 
 
 segments = st.text("ab", min_size=1, max_size=2)
@@ -526,7 +541,7 @@
     path=st.one_of(prefixes, prefixes.map(lambda p: p[:-1]), st.text("/ab?", max_size=12)),
     query=st.sampled_from(["", "?x=/a/b/"]),
 )
-def test_match_agrees_with_a_search_of_all(places: set[Any], host: str, path: str, query: str) -> None:
+def test_match_agrees_with_a_linear_search(places: set[Any], host: str, path: str, query: str) -> None:
     listed = [route(f"r{i}", Host=h, PathPrefix=p) for i, (h, p) in enumerate(sorted(places))]
     table = RouteTable(document(Routes=listed))
     bare = path.split("?")[0]
@@ -537,7 +552,7 @@
     assert table.match(host.upper() + ":8080", path + query) is found
 
 
-def test_a_route_with_everything_and_one_with_nothing() -> None:
+def test_a_route_with_all_fields_and_one_with_defaults() -> None:
     full = {
         "Name": "r",
         "Host": "H.Example:80",
@@ -558,11 +573,25 @@
     table = RouteTable(document(Routes=[full, bare, route("later", Kind="later")]))
     found = table.match("h.example", "/f/x")
     assert found is not None and found.idempotent and found.public and found.sticky and found.resumable
-    assert (found.host, found.timeout_ms, found.aim_ms, found.priority) == ("h.example", 6000, 600, 0)
-    assert (found.splits, found.attempt_limit, found.gap_aim_ms) == ((("s1", 90), ("s1", 10)), 3, 250)
+    assert (found.host, found.timeout_ms, found.latency_target_ms, found.priority) == (
+        "h.example",
+        6000,
+        600,
+        0,
+    )
+    assert (found.traffic_split, found.attempt_limit, found.gap_target_ms) == (
+        (("s1", 90), ("s1", 10)),
+        3,
+        250,
+    )
     usual = table.match("h", "/")
     assert usual is not None and not (usual.idempotent or usual.public or usual.sticky or usual.resumable)
-    assert (usual.kind, usual.aim_ms, usual.attempt_limit, usual.gap_aim_ms) == ("non_idempotent", 10, 1, 0)
+    assert (usual.kind, usual.latency_target_ms, usual.attempt_limit, usual.gap_target_ms) == (
+        "non_idempotent",
+        10,
+        1,
+        0,
+    )
     later = table.match("a.example", "/later/")
     assert later is not None and later.kind == "non_idempotent"
 
@@ -574,15 +603,15 @@
     assert [each.idempotent for each in table.routes] == [False, False]
 
 
-def test_pick_follows_the_weights() -> None:
+def test_choose_service_follows_the_weights() -> None:
     weights = [{"Service": s, "Weight": w} for s, w in (("x", 0), ("a", 1), ("b", 2), ("a", 1), ("y", 0))]
     services = [{"Name": name} for name in ("x", "a", "b", "y")]
     table = RouteTable({"Version": 1, "Routes": [route(TrafficSplit=weights)], "Services": services})
-    picked = Counter(table.routes[0].pick(random.Random(seed)) for seed in range(4000))
-    assert picked.keys() == {"a", "b"} and abs(picked["a"] - 2000) < 200
+    chosen = Counter(table.routes[0].choose_service(random.Random(seed)) for seed in range(4000))
+    assert chosen.keys() == {"a", "b"} and abs(chosen["a"] - 2000) < 200
 
 
-class Edge(random.Random):
+class FixedRandom(random.Random):
     def __init__(self, value: float) -> None:
         super().__init__()
         self.value = value
@@ -592,15 +621,15 @@
 
 
 @given(st.lists(st.floats(0, 1e9) | st.integers(0, 3), min_size=2, max_size=6).filter(lambda w: sum(w) > 0))
-def test_pick_never_takes_a_weight_of_zero(weights: list[float]) -> None:
+def test_choose_service_never_takes_a_weight_of_zero(weights: list[float]) -> None:
     splits = [{"Service": f"s{i}", "Weight": weight} for i, weight in enumerate(weights)]
     services = [{"Name": f"s{i}"} for i in range(len(weights))]
     found = RouteTable({"Version": 1, "Routes": [route(TrafficSplit=splits)], "Services": services}).routes[0]
     for value in (0.0, 0.5, 1 - 2**-53):
-        assert weights[int(found.pick(Edge(value))[1:])] > 0
+        assert weights[int(found.choose_service(FixedRandom(value))[1:])] > 0
 
 
-def test_tenants_services_stores_and_limits() -> None:
+def test_tenants_services_cache_stores_and_limits() -> None:
     table = RouteTable(document())
     assert table.tenant_of("k2") == Tenant("t1") and table.tenant_of("k3") == Tenant("t2", priority=1)
     assert table.tenant_of("k9") is None and table.has_tenants
@@ -608,12 +637,15 @@
         {"Version": 1, "Tenants": [{"Name": "t", "ApiKeys": ["k"], "Isolated": True}]}
     ).tenant_of("k") == Tenant("t", isolated=True)
     assert (table.services["s1"].slots, table.services["s1"].models) == (12, ("m1",))
-    assert table.services["s1"].store_address is None and list(table.stores) == ["store"]
-    assert (table.stores["store"].store_address, table.stores["store"].store_zone) == (
+    assert table.services["s1"].cache_store_address is None and list(table.cache_stores) == ["store"]
+    assert (
+        table.cache_stores["store"].cache_store_address,
+        table.cache_stores["store"].cache_store_zone,
+    ) == (
         ("172.20.0.2", 8165),
         "z1",
     )
-    assert table.stores["store"].link_mbps == 390000.0
+    assert table.cache_stores["store"].link_speed_mbps == 390000.0
     limits = table.limits
     assert (limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms) == (
         100,
@@ -624,13 +656,13 @@
     assert not RouteTable({"Version": 1}).has_tenants
 
 
-def test_a_new_table_lends_what_stays_from_the_one_before() -> None:
-    present = document(1)
-    table = RouteTable(present)
+def test_a_new_table_reuses_unchanged_routes() -> None:
+    current = document(1)
+    table = RouteTable(current)
     new = RouteTable(
-        amended(present, 1, {"Version": 2, "Upserts": {"Routes": [route("r1", TimeoutMs=9)]}}), table
+        amend_document(current, 1, {"Version": 2, "Upserts": {"Routes": [route("r1", TimeoutMs=9)]}}), table
     )
     one, two = new.match("a.example", "/r1/"), new.match("a.example", "/r2/")
     assert one is not None and one.timeout_ms == 9 and two is table.match("a.example", "/r2/")
-    gone = RouteTable(amended(present, 1, {"Version": 2, "Removals": {"Routes": ["r2"]}}), table)
+    gone = RouteTable(amend_document(current, 1, {"Version": 2, "Removals": {"Routes": ["r2"]}}), table)
     assert gone.match("a.example", "/r2/") is None
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -12,17 +12,18 @@
 
 import pytest
 
-from plumline.configuration.history import History, Match
-from plumline.configuration.state import State
-from plumline.coordination.chain import Answer, Chain
+from plumline.configuration.history import History, HistoryMatch
+from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.coordination.core import Core
+from plumline.coordination.pending_replies import SubmitCallback
+from plumline.coordination.replication import ChainReplica
 from plumline.errors import (
     ConfigurationInvalidError,
     PlumlineError,
     UnavailableError,
     VersionConflictError,
 )
-from plumline.registrar import relay as relay_module
+from plumline.registrar import forwarding
 from tests.control_world import ControlWorld, explore_control, short_memory
 from tests.core_register import ViolationError
 
@@ -72,35 +73,35 @@
 # Guards taken out.
 
 
-class RefusesAtOnce(Chain):
+class RefusesAtOnce(ChainReplica):
     """Does not wait until what a refusal rests on is committed."""
 
-    def submit(self, change: list[Any], answer: Answer) -> None:
+    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         if self.is_head() and self.can_commit():
             try:
-                self.newest.check(change)
+                self.latest_state.check(change)
             except PlumlineError as error:
                 answer(error)
                 return
         super().submit(change, answer)
 
 
-class ReadsWithoutAsking(Chain):
+class ReadsWithoutAsking(ChainReplica):
     def read(self, answer: Callable[[Any], None]) -> None:
         answer(self.state if self.is_tail() and self.caught_up else None)
 
 
-class AcknowledgesBeforeCommit(Chain):
-    def submit(self, change: list[Any], answer: Answer) -> None:
+class AcknowledgesBeforeCommit(ChainReplica):
+    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         super().submit(change, lambda error: None)
-        if self.is_head() and self.can_commit() and self.newest is not self.state:
+        if self.is_head() and self.can_commit() and self.latest_state is not self.state:
             answer(None)
 
 
-class AcknowledgesAnUncommittedRepeat(Chain):
-    def submit(self, change: list[Any], answer: Answer) -> None:
+class AcknowledgesAnUncommittedRepeat(ChainReplica):
+    def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         try:
-            known = self.is_head() and self.can_commit() and self.newest.check(change)
+            known = self.is_head() and self.can_commit() and self.latest_state.check(change)
         except PlumlineError:
             known = False
         if known:
@@ -116,38 +117,46 @@
     return {"mutate": mutate}
 
 
-def refuses_what_may_come(state: State, kind: str, based_on: Any, body: Any) -> bool:  # noqa: ANN401
+def refuses_what_may_come(state: ReplicatedConfiguration, kind: str, based_on: Any, body: Any) -> bool:  # noqa: ANN401
     if based_on > state.version:
         raise VersionConflictError("not in place")
-    return WAS_TAKEN(state, kind, based_on, body)
+    return IS_REPEAT(state, kind, based_on, body)
 
 
-def refuses_what_it_forgot(state: State, kind: str, based_on: Any, body: Any) -> bool:  # noqa: ANN401
+def refuses_what_it_forgot(state: ReplicatedConfiguration, kind: str, based_on: Any, body: Any) -> bool:  # noqa: ANN401
     try:
-        return WAS_TAKEN(state, kind, based_on, body)
+        return IS_REPEAT(state, kind, based_on, body)
     except UnavailableError as error:
         if "remembered" in error.text:
             raise VersionConflictError("not remembered") from error
         raise
 
 
-def refuses_unknown_models(state: State, named: dict[str, Any]) -> bool:
+def refuses_unknown_models(state: ReplicatedConfiguration, named: dict[str, Any]) -> bool:
     try:
         return CHECK_WEIGHTS(state, named)
     except UnavailableError as error:
         raise ConfigurationInvalidError(error.text) from error
 
 
-def knows_no_repeat(history: History, base: int, digest: str) -> Match:
-    return Match.OTHER
+def knows_no_repeat(history: History, base: int, digest: str) -> HistoryMatch:
+    return HistoryMatch.DIFFERENT
 
 
-def knows_no_content(history: History, base: int, digest: str) -> Match:
+def knows_no_content(history: History, base: int, digest: str) -> HistoryMatch:
     found = MATCH(history, base, digest)
-    return Match.TAKEN if base < history.horizon or any(base in each for each in history.full) else found
+    return (
+        HistoryMatch.APPLIED
+        if base < history.horizon or any(base in each for each in history.full_segments)
+        else found
+    )
 
 
-WAS_TAKEN, CHECK_WEIGHTS, MATCH = State._was_taken, State._check_weights, History.match
+IS_REPEAT, CHECK_WEIGHTS, MATCH = (
+    ReplicatedConfiguration._is_repeat,
+    ReplicatedConfiguration._check_weights,
+    History.match,
+)
 
 
 def guards() -> Iterator[Any]:
@@ -159,15 +168,19 @@
         (AcknowledgesAnUncommittedRepeat, 0),
     ):
         yield pytest.param({"first": first, **exchange(kind)}, nullcontext(), id=kind.__name__)
-    yield pytest.param({}, patch.object(State, "_was_taken", refuses_what_may_come), id="RefusesWhatMayCome")
+    yield pytest.param(
+        {},
+        patch.object(ReplicatedConfiguration, "_is_repeat", refuses_what_may_come),
+        id="RefusesWhatMayCome",
+    )
     few = {"remembered": FEW, "first": 35}
-    forgot = patch.object(State, "_was_taken", refuses_what_it_forgot)
+    forgot = patch.object(ReplicatedConfiguration, "_is_repeat", refuses_what_it_forgot)
     yield pytest.param(few, forgot, id="RefusesWhatItForgot")
-    unknown = patch.object(State, "_check_weights", refuses_unknown_models)
+    unknown = patch.object(ReplicatedConfiguration, "_check_weights", refuses_unknown_models)
     yield pytest.param({"cuts": True, "seconds": 22.0}, unknown, id="RefusesUnknownModels")
     yield pytest.param({}, patch.object(History, "match", knows_no_repeat), id="KnowsNoRepeat")
     yield pytest.param(few, patch.object(History, "match", knows_no_content), id="TakesAnyBodyForTheRepeat")
-    yield pytest.param({}, patch.object(relay_module, "PATIENCE_S", 3.0), id="WaitsLongerThanItsCallers")
+    yield pytest.param({}, patch.object(forwarding, "FORWARD_TIMEOUT_S", 3.0), id="WaitsLongerThanItsCallers")
 
 
 @pytest.mark.parametrize(("how", "without"), list(guards()))
--- a/tests/test_keeper.py
+++ b/tests/test_membership.py
@@ -1,10 +1,10 @@
-"""The loop that keeps the view what it should be."""
+"""Membership reconciliation: whole cores whose view must follow the machines that are healthy."""
 
 import pytest
 
-from plumline.coordination.ballot import Terms
-from plumline.coordination.contacts import GONE_AFTER, SUSPECT_AFTER
-from plumline.coordination.keeper import Duty
+from plumline.coordination.failure_detector import FORGET_TIMEOUT_S, SUSPECT_TIMEOUT_S
+from plumline.coordination.lease import LeaseDurations
+from plumline.coordination.membership import PendingHandover
 from tests.core_world import World
 
 
@@ -15,17 +15,17 @@
 
 
 @pytest.mark.parametrize("name", "abc")
-def test_a_restart_shorter_than_suspicion_leaves_the_view_alone(name: str) -> None:
+def test_a_restart_shorter_than_the_suspicion_timeout_changes_no_view(name: str) -> None:
     world = formed()
     world.put(0)
     world.crash(world.nodes[name])
-    world.go(SUSPECT_AFTER / 4)
+    world.go(SUSPECT_TIMEOUT_S / 4)
     world.start(world.nodes[name])
     world.go(3.0)
     assert list(world.views) == [1]
 
 
-def test_a_restart_of_all_at_once_leaves_the_view_alone() -> None:
+def test_a_restart_of_all_at_once_changes_no_view() -> None:
     world = formed()
     world.put(0)
     for node in world.nodes.values():
@@ -37,12 +37,12 @@
 
 
 @pytest.mark.parametrize("name", "abc")
-def test_a_silent_member_goes_and_comes_back_as_the_tail(name: str) -> None:
+def test_a_silent_member_is_removed_and_rejoins_as_the_tail(name: str) -> None:
     world = formed()
     world.put(0)
     world.crash(world.nodes[name])
     rest = "".join(sorted(set("abc") - {name}))
-    assert world.go(3 * SUSPECT_AFTER, lambda: world.chain() == rest)
+    assert world.go(3 * SUSPECT_TIMEOUT_S, lambda: world.chain() == rest)
     world.put(1)
     world.start(world.nodes[name])
     world.settle()
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("pair", [("a", "b"), ("b", "a"), ("b", "c"), ("c", "b")])
-def test_a_one_way_cut_between_neighbours_is_mended(pair: tuple[str, str]) -> None:
+def test_a_one_way_partition_between_neighbours_is_repaired(pair: tuple[str, str]) -> None:
     world = formed()
     world.cut.add(pair)
     world.go(8.0)
@@ -60,7 +60,7 @@
     world.settle()
 
 
-def test_a_cut_across_the_chain_harms_nothing() -> None:
+def test_a_partition_between_members_that_are_no_neighbours_changes_no_view() -> None:
     world = formed()
     world.cut |= {("a", "c"), ("c", "a")}
     world.go(8.0)
@@ -68,25 +68,25 @@
     world.put(0)
 
 
-def test_a_member_with_a_sick_disk_is_taken_out_and_comes_back() -> None:
+def test_a_member_with_an_unhealthy_disk_is_removed_and_rejoins() -> None:
     world = formed()
-    world.nodes["b"].core.sick = True
+    world.nodes["b"].core.disk_unhealthy = True
     assert world.go(3.0, lambda: world.chain() == "ac")
     world.put(0)
-    world.nodes["b"].core.sick = False
+    world.nodes["b"].core.disk_unhealthy = False
     world.settle()
     assert world.chain() == "acb"
 
 
 @pytest.mark.parametrize("name", "abc")
-def test_a_member_that_leaves_is_taken_out(name: str) -> None:
+def test_a_draining_member_is_removed(name: str) -> None:
     world = formed()
-    world.nodes[name].core.keeper.leaving = True
+    world.nodes[name].core.membership.draining = True
     world.settle("".join(sorted(set("abc") - {name})), within=3.0)
     world.put(0)
 
 
-def test_seed_turnover_three_machines_replaced_one_after_the_other() -> None:
+def test_three_machines_are_replaced_one_after_the_other() -> None:
     world = World(3, 6, quiet=True, start=False, seeds=3)
     for name in "abc":
         world.start(world.nodes[name])
@@ -101,18 +101,18 @@
         world.start(world.nodes[new])
         world.settle(within=30.0)
         world.go(3.0)
-    world.go(2 * GONE_AFTER)
+    world.go(2 * FORGET_TIMEOUT_S)
     world.put(3)
     assert sorted(address for address, _ in world.newest.acceptors) == ["d", "e", "f"]
     assert all(len(world.ids(name)) == 4 for name in "def")
 
 
-def test_a_machine_away_for_long_is_still_an_acceptor_when_the_next_one_is_lost() -> None:
-    """Two acceptors would bear no loss: the third stays one, however long it is away."""
+def test_a_machine_absent_for_long_is_still_an_acceptor_when_the_next_one_is_lost() -> None:
+    """Two acceptors would tolerate no loss: the third stays one, however long it is absent."""
     world = formed()
     world.put(0)
     world.crash(world.nodes["c"])
-    world.go(3 * GONE_AFTER)
+    world.go(3 * FORGET_TIMEOUT_S)
     world.wipe(world.nodes["a"])
     world.start(world.nodes["c"])
     world.start(world.nodes["a"])
@@ -133,7 +133,7 @@
         world.go(0.05)
         if "c" in world.chain():
             break
-        if world.nodes["c"].core.views.view == world.newest:
+        if world.nodes["c"].core.view_agreement.view == world.newest:
             world.cut = {("b", "c")} if world.now % 1 < 0.5 else set()
     world.cut = {("b", "c"), ("c", "b")}
     world.go(0.5)
@@ -148,8 +148,8 @@
     assert world.ids("a")[:2] == world.ids("c")[:2] == ("c1", "c2")
 
 
-def test_the_chain_is_not_made_shorter_than_it_must_be_to_commit() -> None:
-    """A chain of fewer copies can do nothing, and is lost with its only member."""
+def test_the_chain_is_not_made_too_short_to_commit() -> None:
+    """A chain of fewer replicas can commit nothing, and is lost with its only member."""
     world = formed()
     world.put(0)
     world.crash(world.nodes["c"])
@@ -171,7 +171,7 @@
     return world
 
 
-def local(world: World, name: str) -> float:
+def local_time(world: World, name: str) -> float:
     return world.now + world.nodes[name].offset
 
 
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("gone", "abc")
-def test_a_newcomer_takes_the_seat_of_a_machine_that_is_gone(gone: str) -> None:
+def test_a_new_member_replaces_the_acceptor_that_is_lost(gone: str) -> None:
     world = with_a_spare()
     world.crash(world.nodes[gone])
     rest = "".join(sorted(set("abc") - {gone}))
@@ -192,8 +192,8 @@
 
 
 @pytest.mark.parametrize("second", "abd")
-def test_a_loss_right_after_a_replacement_stops_nothing(second: str) -> None:
-    """Also where it comes in the moment in which the newcomer is taken in."""
+def test_a_loss_right_after_a_replacement_is_tolerated(second: str) -> None:
+    """Also in the moment in which the new member is admitted."""
     world = with_a_spare()
     world.crash(world.nodes["c"])
     world.settle("ab")
@@ -204,7 +204,7 @@
     world.put(1)
 
 
-def test_who_was_frozen_takes_nobody_out_before_echoes_have_come() -> None:
+def test_a_thawed_registrar_removes_nobody_before_echoes_have_come() -> None:
     world = formed()
     world.put(0)
     for node in world.nodes.values():
@@ -213,8 +213,8 @@
     assert list(world.views) == [1]
 
 
-def test_a_chain_is_not_cut_down_to_a_member_that_has_not_been_heard() -> None:
-    """a is gone and nobody has noticed yet: with b out, c would be the only one of two."""
+def test_a_chain_is_not_shortened_to_a_member_that_has_not_answered() -> None:
+    """a is lost and nobody has noticed yet: without b, c would be the only replica of two."""
     world = formed()
     world.put(0)
     for node in world.nodes.values():
@@ -222,34 +222,34 @@
     world.start(world.nodes["b"])
     world.start(world.nodes["c"])
     world.go(0.2)
-    world.nodes["b"].core.leave(local(world, "b"))
+    world.nodes["b"].core.begin_draining(local_time(world, "b"))
     world.go(5.0)
     assert list(world.views) == [1]
-    assert world.nodes["b"].core.remaining_duty(local(world, "b")) is Duty.REPLICA
+    assert world.nodes["b"].core.pending_handover(local_time(world, "b")) is PendingHandover.REPLICA
     world.start(world.nodes["a"])
     world.settle("ac")
 
 
 @pytest.mark.parametrize("name", "abc")
-def test_who_leaves_three_hands_over_soon_and_stays_an_acceptor(name: str) -> None:
+def test_a_draining_member_of_three_hands_over_soon_and_stays_an_acceptor(name: str) -> None:
     world = formed()
     world.put(0)
     core = world.nodes[name].core
-    core.leave(local(world, name))
-    assert core.remaining_duty(local(world, name)) is Duty.REPLICA
-    assert world.go(1.0, lambda: core.remaining_duty(local(world, name)) is None)
+    core.begin_draining(local_time(world, name))
+    assert core.pending_handover(local_time(world, name)) is PendingHandover.REPLICA
+    assert world.go(1.0, lambda: core.pending_handover(local_time(world, name)) is None)
     assert name not in world.chain()
     assert addresses(world.newest.acceptors) == "abc"
 
 
-def test_who_leaves_for_a_successor_is_no_acceptor_when_it_ends() -> None:
-    """Four acceptors, one of them just ended, would not bear the loss of another."""
+def test_a_draining_member_with_a_successor_is_no_acceptor_when_it_ends() -> None:
+    """Four acceptors, one of them just ended, would not tolerate the loss of another."""
     world = with_a_spare()
     world.start(world.nodes["d"])
     world.settle("abcd")
     core = world.nodes["c"].core
-    core.leave(local(world, "c"))
-    assert world.go(2.0, lambda: core.remaining_duty(local(world, "c")) is None)
+    core.begin_draining(local_time(world, "c"))
+    assert world.go(2.0, lambda: core.pending_handover(local_time(world, "c")) is None)
     world.crash(world.nodes["c"])
     assert addresses(world.newest.acceptors) == "abd"
     world.wipe(world.nodes["a"])
@@ -257,49 +257,50 @@
     world.put(1)
 
 
-def test_who_leaves_waits_while_another_is_away() -> None:
+def test_a_draining_member_waits_while_another_is_absent() -> None:
     world = formed()
     world.put(0)
     world.crash(world.nodes["c"])
     world.settle("ab")
     core = world.nodes["a"].core
-    core.leave(local(world, "a"))
+    core.begin_draining(local_time(world, "a"))
     world.go(5.0)
-    assert core.remaining_duty(local(world, "a")) is Duty.REPLICA
+    assert core.pending_handover(local_time(world, "a")) is PendingHandover.REPLICA
     world.start(world.nodes["c"])
-    assert world.go(5.0, lambda: core.remaining_duty(local(world, "a")) is None)
+    assert world.go(5.0, lambda: core.pending_handover(local_time(world, "a")) is None)
     assert world.chain() == "bc"
 
 
-def test_who_leaves_gives_its_leases_back() -> None:
+def test_a_draining_registrar_releases_its_leases() -> None:
     world = World(1, 3, quiet=True, start=False)
-    world.leases = {"weights": Terms(1.0, 3.0)}
+    world.leases = {"weights": LeaseDurations(1.0, 3.0)}
     for node in world.nodes.values():
         world.start(node)
     world.settle()
     for name, node in world.nodes.items():
-        node.core.wish(local(world, name), "weights", True)
+        node.core.campaign(local_time(world, name), "weights")
 
     def holders() -> str:
         held = (
             name
             for name, node in world.nodes.items()
-            if node.core and node.core.ballots.holds("weights", local(world, name)) is not None
+            if node.core
+            and node.core.lease_election.fencing_token(local_time(world, name), "weights") is not None
         )
         return "".join(held)
 
     assert world.go(5.0, lambda: bool(holders()))
     first = holders()
     core = world.nodes[first].core
-    core.leave(local(world, first))
+    core.begin_draining(local_time(world, first))
     assert holders() == ""
-    assert world.go(1.0, lambda: core.remaining_duty(local(world, first)) is None)
+    assert world.go(1.0, lambda: core.pending_handover(local_time(world, first)) is None)
     world.crash(world.nodes[first])
     assert not world.go(1.9, lambda: bool(holders()))  # the rest
     assert world.go(2.0, lambda: bool(holders()))
 
 
-def test_who_reaches_no_majority_of_the_acceptors_proposes_nothing() -> None:
+def test_a_registrar_that_reaches_no_majority_proposes_nothing() -> None:
     world = formed(size=4)
     world.put(0)
     world.spy = True
@@ -309,42 +310,42 @@
     assert not [to for _, who, to, message in world.seen if who == "b" and message[0] == "view-prepare"]
 
 
-def test_who_leaves_is_taken_out_of_more_acceptors_than_enough() -> None:
-    """It was out of the chain before, so only its seat is left to give up."""
+def test_a_draining_member_is_removed_from_more_acceptors_than_needed() -> None:
+    """It was out of the chain before, so only its role as an acceptor is left to hand over."""
     world = formed(size=4)
     world.put(0)
     core = world.nodes["c"].core
-    core.sick = True
+    core.disk_unhealthy = True
     world.settle("abd")
     world.go(0.5)
-    core.leave(local(world, "c"))
-    assert core.remaining_duty(local(world, "c")) is Duty.ACCEPTOR
-    assert world.go(1.0, lambda: core.remaining_duty(local(world, "c")) is None)
+    core.begin_draining(local_time(world, "c"))
+    assert core.pending_handover(local_time(world, "c")) is PendingHandover.ACCEPTOR
+    assert world.go(1.0, lambda: core.pending_handover(local_time(world, "c")) is None)
     assert addresses(world.newest.acceptors) == "abd"
 
 
-def test_a_change_takes_nobody_out_whom_only_its_proposer_cannot_reach() -> None:
+def test_a_view_change_removes_nobody_whom_only_its_proposer_cannot_reach() -> None:
     world = formed(size=4)
     world.put(0)
     world.cut |= {("a", "d"), ("d", "a")}
     world.go(2.0)
-    world.nodes["b"].core.leave(local(world, "b"))
+    world.nodes["b"].core.begin_draining(local_time(world, "b"))
     world.go(2.0)
     assert [addresses(view.chain) for view in world.views.values()] == ["abcd", "acd"]
     assert addresses(world.newest.acceptors) == "acd"
 
 
-def test_who_leaves_waits_until_others_have_told_that_they_hold_all() -> None:
+def test_a_draining_member_waits_until_others_report_to_be_caught_up() -> None:
     world = formed()
     world.put(0)
     core = world.nodes["c"].core
-    core.leave(local(world, "c"))
-    assert world.go(1.0, lambda: core.me not in core.views.view.chain)
-    assert core.remaining_duty(local(world, "c")) is Duty.REPLICA
-    assert world.go(1.0, lambda: core.remaining_duty(local(world, "c")) is None)
+    core.begin_draining(local_time(world, "c"))
+    assert world.go(1.0, lambda: core.local_member not in core.view_agreement.view.chain)
+    assert core.pending_handover(local_time(world, "c")) is PendingHandover.REPLICA
+    assert world.go(1.0, lambda: core.pending_handover(local_time(world, "c")) is None)
 
 
-def test_a_second_loss_right_after_a_replacement_among_five_stops_nothing() -> None:
+def test_a_second_loss_right_after_a_replacement_among_five_is_tolerated() -> None:
     world = World(1, 6, quiet=True, start=False, seeds=5, copies=3)
     for name in "abcde":
         world.start(world.nodes[name])
@@ -362,8 +363,8 @@
     world.put(1)
 
 
-def test_a_disk_lost_just_as_a_replaced_machine_is_killed_stops_nothing() -> None:
-    """The successor has had its time, so one loss is allowed again; the old one had not given up its seat."""
+def test_a_disk_lost_just_as_a_replaced_machine_is_killed_is_tolerated() -> None:
+    """The successor has had its time, so one loss is allowed again; the old machine is still an acceptor."""
     world = with_a_spare()
     world.start(world.nodes["d"])
     world.settle("abcd")
@@ -372,3 +373,57 @@
     world.start(world.nodes["d"])
     assert world.go(7.0, lambda: world.chain() == "bcd")
     world.put(1)
+
+
+def with_a_successor() -> World:
+    """Three formed machines and a fourth, all in the chain; the fourth had no acceptor to replace."""
+    world = with_a_spare()
+    world.start(world.nodes["d"])
+    world.settle("abcd")
+    assert addresses(world.newest.acceptors) == "abc"
+    return world
+
+
+@pytest.mark.parametrize("gone", "abc")
+def test_a_successor_replaces_the_acceptor_that_is_lost(gone: str) -> None:
+    world = with_a_successor()
+    world.crash(world.nodes[gone])
+    rest = "".join(sorted(set("abc") - {gone}))
+    world.settle(rest + "d")
+    assert addresses(world.newest.acceptors) == rest + "d"
+    assert all(len(view.acceptors) == 3 for view in world.views.values())
+    world.put(1)
+
+
+@pytest.mark.parametrize("gone", "abc")
+def test_a_successor_whose_disk_is_lost_as_any_acceptor_is_killed_is_tolerated(gone: str) -> None:
+    world = with_a_successor()
+    world.crash(world.nodes[gone])
+    world.wipe(world.nodes["d"])
+    world.start(world.nodes["d"])
+    rest = "".join(sorted(set("abc") - {gone}))
+    world.settle(rest + "d")
+    world.put(1)
+
+
+def test_a_tail_that_is_no_acceptor_admits_learners() -> None:
+    world = with_a_successor()
+    world.nodes["b"].core.disk_unhealthy = True
+    assert world.go(3.0, lambda: world.chain() == "acd")
+    world.nodes["b"].core.disk_unhealthy = False
+    world.settle("abcd")
+    assert world.chain() == "acdb"
+    assert addresses(world.newest.acceptors) == "abc"
+
+
+def test_a_draining_acceptor_waits_until_a_chain_member_has_replaced_it() -> None:
+    """It was out of the chain before, so only its role as an acceptor is left to hand over."""
+    world = with_a_successor()
+    core = world.nodes["c"].core
+    core.disk_unhealthy = True
+    world.settle("abd")
+    world.go(0.5)
+    core.begin_draining(local_time(world, "c"))
+    assert core.pending_handover(local_time(world, "c")) is PendingHandover.ACCEPTOR
+    assert world.go(1.0, lambda: core.pending_handover(local_time(world, "c")) is None)
+    assert addresses(world.newest.acceptors) == "abd"
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -2,38 +2,54 @@
 
 import asyncio
 from pathlib import Path
+from typing import Any
 from unittest.mock import patch
 
 from peers import play, soon
 
 from plumline.counters import Counters
 from plumline.wire import mesh as mesh_module
-from plumline.wire.frames import FrameLink, hello
+from plumline.wire.frame_link import FrameLink
+from plumline.wire.frames import hello
 from plumline.wire.mesh import Mesh
 
 
+class Peers:
+    """Says when the first link is up; drops messages."""
+
+    def __init__(self, up: "asyncio.Future[str]") -> None:
+        self.up = up
+
+    def on_link_up(self, address: str) -> None:
+        if not self.up.done():
+            self.up.set_result(address)
+
+    def on_message(self, sender: str, message: list[Any]) -> None:
+        pass
+
+
+class Clients:
+    """Drops everything."""
+
+    def on_connected(self, link: FrameLink) -> None:
+        pass
+
+    def on_message(self, link: FrameLink, message: list[Any]) -> None:
+        pass
+
+    def on_disconnected(self, link: FrameLink) -> None:
+        pass
+
+
 def mesh_of(up: "asyncio.Future[str]") -> Mesh:
     """One that wants no links yet; `up` gets the address of the first link that comes up."""
+    mesh = Mesh("127.0.0.1:1", hello("one", "registrar", "127.0.0.1:1", "zone"), Counters())
+    mesh.attach(Peers(up), Clients())
+    return mesh
+
 
-    def linked(address: str) -> None:
-        if not up.done():
-            up.set_result(address)
-
-    greeting = hello("one", "registrar", "127.0.0.1:1", "zone")
-    return Mesh(
-        "127.0.0.1:1",
-        greeting,
-        lambda sender, message: None,
-        linked,
-        lambda link: None,
-        lambda link, message: None,
-        lambda link: None,
-        Counters(),
-    )
-
-
-@patch.object(mesh_module, "HELLO_S", 0.05)
-@patch.object(mesh_module, "AGAIN_S", 0.01)
+@patch.object(mesh_module, "HELLO_TIMEOUT_S", 0.05)
+@patch.object(mesh_module, "RECONNECT_BACKOFF_S", 0.01)
 @play
 async def test_a_link_on_which_no_hello_comes_is_opened_anew(_: Path) -> None:
     """As where a cut began between the connection and the hello: it may be held up for long after the cut."""
@@ -51,7 +67,7 @@
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     up: asyncio.Future[str] = loop.create_future()
     mesh = mesh_of(up)
-    mesh.want({address})
+    mesh.set_peers({address})
     assert await soon(up) == address
     assert len(silent) == 2
     mesh.close()
--- a/tests/test_chain.py
+++ b/tests/test_replication.py
@@ -1,16 +1,17 @@
-"""The chain by hand: what is answered is on every member's disk, and stays."""
+"""Chain replication by hand: what is acknowledged is on every member's disk, and stays."""
 
 from collections.abc import Callable
 from typing import Any
 
 import pytest
 
-from plumline.coordination.chain import Chain
-from plumline.coordination.topics import Topics
-from plumline.coordination.transfer import Piece, Snapshot
+from plumline.coordination.chain_messages import CommittedEntries
+from plumline.coordination.environment import Member
+from plumline.coordination.replication import ChainReplica
+from plumline.coordination.snapshot_transfer import Snapshot, SnapshotChunk
 from plumline.coordination.view import View
 from plumline.errors import UnavailableError, VersionConflictError
-from tests.core_world import NoEffects, Register, World, on_disk, short_logs
+from tests.core_world import NullEnvironment, Register, World, on_disk, short_logs
 
 
 def formed(seed: int = 1, size: int = 3) -> World:
@@ -40,7 +41,7 @@
     assert told == [None]
 
 
-def test_a_chain_of_fewer_copies_acknowledges_nothing() -> None:
+def test_a_chain_with_too_few_replicas_acknowledges_nothing() -> None:
     world = formed()
     for name in "bc":
         world.crash(world.nodes[name])
@@ -51,10 +52,10 @@
     for name in "bc":
         world.start(world.nodes[name])
     world.settle()
-    world.put(len(world.nodes[world.chain()[0]].core.chain.newest.ids))
+    world.put(len(world.nodes[world.chain()[0]].core.chain.latest_state.ids))
 
 
-def test_the_head_is_lost_with_an_entry_that_it_did_not_pass_on() -> None:
+def test_the_head_is_lost_with_an_entry_that_it_did_not_forward() -> None:
     world = formed()
     world.split("a", "bc")
     told = submit(world, "a", world.change(0))
@@ -70,7 +71,7 @@
     assert isinstance(told[0], UnavailableError)
 
 
-def test_a_dropped_entry_stays_dropped_after_a_restart() -> None:
+def test_a_discarded_entry_stays_discarded_after_a_restart() -> None:
     world = formed()
     world.split("a", "bc")
     submit(world, "a", world.change(0))
@@ -85,7 +86,7 @@
 
 
 @pytest.mark.parametrize("name", "bc")
-def test_middle_or_tail_is_lost_with_an_entry_on_its_way(name: str) -> None:
+def test_middle_or_tail_is_lost_with_an_entry_in_flight(name: str) -> None:
     world = formed()
     world.put(0)
     world.crash(world.nodes[name])
@@ -128,7 +129,7 @@
     assert answers in ([], [None])
 
 
-def test_a_tail_that_is_cut_off_may_not_answer_a_read() -> None:
+def test_a_partitioned_tail_may_not_answer_a_read() -> None:
     world = formed()
     world.put(0)
     world.split("ab", "c")
@@ -149,7 +150,7 @@
     assert answers == [Register(("c1",))]
 
 
-def test_a_check_from_an_earlier_life_of_the_tail_counts_for_nothing() -> None:
+def test_a_confirmation_for_an_earlier_process_of_the_tail_is_ignored() -> None:
     world = formed()
     world.spy = True
     world.read(world.nodes["c"])
@@ -220,7 +221,7 @@
     assert {world.ids(name) for name in "abc"} == {("c1",)}
 
 
-def test_a_head_that_was_taken_out_refuses_nothing() -> None:
+def test_a_removed_head_refuses_nothing() -> None:
     """What it would refuse may be in force already, or be the best there is."""
     world = formed()
     world.put(0)
@@ -233,7 +234,7 @@
     assert not any(isinstance(error, VersionConflictError) for error in told)
 
 
-def test_a_whole_state_that_comes_late_takes_nothing_back() -> None:
+def test_a_late_snapshot_reverts_nothing() -> None:
     world = formed()
     for number in range(3):
         world.put(number)
@@ -242,13 +243,13 @@
     submit(world, "a", world.change(3))
     submit(world, "a", world.change(4))
     world.go(0.05)
-    assert b.core.chain.synced == 5
-    assert b.core.chain.committed == 3
-    snapshot = Snapshot.of(4, [*early.ids, "c4"])
-    world.deliver("a", "b", ["chain-piece", 1, *Piece(snapshot.name, 0, snapshot.data).to_wire()])
-    assert b.core.chain.committed == 4
-    assert b.core.chain.last == 5
-    assert b.core.chain.synced == 5
+    assert b.core.chain.synced_index == 5
+    assert b.core.chain.committed_index == 3
+    snapshot = Snapshot.pack(4, [*early.ids, "c4"])
+    world.deliver("a", "b", ["chain-piece", 1, *SnapshotChunk(snapshot.id, 0, snapshot.data).to_wire()])
+    assert b.core.chain.committed_index == 4
+    assert b.core.chain.last_index == 5
+    assert b.core.chain.synced_index == 5
     world.go(0.05)
     assert len(on_disk(b)) == 5
 
@@ -258,14 +259,16 @@
     for number in range(6):
         world.put(number)
     chain = world.nodes["b"].core.chain
-    again = Chain(chain.me, 2, NoEffects(), Register(), Register.load, lambda number, change: None)
+    again = ChainReplica(
+        chain.local_member, 2, NullEnvironment(), Register(), Register.load, lambda number, change: None
+    )
     for record in chain.records():
         again.restore(record)
-    assert (again.state, again.newest, again.last, again.synced) == (
+    assert (again.state, again.latest_state, again.last_index, again.synced_index) == (
         chain.state,
-        chain.newest,
-        chain.last,
-        chain.synced,
+        chain.latest_state,
+        chain.last_index,
+        chain.synced_index,
     )
 
 
@@ -277,22 +280,9 @@
     world.deliver("c", "b", ["chain-entry", 1, 1, change])
     world.deliver("a", "c", ["chain-entry", 1, 1, change])
     world.go(0.1)
-    assert [node.core.chain.last for node in world.nodes.values()] == [0, 0, 0]
+    assert [node.core.chain.last_index for node in world.nodes.values()] == [0, 0, 0]
     world.deliver("a", "b", ["chain-entry", 1, 1, change])
-    assert world.nodes["b"].core.chain.last == 1
-
-
-def test_the_newest_of_a_topic_wins() -> None:
-    topics = Topics()
-    assert topics.offer("roster", (1, 2), ["x"])
-    assert not topics.offer("roster", (1, 2), ["y"])
-    assert not topics.offer("roster", (1, 1), ["y"])
-    assert topics.next_number("roster", 1) == (1, 3)
-    assert topics.next_number("roster", 2) == (2, 1)
-    assert topics.offer("roster", (2, 1), ["y"])
-    assert topics.payload("roster") == ["y"]
-    assert topics.payload("marks") is None
-    assert topics.messages() == [["topic", "roster", [2, 1], ["y"]]]
+    assert world.nodes["b"].core.chain.last_index == 1
 
 
 class Recorder:
@@ -309,25 +299,27 @@
         done()
 
 
-def chain_of(recorder: Recorder) -> Chain:
-    return Chain(("a", "a-1"), 2, recorder, Register(), Register.load, lambda number, change: None)
+def chain_of(recorder: Recorder) -> ChainReplica:
+    return ChainReplica(
+        Member("a", "a-1"), 2, recorder, Register(), Register.load, lambda number, change: None
+    )
 
 
-def test_a_removed_member_keeps_what_may_be_committed_and_drops_it_as_it_joins_again() -> None:
+def test_a_removed_member_keeps_what_may_be_committed_and_discards_it_as_it_joins_again() -> None:
     """Also if it ended before the drop was on its disk, and if its file was rewritten meanwhile."""
-    a, b, c = ("a", "a-1"), ("b", "b-1"), ("c", "c-1")
+    a, b, c = Member("a", "a-1"), Member("b", "b-1"), Member("c", "c-1")
     recorder = Recorder()
     chain = chain_of(recorder)
-    chain.install(View(1, (a, b, c), (a, b)))
+    chain.install_view(View(1, (a, b, c), (a, b)))
     chain.submit(["set", 0, "c1"], lambda error: None)
-    chain.install(View(2, (a, b, c), (b, c)))
-    assert (chain.last, chain.committed) == (1, 0)  # b may commit it yet
+    chain.install_view(View(2, (a, b, c), (b, c)))
+    assert (chain.last_index, chain.committed_index) == (1, 0)  # b may commit it yet
     for records in (list(recorder.records), chain.records()):
         again = chain_of(Recorder())
         for record in records:
             again.restore(record)
-        assert (again.last, again.committed) == (1, 0)
-        again.install(View(3, (a, b, c), (b, a)))
-        assert (again.last, again.committed) == (0, 0)
-    chain.on_lesson(0, None, [[1, ["set", 0, "c2"]]])
+        assert (again.last_index, again.committed_index) == (1, 0)
+        again.install_view(View(3, (a, b, c), (b, a)))
+        assert (again.last_index, again.committed_index) == (0, 0)
+    chain.catch_up.on_entries("b", CommittedEntries(2, False, [[1, ["set", 0, "c2"]]]))
     assert chain.state.ids == ("c2",)
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -8,15 +8,15 @@
 
 import pytest
 
-from plumline.configuration import document as configurations
-from plumline.configuration.routes import RouteTable
-from plumline.counters import Counters
+from plumline.configuration.amendment import amend_document
+from plumline.configuration.route_table import RouteTable
+from plumline.configuration.validation import validate
 from plumline.errors import ConfigurationInvalidError, FrameError
 from plumline.lab import Pace, flood
 from plumline.lab.clients import Tally
 from plumline.lab.engine import Engine, Shape
-from plumline.registrar.feeding import Feed, Follower
-from plumline.routing.shares import CALM, Standing
+from plumline.registrar.publisher import FeedPublisher, Subscriber
+from plumline.routing.reserved_quota import CALM, Standing
 from tests.dispatch_world import FULL, MODEL, Peer, Router, answer, document, made, within
 
 TENANTS = [
@@ -36,31 +36,31 @@
 @pytest.mark.parametrize("share", [-0.1, 1.01, "0.3", True, float("nan")])
 def test_a_share_is_a_number_from_0_to_1(share: object) -> None:
     with pytest.raises(ConfigurationInvalidError, match=r"Tenants\[a\].ReservedShare: .* from 0 to 1"):
-        configurations.check(with_tenants({"Name": "a", "ReservedShare": share}))
+        validate(with_tenants({"Name": "a", "ReservedShare": share}))
 
 
 @pytest.mark.parametrize("share", [0, 1, 0.25, None])
 def test_a_share_may_be_left_out_or_be_null(share: object) -> None:
-    configurations.check(with_tenants({"Name": "a", "ReservedShare": share}, {"Name": "b"}))
+    validate(with_tenants({"Name": "a", "ReservedShare": share}, {"Name": "b"}))
 
 
 def test_shares_add_up_to_the_whole_at_the_most() -> None:
     tenths = [{"Name": str(n), "ReservedShare": 0.1} for n in range(10)]
-    configurations.check(with_tenants(*tenths))
+    validate(with_tenants(*tenths))
     with pytest.raises(ConfigurationInvalidError, match=r"Tenants.ReservedShare: 1.05 is not allowed"):
-        configurations.check(with_tenants(*tenths, {"Name": "a", "ReservedShare": 0.05}))
+        validate(with_tenants(*tenths, {"Name": "a", "ReservedShare": 0.05}))
 
 
 def test_an_amendment_may_not_reserve_more_than_there_is() -> None:
     before = with_tenants({"Name": "a", "ReservedShare": 0.6}, {"Name": "b"})
     change = {"Version": 2, "Upserts": {"Tenants": [{"Name": "b", "ReservedShare": 0.5}]}}
     with pytest.raises(ConfigurationInvalidError, match="add up to 1"):
-        configurations.amended(before, 1, change)
+        amend_document(before, 1, change)
 
 
 def test_the_table_holds_the_shares_by_tenant() -> None:
     table = RouteTable(with_tenants(*TENANTS, {"Name": "c", "ReservedShare": 0}))
-    assert table.reserved == {"library": 0.3}
+    assert table.reserved_shares == {"library": 0.3}
     tenant = table.tenant_of("key-l")
     assert tenant is not None and tenant.reserved_share == 0.3
 
@@ -73,54 +73,54 @@
         self.peer = {"node": node}
 
 
-class Told(Feed):
-    """A feed whose beats a test reads."""
+class RecordingPublisher(FeedPublisher):
+    """A publisher whose heartbeats a test reads."""
 
     def __init__(self) -> None:
-        super().__init__(SimpleNamespace(committed=7), SimpleNamespace(), Counters(), 1.2)  # type: ignore[arg-type]
-        self.told: list[list[Any]] = []
+        super().__init__(SimpleNamespace(committed_index=7), SimpleNamespace(), 1.2)  # type: ignore[arg-type]
+        self.messages: list[list[Any]] = []
 
-    def send_all(self, message: list[Any]) -> None:
-        self.told.append(message)
+    def broadcast(self, message: list[Any]) -> None:
+        self.messages.append(message)
 
     def say(self, node: str, *heartbeat: Any) -> None:  # noqa: ANN401
         link: Any = Link(node)
-        self.followers[link] = Follower(link, node)
-        self.heard(link, ["heartbeat", 3, *heartbeat], 10.0)
+        self.subscribers[link] = Subscriber(link, node)
+        self.on_subscriber_message(link, ["heartbeat", 3, *heartbeat], 10.0)
 
-    def beaten(self) -> Any:  # noqa: ANN401
-        self.beat(True, [], self.alive(10.0))
-        return self.told.pop()
+    def published_heartbeat(self) -> Any:  # noqa: ANN401
+        self.publish_heartbeat(True, [], self.live_subscribers(10.0))
+        return self.messages.pop()
 
 
 def test_beats_carry_the_sum_of_what_all_routers_are_asked_for() -> None:
-    feed = Told()
-    feed.say("a", {"s": [1.0, 2.0, [{"x": 10.0, "y": 1.0}, 0.0, 0]]})
-    feed.say("b", {"s": [0.5, 0.5, [{"x": 5.0}, 2.0, 4]], "t": [1.0, 0.0]})
-    feed.say("c", {"s": [0.5, 0.0]})  # knows of no reserve yet
-    assert feed.beaten() == [
+    publisher = RecordingPublisher()
+    publisher.say("a", {"s": [1.0, 2.0, [{"x": 10.0, "y": 1.0}, 0.0, 0]]})
+    publisher.say("b", {"s": [0.5, 0.5, [{"x": 5.0}, 2.0, 4]], "t": [1.0, 0.0]})
+    publisher.say("c", {"s": [0.5, 0.0]})  # knows of no reserve yet
+    assert publisher.published_heartbeat() == [
         *("beat", True, 7, [], 3),
         {"s": [2.0, 2.5, [{"x": 15.0, "y": 1.0}, 2.0, 4]], "t": [1.0, 0.0]},
     ]
 
 
 def test_beats_are_as_ever_where_nothing_is_reserved() -> None:
-    feed = Told()
-    feed.say("a", {"s": [1.0, 2.0]})
-    assert feed.beaten() == ["beat", True, 7, [], 1, {"s": [1.0, 2.0]}]
+    publisher = RecordingPublisher()
+    publisher.say("a", {"s": [1.0, 2.0]})
+    assert publisher.published_heartbeat() == ["beat", True, 7, [], 1, {"s": [1.0, 2.0]}]
 
 
 @pytest.mark.parametrize("rates", [[1.0], "ab", [1.0, None], [1.0, float("nan")], [1.0, -2.0], [1, 2, [], 4]])
 def test_a_heartbeat_with_malformed_rates_is_no_frame_of_ours(rates: object) -> None:
     with pytest.raises(FrameError):
-        Told().say("a", {"s": rates})
+        RecordingPublisher().say("a", {"s": rates})
 
 
 def test_a_malformed_demand_of_one_router_leaves_the_others_sum() -> None:
-    feed = Told()
-    feed.say("a", {"s": [1.0, 2.0, [{"x": "much"}, 0.0, 0]]})
-    feed.say("b", {"s": [1.0, 2.0, [{"x": 5.0}, 0.0, 0]]})
-    assert feed.beaten()[-1] == {"s": [2.0, 4.0, [{"x": 5.0}, 0.0, 0]]}
+    publisher = RecordingPublisher()
+    publisher.say("a", {"s": [1.0, 2.0, [{"x": "much"}, 0.0, 0]]})
+    publisher.say("b", {"s": [1.0, 2.0, [{"x": 5.0}, 0.0, 0]]})
+    assert publisher.published_heartbeat()[-1] == {"s": [2.0, 4.0, [{"x": 5.0}, 0.0, 0]]}
 
 
 # --- the router
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -6,7 +6,7 @@
 
 from plumline.counters import Counters
 from plumline.errors import SettingsInvalidError
-from plumline.logs import configure, logger, words
+from plumline.logs import configure, event, logger
 from plumline.settings import Bounds, MachineLimits, SettingsFile, from_environment, load
 
 EXAMPLE = """
@@ -99,7 +99,7 @@
     assert found.cloud_duties == ("list",)
 
 
-def test_what_is_left_out_gets_defaults(file: Path) -> None:
+def test_missing_fields_get_defaults(file: Path) -> None:
     file.write_text(LEAST)
     found = load(file)
     assert found.bounds == Bounds() and found.limits == MachineLimits()
@@ -117,7 +117,7 @@
     assert load(file).region == "r"
 
 
-def test_every_fault_is_told_at_once(file: Path) -> None:
+def test_every_fault_is_reported_at_once(file: Path) -> None:
     file.write_text(
         'IpAddress = "10.0.0.256"\nInternalPortRange = [9, 2]\nFirstStart = 1\nSeedAddresses = ["10.0.0.1"]\n'
         "[Bounds]\nContactMs = -1\nFencingChecked = 2\nDrainMs = nan\n[ListenAddresses]\nFrontHttp = 'x:1'\n"
@@ -143,13 +143,13 @@
 
 
 @pytest.mark.parametrize("text", ["NodeName = ", "a = 1\na = 2"])
-def test_no_toml(file: Path, text: str) -> None:
+def test_malformed_toml(file: Path, text: str) -> None:
     file.write_text(text)
     with pytest.raises(SettingsInvalidError, match="TOML"):
         load(file)
 
 
-def test_no_file_and_no_variable(file: Path) -> None:
+def test_missing_file_and_missing_variable(file: Path) -> None:
     with pytest.raises(SettingsInvalidError):
         load(file)
     file.write_bytes(b"\xff")
@@ -163,14 +163,14 @@
     configure("info")
     configure("warning")
     logger("router").info("event=quiet")
-    logger("router").warning(words("started", port=8167, why="a b", empty=""))
+    logger("router").warning(event("started", port=8167, why="a b", empty=""))
     captured = capsys.readouterr()
     assert captured.err == "level=WARNING part=router event=started port=8167 why='a b' empty=''\n"
     assert captured.out == ""
 
 
-def test_a_log_word_stays_on_its_line() -> None:
-    assert words("x", text="a\nb=c") == "event=x text='a\\nb=c'"
+def test_a_log_field_stays_on_its_line() -> None:
+    assert event("x", text="a\nb=c") == "event=x text='a\\nb=c'"
 
 
 def test_counters() -> None:
@@ -179,37 +179,37 @@
     counters.add("a", 5)
     shown = counters.snapshot()
     assert shown == {"a": 5, "b": 1} and counters.get("never") == 0
-    assert counters.lines() == ["counter=a total=5 change=5", "counter=b total=1 change=1"]
+    assert counters.changed_lines() == ["counter=a total=5 change=5", "counter=b total=1 change=1"]
     counters.add("b", 2)
     assert shown["b"] == 1
-    assert counters.lines() == ["counter=b total=3 change=2"]
-    assert counters.lines() == []
+    assert counters.changed_lines() == ["counter=b total=3 change=2"]
+    assert counters.changed_lines() == []
 
 
-def test_a_file_that_was_written_anew_is_read_at_the_next_look(tmp_path: Path) -> None:
+def test_a_rewritten_file_is_read_at_the_next_check(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(LEAST)
     file = SettingsFile(path)
-    assert file.changed(0.0) is None
+    assert file.poll(0.0) is None
     path.write_text(LEAST + 'SeedAddresses = ["10.0.0.9:5"]\n')
-    assert file.changed(SettingsFile.LOOK / 2) is None  # not looked at yet
-    changed = file.changed(SettingsFile.LOOK)
+    assert file.poll(SettingsFile.CHECK_INTERVAL_S / 2) is None  # not checked yet
+    changed = file.poll(SettingsFile.CHECK_INTERVAL_S)
     assert changed is not None and changed.seeds == ["10.0.0.9:1"]
-    assert file.changed(2 * SettingsFile.LOOK) is None
+    assert file.poll(2 * SettingsFile.CHECK_INTERVAL_S) is None
     # After SIGHUP it is read at once, also if nothing shows that it was written.
-    file.hurry()
-    assert file.changed(2 * SettingsFile.LOOK + 0.1) is not None
+    file.request_reload()
+    assert file.poll(2 * SettingsFile.CHECK_INTERVAL_S + 0.1) is not None
 
 
-def test_a_file_that_cannot_be_read_changes_nothing_and_is_tried_again(tmp_path: Path) -> None:
+def test_an_unreadable_file_changes_nothing_and_is_tried_again(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(LEAST)
     file = SettingsFile(path)
     path.write_text("NodeName = ")
-    assert file.changed(10.0) is None
+    assert file.poll(10.0) is None
     path.unlink()
-    assert file.changed(20.0) is None
+    assert file.poll(20.0) is None
     path.write_text(LEAST + 'Zone = "z"\n')
-    changed = file.changed(30.0)
+    changed = file.poll(30.0)
     assert changed is not None and changed.zone == "z"
-    assert SettingsFile(None).changed(1e9) is None
+    assert SettingsFile(None).poll(1e9) is None
--- a/tests/test_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Whole states between registrars: pieces pulled one by one, over links that lose, double and reorder."""
+"""Snapshots between registrars: chunks requested one by one, over links that lose, duplicate and reorder."""
 
 import random
 from collections import Counter
@@ -11,20 +11,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from plumline.coordination import chain as chain_module
-from plumline.coordination import transfer as transfer_module
-from plumline.coordination.log import Log
-from plumline.coordination.transfer import (
-    FIRST_PATIENCE,
-    MOST_PATIENCE,
-    PIECE_BYTES,
-    PINNED_S,
-    Patience,
-    Piece,
+from plumline.coordination import catch_up as catch_up_module
+from plumline.coordination import flow_control as flow_control_module
+from plumline.coordination import replica_storage as storage_module
+from plumline.coordination import snapshot_transfer as transfer_module
+from plumline.coordination.log import ReplicationLog
+from plumline.coordination.retry_timer import INITIAL_TIMEOUT_S, MAX_TIMEOUT_S, RetryTimer
+from plumline.coordination.snapshot_transfer import (
+    CHUNK_BYTES,
+    SNAPSHOT_IDLE_S,
+    ChunkRequest,
     Snapshot,
+    SnapshotChunk,
     SnapshotReceiver,
     SnapshotSender,
-    Wanted,
 )
 from plumline.errors import FrameError, UnavailableError
 from tests.core_schedule import explore
@@ -35,152 +35,152 @@
     return [random.Random(seed).randbytes(size)]
 
 
-def carried(receiver: SnapshotReceiver, sender: SnapshotSender) -> tuple[Any, int]:
-    """The state that comes, and how many pieces were asked for."""
-    for asked in range(1, 10_000):
-        whole = receiver.take(sender.answer(0.0, receiver.wanted()))
-        if whole is not None:
-            return whole.wire(), asked
+def transferred(receiver: SnapshotReceiver, sender: SnapshotSender) -> tuple[Any, int]:
+    """The state that arrives in wire form, and how many chunks were requested."""
+    for requests in range(1, 10_000):
+        complete = receiver.add(sender.chunk_for(0.0, receiver.next_request()))
+        if complete is not None:
+            return complete.unpack(), requests
     raise AssertionError("it never ends")
 
 
-def test_a_state_comes_whole_in_as_many_pieces_as_it_needs() -> None:
-    sender = SnapshotSender(lambda: (7, wire_of(1_000_000)), lambda number: True)
-    wire, asked = carried(SnapshotReceiver(), sender)
+def test_a_snapshot_takes_as_many_chunks_as_its_size_needs() -> None:
+    sender = SnapshotSender(lambda: (7, wire_of(1_000_000)), lambda index: True)
+    wire, requests = transferred(SnapshotReceiver(), sender)
     assert wire == wire_of(1_000_000)
-    assert asked == 1_000_000 // PIECE_BYTES + 1
+    assert requests == 1_000_000 // CHUNK_BYTES + 1
 
 
 @given(st.randoms(use_true_random=False), st.integers(1, 400))
-def test_lost_doubled_and_reordered_pieces_cost_time_only(chance: random.Random, size: int) -> None:
-    with patch.object(transfer_module, "PIECE_BYTES", 16):
+def test_lost_duplicated_and_reordered_chunks_cost_time_only(chance: random.Random, size: int) -> None:
+    with patch.object(transfer_module, "CHUNK_BYTES", 16):
         newest = 7
-        sender = SnapshotSender(lambda: (newest, wire_of(size, newest)), lambda number: number > newest - 4)
+        sender = SnapshotSender(lambda: (newest, wire_of(size, newest)), lambda index: index > newest - 4)
         receiver = SnapshotReceiver()
-        on_the_way: list[Piece] = []
+        in_flight: list[SnapshotChunk] = []
         for step in range(20_000):
             if step % 50 == 49 and newest < 20:
                 newest += 1
-            on_the_way.append(sender.answer(0.0, receiver.wanted()))
+            in_flight.append(sender.chunk_for(0.0, receiver.next_request()))
             if chance.random() < 0.3:
-                on_the_way.append(sender.answer(0.0, receiver.wanted()))
-            chance.shuffle(on_the_way)
+                in_flight.append(sender.chunk_for(0.0, receiver.next_request()))
+            chance.shuffle(in_flight)
             if chance.random() < 0.3:
-                on_the_way.pop()
-            while len(on_the_way) > 3:
-                whole = receiver.take(on_the_way.pop())
-                if whole is not None:
-                    assert whole.wire() == wire_of(size, whole.name.number)
+                in_flight.pop()
+            while len(in_flight) > 3:
+                complete = receiver.add(in_flight.pop())
+                if complete is not None:
+                    assert complete.unpack() == wire_of(size, complete.id.index)
                     return
         raise AssertionError("it never ends")
 
 
-def test_a_transfer_goes_on_with_another_that_has_the_same_state() -> None:
-    first = SnapshotSender(lambda: (7, wire_of(500_000)), lambda number: True)
-    second = SnapshotSender(lambda: (7, wire_of(500_000)), lambda number: True)
+def test_a_transfer_resumes_with_another_sender_of_the_same_snapshot() -> None:
+    first = SnapshotSender(lambda: (7, wire_of(500_000)), lambda index: True)
+    second = SnapshotSender(lambda: (7, wire_of(500_000)), lambda index: True)
     receiver = SnapshotReceiver()
     for _ in range(4):
-        receiver.take(first.answer(0.0, receiver.wanted()))
-    held = receiver.wanted().offset
-    assert held == 4 * PIECE_BYTES
-    assert second.answer(0.0, receiver.wanted()).offset == held
-    assert carried(receiver, second)[1] == 500_000 // PIECE_BYTES + 1 - 4
+        receiver.add(first.chunk_for(0.0, receiver.next_request()))
+    offset = receiver.next_request().offset
+    assert offset == 4 * CHUNK_BYTES
+    assert second.chunk_for(0.0, receiver.next_request()).offset == offset
+    assert transferred(receiver, second)[1] == 500_000 // CHUNK_BYTES + 1 - 4
 
 
-def test_one_snapshot_serves_all_that_ask_and_is_let_go() -> None:
+def test_one_snapshot_serves_all_receivers_and_is_freed_when_idle() -> None:
     made = []
 
     def state() -> tuple[int, Any]:
         made.append(1)
         return 7, wire_of(300_000)
 
-    sender = SnapshotSender(state, lambda number: True)
+    sender = SnapshotSender(state, lambda index: True)
     for _ in range(5):
-        carried(SnapshotReceiver(), sender)
+        transferred(SnapshotReceiver(), sender)
     assert len(made) == 1
-    sender.tick(PINNED_S - 0.1)
-    assert sender.pinned is not None
-    sender.tick(PINNED_S + 0.1)
-    assert sender.pinned is None
+    sender.tick(SNAPSHOT_IDLE_S - 0.1)
+    assert sender.cached is not None
+    sender.tick(SNAPSHOT_IDLE_S + 0.1)
+    assert sender.cached is None
 
 
-def test_a_snapshot_that_no_entries_lead_on_from_is_made_anew() -> None:
-    numbers, kept = iter([7, 30]), {7}
-    sender = SnapshotSender(lambda: (next(numbers), wire_of(100)), lambda number: number in kept)
-    assert sender.answer(0.0, Wanted()).name.number == 7
-    assert sender.answer(0.0, Wanted()).name.number == 7
-    kept.clear()
-    assert sender.answer(0.0, Wanted()).name.number == 30
+def test_a_snapshot_that_the_log_does_not_continue_from_is_replaced() -> None:
+    indices, usable = iter([7, 30]), {7}
+    sender = SnapshotSender(lambda: (next(indices), wire_of(100)), lambda index: index in usable)
+    assert sender.chunk_for(0.0, ChunkRequest()).snapshot.index == 7
+    assert sender.chunk_for(0.0, ChunkRequest()).snapshot.index == 7
+    usable.clear()
+    assert sender.chunk_for(0.0, ChunkRequest()).snapshot.index == 30
 
 
 @pytest.mark.parametrize("wire", [[], [1, "d", 2, 0], [1, "d", 2, 0, "text"], ["1", "d", 2, 0, b""]])
-def test_a_malformed_piece_is_refused(wire: list[Any]) -> None:
+def test_a_malformed_chunk_is_rejected(wire: list[Any]) -> None:
     with pytest.raises(FrameError):
-        Piece.from_wire(wire)
+        SnapshotChunk.from_wire(wire)
 
 
-def test_a_state_that_is_not_what_its_name_says_is_refused() -> None:
-    whole = Snapshot.of(7, wire_of(100))
+def test_a_snapshot_that_does_not_match_its_digest_is_rejected() -> None:
+    snapshot = Snapshot.pack(7, wire_of(100))
     with pytest.raises(FrameError):
-        Snapshot(whole.name, Snapshot.of(7, wire_of(100, seed=2)).data).wire()
-    large = Snapshot.of(7, [bytes(transfer_module.LARGEST_STATE + 1)])
+        Snapshot(snapshot.id, Snapshot.pack(7, wire_of(100, seed=2)).data).unpack()
+    large = Snapshot.pack(7, [bytes(transfer_module.MAX_STATE_BYTES + 1)])
     with pytest.raises(FrameError):
-        large.wire()
+        large.unpack()
 
 
-def test_answers_are_waited_for_longer_where_they_take_long_or_do_not_come() -> None:
-    patience = Patience()
-    assert patience.over(0.0)
-    patience.ask(0.0)
-    assert not patience.over(FIRST_PATIENCE - 0.01)
-    assert patience.over(FIRST_PATIENCE)
+def test_the_timeout_grows_with_slow_and_missing_replies() -> None:
+    timer = RetryTimer()
+    assert timer.may_send(0.0)
+    timer.start(0.0)
+    assert not timer.may_send(INITIAL_TIMEOUT_S - 0.01)
+    assert timer.may_send(INITIAL_TIMEOUT_S)
     now, waits = 0.0, []
     for _ in range(6):
-        patience.ask(now)
-        waits.append(patience.seconds)
-        now += patience.seconds
-    assert waits[-1] == MOST_PATIENCE
+        timer.start(now)
+        waits.append(timer.timeout_s)
+        now += timer.timeout_s
+    assert waits[-1] == MAX_TIMEOUT_S
     assert waits == sorted(waits)
-    patience.answered(now - patience.seconds + 0.5)
-    assert patience.seconds == 4 * 0.5
+    timer.on_reply(now - timer.timeout_s + 0.5)
+    assert timer.timeout_s == 4 * 0.5
 
 
 # The log.
 
 
-def test_a_log_is_bounded_by_bytes_and_keeps_what_is_not_committed() -> None:
-    log = Log()
+def test_the_log_is_bounded_by_bytes_and_keeps_uncommitted_entries() -> None:
+    log = ReplicationLog()
     for number in range(1, 11):
         log.append(number, ["x" * 1000])
     log.trim(8, 512, 3000)
-    assert [each.number for each in log] == [9, 10]
+    assert [entry.index for entry in log] == [9, 10]
     log.trim(10, 1, 1 << 20)
-    assert [each.number for each in log] == [10]
-    assert (log.leads_on(9), log.leads_on(8), log.leads_on(15)) == (True, False, True)
-    log.drop_after(9)
-    assert (len(log), log.size()) == (0, 0)
+    assert [entry.index for entry in log] == [10]
+    assert (log.continues_from(9), log.continues_from(8), log.continues_from(15)) == (True, False, True)
+    log.truncate_after(9)
+    assert (len(log), log.size_bytes()) == (0, 0)
     log.append(10, ["x" * 1000])
-    assert log.size() == len(ormsgpack.packb(["x" * 1000]))
-    assert [each.number for each in log.between(9, 12)] == [10]
+    assert log.size_bytes() == len(ormsgpack.packb(["x" * 1000]))
+    assert [entry.index for entry in log.between(9, 12)] == [10]
 
 
 # In the chain.
 
 
 @pytest.fixture
-def small_pieces() -> Iterator[None]:
+def small_chunks() -> Iterator[None]:
     """So small that every state takes several, as an explored one is only a few names."""
     with (
-        patch.object(transfer_module, "PIECE_BYTES", 12),
-        patch.object(chain_module, "WINDOW_BYTES", 40),
-        patch.object(chain_module, "LESSON_BYTES", 30),
+        patch.object(transfer_module, "CHUNK_BYTES", 12),
+        patch.object(flow_control_module, "WINDOW_BYTES", 40),
+        patch.object(catch_up_module, "CATCH_UP_BATCH_BYTES", 30),
     ):
         yield
 
 
-@pytest.mark.usefixtures("small_pieces")
+@pytest.mark.usefixtures("small_chunks")
 @pytest.mark.parametrize("size", [3, 5])
-def test_explorer_finds_nothing_where_states_go_in_many_pieces(size: int) -> None:
+def test_explorer_finds_nothing_where_snapshots_take_many_chunks(size: int) -> None:
     counts = explore(range(50_000, 50_080), size, seconds=8.0)
     assert counts["acknowledged"] > 160
 
@@ -206,7 +206,7 @@
 
     def delayed(self, sender: str, to: str, message: list[Any]) -> None:
         size = len(ormsgpack.packb(message))
-        if message[0] not in TRANSFER:  # small ones pass between pieces
+        if message[0] not in TRANSFER:  # small ones pass between chunks
             self.send(sender, to, message)
             return
         start = max(self.free_at.get((sender, to), 0.0), self.world.now)
@@ -251,7 +251,7 @@
     answers: list[Any] = []
     world.read(node, answers.append)
     assert answers in ([], [None])
-    assert not core.fresh(world.now + node.offset)
+    assert not core.is_up_to_date(world.now + node.offset)
     told: list[Any] = []
     world.submit(node, world.change(len(core.chain.state.ids)), told.append)
     assert not told or isinstance(told[0], UnavailableError)
@@ -259,10 +259,10 @@
 
 @pytest.mark.parametrize("wiped", [False, True])
 @pytest.mark.parametrize("name", "abc")
-def test_a_member_that_was_away_for_a_thousand_changes_gets_one_state(name: str, wiped: bool) -> None:
+def test_a_member_that_was_away_for_a_thousand_changes_gets_one_snapshot(name: str, wiped: bool) -> None:
     world = without(name, 1000, 200)
     other = world.chain()[0]
-    state = len(Snapshot.of(1, world.nodes[other].core.chain.state.to_wire()).data)
+    state = len(Snapshot.pack(1, world.nodes[other].core.chain.state.to_wire()).data)
     world.spy = True
     if wiped:
         world.wipe(world.nodes[name])
@@ -275,14 +275,14 @@
     world.settle()
     taken = bytes_of(world, *TRANSFER)[name]
     print("bytes", taken, "state", state, "seconds", round(world.now - began, 2))
-    assert taken < 1.1 * state + 2 * chain_module.LESSON_BYTES
+    assert taken < 1.1 * state + 2 * catch_up_module.CATCH_UP_BATCH_BYTES
     assert world.ids(name) == world.ids(other)
 
 
 def test_changes_of_a_megabyte_leave_a_bounded_log_and_come_once() -> None:
     world = without("c", 12, 1_000_000)
     for name in "ab":
-        assert world.nodes[name].core.chain.log.size() <= chain_module.KEPT_BYTES
+        assert world.nodes[name].core.chain.log.size_bytes() <= storage_module.RETAINED_BYTES
     world.spy = True
     world.start(world.nodes["c"])
     world.settle()
@@ -293,14 +293,14 @@
     assert world.ids("c") == world.ids("a")
 
 
-def test_over_a_thin_link_a_state_comes_in_the_time_that_its_bytes_take() -> None:
+def test_over_a_slow_link_a_snapshot_takes_the_time_of_its_bytes() -> None:
     world = without("c", 600, 4_000)
     Thin(world, 625_000)
     world.spy = True
     began = world.now
     world.start(world.nodes["c"])
     world.settle(within=20.0)
-    state = len(Snapshot.of(1, world.nodes["a"].core.chain.state.to_wire()).data)
+    state = len(Snapshot.pack(1, world.nodes["a"].core.chain.state.to_wire()).data)
     taken, took = bytes_of(world, *TRANSFER)["c"], world.now - began
     print("bytes", taken, "state", state, "seconds", round(took, 2))
     assert state > 1_000_000
@@ -308,25 +308,25 @@
     assert took < state / 625_000 + 4.0
 
 
-def test_a_transfer_that_is_cut_off_goes_on_where_it_was() -> None:
+def test_a_partitioned_transfer_resumes_where_it_was() -> None:
     world = without("c", 600, 4_000)
     Thin(world, 625_000)
     world.spy = True
     c = world.nodes["c"]
     world.start(c)
-    assert world.go(10.0, lambda: len(c.core.chain.transfer.receiver.data) > 600_000)
+    assert world.go(10.0, lambda: len(c.core.chain.catch_up.fetch.receiver.data) > 600_000)
     world.split("ab", "c")
     world.go(1.0)
     world.cut = set()
     world.settle(within=20.0)
-    state = len(Snapshot.of(1, world.nodes["a"].core.chain.state.to_wire()).data)
+    state = len(Snapshot.pack(1, world.nodes["a"].core.chain.state.to_wire()).data)
     taken = bytes_of(world, *TRANSFER)["c"]
     print("bytes", taken, "state", state)
     assert taken < 1.3 * state
     assert world.ids("c") == world.ids("a")
 
 
-def test_a_learner_is_taken_in_only_when_little_is_left_over() -> None:
+def test_a_learner_is_admitted_only_when_nearly_caught_up() -> None:
     """Else the chain could commit nothing until a new tail has all that it lacks."""
     world = without("c", 100, 10_000)  # fewer than a learner may lack by count
     Thin(world, 125_000)
@@ -335,11 +335,11 @@
     while "c" not in world.chain():
         world.go(0.01)
     chain = world.nodes["a"].core.chain
-    most = chain.log.bytes_between(world.nodes["c"].core.chain.synced, chain.last)
-    assert most <= chain_module.LESSON_BYTES
+    most = chain.log.bytes_between(world.nodes["c"].core.chain.synced_index, chain.last_index)
+    assert most <= catch_up_module.CATCH_UP_BATCH_BYTES
 
 
-def test_a_successor_that_is_slow_is_sent_no_more_than_its_window() -> None:
+def test_a_slow_successor_is_sent_no_more_than_its_window() -> None:
     world = formed()
     Thin(world, 625_000)
     world.spy = True
@@ -354,18 +354,20 @@
     while len(told) < 40:
         assert world.now < 60.0
         world.go(0.005)
-        sent = head.core.chain.log.bytes_between(head.core.chain.reported, head.core.chain.sent)
+        chain = head.core.chain
+        window = chain.send_window
+        sent = chain.log.bytes_between(window.acknowledged_index, window.sent_index)
         most = max(most, sent)
     assert told == [None] * 40
-    assert chain_module.WINDOW_BYTES // 2 < most <= chain_module.WINDOW_BYTES
+    assert flow_control_module.WINDOW_BYTES // 2 < most <= flow_control_module.WINDOW_BYTES
     for name in "bc":
         sent = bytes_of(world, *TRANSFER)[name]
         assert sent < 1.1 * 40 * 100_000, name  # each entry once
     assert {len(world.ids(name)) for name in "abc"} == {40}
 
 
-@pytest.mark.usefixtures("small_pieces")
-def test_a_successor_far_behind_its_predecessor_pulls_the_state() -> None:
+@pytest.mark.usefixtures("small_chunks")
+def test_a_successor_far_behind_its_predecessor_fetches_a_snapshot() -> None:
     with short_logs():
         world = formed()
         for number in range(4):
--- a/tests/wire_world.py
+++ b/tests/wire_world.py
@@ -13,8 +13,8 @@
 import virtual_net
 from virtual_net import MemoryTransport, VirtualLoop
 
-from plumline.configuration.routes import RouteTable
-from plumline.configuration.state import State
+from plumline.configuration.replicated_state import ReplicatedConfiguration
+from plumline.configuration.route_table import RouteTable
 from plumline.counters import Counters
 from plumline.router.dispatch import Dispatcher
 from plumline.routing.fleet import Fleet
@@ -109,10 +109,10 @@
 
     granted: int = 0
 
-    def request(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         pass
 
-    def may_repeat(self, now: float, service: str, routers: int) -> bool:
+    def try_spend(self, now: float, service: str, routers: int) -> bool:
         self.granted += 1
         return True
 
@@ -599,7 +599,7 @@
     async def run(self, loop: VirtualLoop) -> None:
         self.loop = loop
         fleet = Fleet()
-        fleet.fresh, fleet.state, fleet.table = True, State(), RouteTable(configuration())
+        fleet.fresh, fleet.state, fleet.table = True, ReplicatedConfiguration(), RouteTable(configuration())
         settings = Settings("n", "10.0.0.1", (1, 1), zone="z", bounds=Bounds(), first_start=True)
         roster = []
         for number in range(ENDPOINTS):
