--- a/tests/frozen_sender.py
+++ b/tests/frozen_sender.py
@@ -29,6 +29,8 @@
 FRAME = struct.Struct("!I?")
 HOUR, MINUTE = 3_600_000_000, 100  # us, s
 DEADLINE = 60_000_000  # us: no test takes so long
+LATENCY_TARGET = DEADLINE  # us: a call is overdue, and may be called off, after a quarter of it or more
+ESTABLISHED, CLOSE_WAIT, LISTEN = "01", "08", "0A"  # states in /proc/net/tcp
 RUNNING = re.compile(rb"ready on (\S+):(\d+)")
 
 
@@ -93,9 +95,8 @@
 
     async def start(self) -> None:
         gone = host("127.0.0.1:9", "d", block=9, health="draining")
-        told = config_json(
-            self.platform, host(self.receiver.dial), gone, deadline=DEADLINE, serial_by_key=True
-        )
+        kind = {"aim": LATENCY_TARGET, "deadline": DEADLINE, "serial_by_key": True}
+        told = config_json(self.platform, host(self.receiver.dial), gone, **kind)
         config = self.folder / "config.json"
         config.write_text(json.dumps(told))
         names = {"BALANCER_CONFIG": config, "BALANCER_STATE": self.state}
@@ -124,6 +125,12 @@
     async def next(self) -> Request:
         return await self.receiver.next()
 
+    async def has_read_all(self, clients: int) -> None:
+        """Waits until that many clients are connected and the process has read all that they sent."""
+        settled = [(LISTEN, 0)] + [(ESTABLISHED, 0)] * clients
+        while sorted(client_sockets(self.address), reverse=True) != settled:
+            await asyncio.sleep(0.01)
+
     def journal(self, base: Instant | None = None) -> list[Any]:
         """The lines of the file as they are, with the fields in their order."""
         base = base or now()
@@ -194,6 +201,23 @@
     return message(name, body, **({"X_Time_Left": "60"} | headers))
 
 
+def client_sockets(address: tuple[str, int]) -> list[tuple[str, int]]:
+    """State and bytes not read of each open socket at a server's address; for a listener it is clients not
+    accepted. Those that clients have ended are among them until the process closes them, and so are bytes
+    that a client's system has not delivered."""
+    host, port = address
+    server = f"{int.from_bytes(socket.inet_aton(host), sys.byteorder):08X}:{port:04X}"
+    found = []
+    for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
+        _, local, remote, state, queues, *_ = line.split()
+        undelivered, unread = (int(each, 16) for each in queues.split(":"))
+        if local == server and state in (ESTABLISHED, CLOSE_WAIT, LISTEN):
+            found.append((state, unread))
+        elif remote == server and undelivered:
+            found.append((state, undelivered))
+    return found
+
+
 def send_frame(sock: socket.socket, told: Any, descriptor: int | None) -> None:  # noqa: ANN401
     text = json.dumps(told).encode()
     head = FRAME.pack(len(text), descriptor is not None)
@@ -287,11 +311,13 @@
     await machine.hand_in("full")
     (await machine.next()).answer(429, "Retry-After: 30")
     await machine.hand_in("held", X_Route_To="dest=9", X_Session_Key="k")
-    _, writer = await asyncio.open_connection(*machine.address)
-    writer.write(handed_in("half", b"0123456789")[:-4])
     while len(machine.journal()) < 10:
         await asyncio.sleep(0.02)
-    await asyncio.sleep(0.2)
+    await machine.has_read_all(clients=0)
+    # Last, as a request that has not come in whole after 2.5 s is dropped with its connection.
+    _, writer = await asyncio.open_connection(*machine.address)
+    writer.write(handed_in("half", b"0123456789")[:-4])
+    await machine.has_read_all(clients=1)
     heard = await machine.take_over()
     writer.close()
     out.break_off()
