--- a/tests/test_cache_stores.py
+++ b/tests/test_cache_stores.py
@@ -4,7 +4,7 @@
 from typing import Any, NamedTuple
 
 import pytest
-from hypothesis import given
+from hypothesis import given, settings
 from hypothesis import strategies as st
 from peers import Peer, play, soon
 
@@ -237,6 +237,7 @@
 )
 
 
+@settings(deadline=None)
 @given(ANY_JSON)
 def test_any_json_is_an_answer_or_a_typed_error(value: object) -> None:
     try:
