--- a/tests/frozen_sender.py
+++ b/tests/frozen_sender.py
@@ -30,6 +30,7 @@
 HOUR, MINUTE = 3_600_000_000, 100  # us, s
 DEADLINE = 60_000_000  # us: no test takes so long
 LATENCY_TARGET = DEADLINE  # us: a call is overdue, and may be called off, after a quarter of it or more
+PATIENT = {"connect_timeout": DEADLINE, "conn_idle": DEADLINE}  # us: limits that a busy machine would reach
 ESTABLISHED, CLOSE_WAIT, LISTEN = "01", "08", "0A"  # states in /proc/net/tcp
 RUNNING = re.compile(rb"ready on (\S+):(\d+)")
 
@@ -97,6 +98,7 @@
         gone = host("127.0.0.1:9", "d", block=9, health="draining")
         kind = {"aim": LATENCY_TARGET, "deadline": DEADLINE, "serial_by_key": True}
         told = config_json(self.platform, host(self.receiver.dial), gone, **kind)
+        told["settings"]["limits"] = told["settings"]["limits"] | PATIENT
         config = self.folder / "config.json"
         config.write_text(json.dumps(told))
         names = {"BALANCER_CONFIG": config, "BALANCER_STATE": self.state}
