--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -127,13 +127,13 @@
 
 
 class Steps:
-    """The steady clock, ahead by what a test has added."""
+    """A clock that only a test moves on; it begins at the steady clock's time, which the router began with."""
 
     def __init__(self) -> None:
-        self.ahead = 0.0
+        self.began, self.ahead = time.monotonic(), 0.0
 
     def __call__(self) -> float:
-        return time.monotonic() + self.ahead
+        return self.began + self.ahead
 
 
 async def asked(router: Router, clock: Steps, key: str, tokens: int) -> tuple[int, dict[str, str]]:
