--- a/plumline/wire/frames.py
+++ b/plumline/wire/frames.py
@@ -66,7 +66,7 @@
     try:
         body = expander.decompress(compressed, size)
     except zlib.error as error:
-        raise FrameError(f"a compressed frame that can't be _decompress: {error}") from None
+        raise FrameError(f"a compressed frame that can't be expanded: {error}") from None
     if len(body) != size or expander.unconsumed_tail or expander.unused_data:
         raise FrameError("a compressed frame of another size than it tells")
     return body
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -127,7 +127,7 @@
 
 
 class Steps:
-    """A clock that only a test moves on; it begins at the steady clock's time, which the router began with."""
+    """A clock that only a test moves on; it begins at the time that the router began with."""
 
     def __init__(self) -> None:
         self.began, self.ahead = time.monotonic(), 0.0
