--- a/elmglade/__main__.py
+++ b/message_sender/__main__.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.net.config import Config
-from elmglade.net.control import Control
-from elmglade.net.discovery import Listed
-from elmglade.net.handover import come_into
-from elmglade.net.loop import Loop
-from elmglade.net.sender import AGAIN, Sender
-from elmglade.settings import settings_from
+from message_sender.net.config import Config
+from message_sender.net.control import Control
+from message_sender.net.discovery import Listed
+from message_sender.net.handover import come_into
+from message_sender.net.loop import Loop
+from message_sender.net.sender import AGAIN, Sender
+from message_sender.settings import settings_from
 from plumline.process_signals import block_signals, finish_unless, handle_signals
 from plumline.wire.http import address_from
 
@@ -139,9 +139,9 @@
             log.warning("the process that took over has ended; this one starts again from the journal")
         return code
     except BadConfig as error:
-        print(f"elmglade: configuration: {error}", file=sys.stderr)
+        print(f"message_sender: configuration: {error}", file=sys.stderr)
     except OSError as error:
-        print(f"elmglade: {error}", file=sys.stderr)  # the state folder or the address to listen on
+        print(f"message_sender: {error}", file=sys.stderr)  # the state folder or the address to listen on
     return 1
 
 
--- a/elmglade/adapter.py
+++ b/message_sender/adapter.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable
 from typing import IO, Any
 
-from elmglade import interface as face
-from elmglade.rules import Dispatcher
-from elmglade.settings import settings_from
+from message_sender import interface as face
+from message_sender.rules import Dispatcher
+from message_sender.settings import settings_from
 
 OUTCOMES = {
     "OK": face.Outcome.OK,
@@ -236,7 +236,7 @@
     try:
         Adapter(sys.stdin, sys.stdout).run()
     except (WireError, UnicodeDecodeError) as error:
-        print(f"elmglade: {error}", file=sys.stderr)
+        print(f"message_sender: {error}", file=sys.stderr)
         return 1
     return 0
 
--- a/elmglade/net/client.py
+++ b/message_sender/net/client.py
@@ -10,9 +10,9 @@
 
 import h11
 
-from elmglade.interface import NEVER_RAN, Outcome
-from elmglade.net.message import HandedIn
-from elmglade.net.reuse import Reuse
+from message_sender.interface import NEVER_RAN, Outcome
+from message_sender.net.message import HandedIn
+from message_sender.net.reuse import Reuse
 from plumline.wire.http import (
     BODY_LIMIT,
     BROKEN,
--- a/elmglade/net/config.py
+++ b/message_sender/net/config.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 from typing import ClassVar
 
-from elmglade import interface as face
-from elmglade.net.discovery import Listed
+from message_sender import interface as face
+from message_sender.net.discovery import Listed
 from plumline.wire.http import Address
 
 
--- a/elmglade/net/discovery.py
+++ b/message_sender/net/discovery.py
@@ -10,7 +10,7 @@
 
 import h11
 
-from elmglade import interface as face
+from message_sender import interface as face
 from plumline.wire.http import BROKEN, Address, Connection, address_from
 
 # What discovery holds counts as told 6 s later, and 4 s after SIGHUP, whether it has arrived or not:
--- a/elmglade/net/journal.py
+++ b/message_sender/net/journal.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from elmglade.interface import NEVER_RAN, Outcome
-from elmglade.net.message import HandedIn
+from message_sender.interface import NEVER_RAN, Outcome
+from message_sender.net.message import HandedIn
 
 FILE, COMPACTED = "journal", "journal.new"
 BLOCK = 512  # a file counts in whole blocks
--- a/elmglade/net/sender.py
+++ b/message_sender/net/sender.py
@@ -14,18 +14,18 @@
 from functools import partial
 from typing import Any
 
-from elmglade import interface as face
-from elmglade.interface import Outcome
-from elmglade.net.client import Answer, Client
-from elmglade.net.config import Clock, Config, Descriptors
-from elmglade.net.control import Control
-from elmglade.net.discovery import Discovery
-from elmglade.net.figures import End, Figures
-from elmglade.net.handover import Channel, Door, Estate
-from elmglade.net.journal import Attempt, Entry, Journal
-from elmglade.net.message import HandedIn
-from elmglade.net.server import Connection, Server
-from elmglade.rules import Dispatcher
+from message_sender import interface as face
+from message_sender.interface import Outcome
+from message_sender.net.client import Answer, Client
+from message_sender.net.config import Clock, Config, Descriptors
+from message_sender.net.control import Control
+from message_sender.net.discovery import Discovery
+from message_sender.net.figures import End, Figures
+from message_sender.net.handover import Channel, Door, Estate
+from message_sender.net.journal import Attempt, Entry, Journal
+from message_sender.net.message import HandedIn
+from message_sender.net.server import Connection, Server
+from message_sender.rules import Dispatcher
 
 STOP_LISTENING = 0.6  # s after SIGTERM; the front deals out new connections for up to 0.4 s more
 STOP = 3.3  # s after SIGTERM: the process ends, well before SIGKILL may come at 3.7 s
--- a/elmglade/net/server.py
+++ b/message_sender/net/server.py
@@ -14,9 +14,9 @@
 
 import h11
 
-from elmglade.interface import Effect, MessageClass
-from elmglade.net.loop import polls_of
-from elmglade.net.message import HandedIn
+from message_sender.interface import Effect, MessageClass
+from message_sender.net.loop import polls_of
+from message_sender.net.message import HandedIn
 from plumline.wire.http import BODY_LIMIT, HEADER_LIMIT, READ_SIZE, Address, decimal, header
 
 READY = "/health/ready"
--- a/elmglade/rules.py
+++ b/message_sender/rules.py
@@ -1,4 +1,4 @@
-"""Every decision of a sender. Its types, events and actions are in elmglade/interface.py.
+"""Every decision of a sender. Its types, events and actions are in message_sender/interface.py.
 
 A circuit breaker per destination (per endpoint where routes are apart) decides the ordinary path, see
 plumline/breaker/breaker.py; messages are held while it keeps calls back. The rest guards the six rules or
@@ -13,8 +13,8 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from elmglade import interface as face
-from elmglade.interface import Effect, EndpointState, Listing, Outcome
+from message_sender import interface as face
+from message_sender.interface import Effect, EndpointState, Listing, Outcome
 from plumline.breaker.breaker import (
     ERROR_WEIGHT,
     FAILURE_THRESHOLD,
--- a/elmglade/settings.py
+++ b/message_sender/settings.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from elmglade import interface as face
+from message_sender import interface as face
 
 EFFECTS = {"repeatable": face.Effect.SAFE, "by_key": face.Effect.KEYED, "once": face.Effect.UNSAFE}
 
--- a/tests/frozen_adapter.py
+++ b/tests/frozen_adapter.py
@@ -45,8 +45,8 @@
 from plumline.wire import frames
 
 ROOT = Path(__file__).parent.parent
-PROGRAMS = ("plumline", "elmglade")
-SENDER = "elmglade"  # the package that is run as the sender's program
+PROGRAMS = ("plumline", "message_sender")
+SENDER = "message_sender"  # the package that is run as the sender's program
 
 
 # The command line.
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,7 +1,7 @@
 """Small hand-written worlds for the module's tests."""
 
-from elmglade import Dispatcher
-from elmglade import interface as face
+from message_sender import Dispatcher
+from message_sender import interface as face
 
 MS = 1_000
 SECOND = 1_000_000
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -9,10 +9,10 @@
 
 from helpers import ENV
 
-from elmglade.__main__ import config_from
-from elmglade.net.loop import Loop
-from elmglade.net.message import HandedIn
-from elmglade.net.sender import Sender
+from message_sender.__main__ import config_from
+from message_sender.net.loop import Loop
+from message_sender.net.message import HandedIn
+from message_sender.net.sender import Sender
 from plumline.wire.http import Address
 
 PATIENCE = 20.0  # s; only a failing test waits so long
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -9,7 +9,7 @@
 import pytest
 from helpers import ENV
 
-from elmglade.adapter import Adapter, WireError
+from message_sender.adapter import Adapter, WireError
 
 ROOT = Path(__file__).parent.parent
 START = [
@@ -72,7 +72,7 @@
 def test_same_replies_whatever_the_hash_seed_and_the_process_ends_well() -> None:
     runs = [
         subprocess.run(
-            [sys.executable, "-m", "elmglade.adapter"],
+            [sys.executable, "-m", "message_sender.adapter"],
             input="\n".join(START) + "\n",
             capture_output=True,
             text=True,
@@ -86,6 +86,6 @@
 
 
 def test_malformed_input_ends_the_process_with_one_plain_line() -> None:
-    command = [sys.executable, "-m", "elmglade.adapter"]
+    command = [sys.executable, "-m", "message_sender.adapter"]
     done = subprocess.run(command, input="hello\n", capture_output=True, text=True, cwd=ROOT)
     assert done.returncode != 0 and done.stdout == "" and len(done.stderr.splitlines()) == 1
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("page", PAGES)
 def test_every_file_that_a_page_names_exists(page: str) -> None:
     text = (ROOT / page).read_text()
-    named = re.findall(r"`((?:plumline|elmglade|tests|docs)/[\w./-]*)`", text)
+    named = re.findall(r"`((?:plumline|message_sender|tests|docs)/[\w./-]*)`", text)
     assert named
     assert [path for path in named if not (ROOT / path).exists()] == []
 
@@ -62,7 +62,7 @@
 @cache
 def code_trees() -> tuple[CodeNames, ...]:
     """The names of each tree; where two have a class of one name, the pages mean that of the first."""
-    return tuple(CodeNames([ROOT / folder]) for folder in ("plumline", "elmglade", "tests"))
+    return tuple(CodeNames([ROOT / folder]) for folder in ("plumline", "message_sender", "tests"))
 
 
 def schema_keys(fields: Mapping[object, object], prefix: str = "") -> Iterator[str]:
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -3,8 +3,8 @@
 import pytest
 from helpers import MS, SECOND, World, ended, endpoint, sent
 
-from elmglade import interface as face
-from elmglade.interface import Outcome
+from message_sender import interface as face
+from message_sender.interface import Outcome
 from plumline.breaker.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT
 
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -11,10 +11,10 @@
 import pytest
 from peers import Peer, handed_in, play, soon
 
-from elmglade.interface import Outcome
-from elmglade.net import client as module
-from elmglade.net.client import Answer, Client, answer_from
-from elmglade.net.reuse import Reuse
+from message_sender.interface import Outcome
+from message_sender.net import client as module
+from message_sender.net.client import Answer, Client, answer_from
+from message_sender.net.reuse import Reuse
 from plumline.wire import http
 from plumline.wire.http import Address, Connection
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -6,7 +6,7 @@
 
 from peers import READY, World, ask, host, message, play, soon, tell
 
-from elmglade.net.journal import Journal
+from message_sender.net.journal import Journal
 from plumline.wire.http import Address
 
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -2,9 +2,9 @@
 
 from helpers import MS, SECOND, World, ended, endpoint, sent
 
-from elmglade import interface as face
-from elmglade.interface import Outcome
-from elmglade.rules import Call
+from message_sender import interface as face
+from message_sender.interface import Outcome
+from message_sender.rules import Call
 from plumline.breaker.breaker import FAILURE_THRESHOLD, GAP_SENDERS, GAP_SHRINK, GAP_STEP, RESET_TIMEOUT
 
 CROWD = 200
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -11,10 +11,10 @@
 import pytest
 from peers import Peer, Platform, Request, host, list_line, play, soon, tell
 
-from elmglade import interface as face
-from elmglade.interface import EndpointState, Listing
-from elmglade.net import discovery as module
-from elmglade.net.discovery import Discovery, Listed
+from message_sender import interface as face
+from message_sender.interface import EndpointState, Listing
+from message_sender.net import discovery as module
+from message_sender.net.discovery import Discovery, Listed
 
 OLD, NEW = "127.0.0.1:1", "127.0.0.1:2"
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -221,7 +221,7 @@
     assert getattr(importlib.import_module(module), name) is main
     pinned = [line for line in (ROOT / "requirements.txt").read_text().split("\n") if line]
     assert sorted(project["dependencies"]) == sorted(pinned)
-    for package in ("plumline", "elmglade"):
+    for package in ("plumline", "message_sender"):
         folders = {path.parent for path in (ROOT / package).rglob("*.py")}
         assert [str(each) for each in folders if not (each / "__init__.py").exists()] == []
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -16,10 +16,10 @@
 from peers import World as Sending
 from test_process import running, start, wait_for
 
-from elmglade import interface as face
-from elmglade.interface import Outcome
-from elmglade.net.handover import ASK, VERSION, Channel, Estate, Lock, address_of
-from elmglade.rules import Dispatcher
+from message_sender import interface as face
+from message_sender.interface import Outcome
+from message_sender.net.handover import ASK, VERSION, Channel, Estate, Lock, address_of
+from message_sender.rules import Dispatcher
 
 ONCE = {"semantics": "once"}
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -5,9 +5,9 @@
 import pytest
 from peers import handed_in
 
-from elmglade.interface import Outcome
-from elmglade.net import journal as module
-from elmglade.net.journal import Attempt, Journal
+from message_sender.interface import Outcome
+from message_sender.net import journal as module
+from message_sender.net.journal import Attempt, Journal
 
 LIMIT = 3_000_000
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -8,8 +8,8 @@
 import pytest
 from helpers import ENV, SECOND, World, settings
 
-from elmglade import interface as face
-from elmglade.settings import settings_from
+from message_sender import interface as face
+from message_sender.settings import settings_from
 
 ROOT = Path(__file__).parent.parent
 DEPLOYED = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -18,7 +18,7 @@
 
 def test_the_decision_files_keep_to_their_size() -> None:
     """All of them together: decisions that move to another file count on."""
-    assert {"elmglade/rules.py", "plumline/breaker/breaker.py"} <= set(DEPLOYED["policy"])
+    assert {"message_sender/rules.py", "plumline/breaker/breaker.py"} <= set(DEPLOYED["policy"])
     lines = [line for name in DEPLOYED["policy"] for line in (ROOT / name).read_text().splitlines()]
     assert sum(1 for line in lines if line.strip()) <= 800
     assert max(map(len, lines)) <= 110
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -22,7 +22,7 @@
     config.write_text(told if isinstance(told, str) else json.dumps(told))
     environment = os.environ | {"BALANCER_CONFIG": str(config), "BALANCER_STATE": str(state)}
     return await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "elmglade", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
+        sys.executable, "-m", "message_sender", cwd=ROOT, env=environment, stderr=asyncio.subprocess.PIPE
     )
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,9 +3,9 @@
 import pytest
 from helpers import MS, SECOND, World, ended, endpoint, sent
 
-from elmglade import interface as face
-from elmglade.interface import Outcome
-from elmglade.rules import AGE_CHECK, IDLE_AGE
+from message_sender import interface as face
+from message_sender.interface import Outcome
+from message_sender.rules import AGE_CHECK, IDLE_AGE
 from plumline.breaker.breaker import COLD_PUSH
 
 
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -25,12 +25,12 @@
     tell,
 )
 
-from elmglade.__main__ import config_from
-from elmglade.interface import Outcome
-from elmglade.net import sender as module
-from elmglade.net.config import Descriptors
-from elmglade.net.journal import Attempt, Journal
-from elmglade.net.sender import HEARD, Sender
+from message_sender.__main__ import config_from
+from message_sender.interface import Outcome
+from message_sender.net import sender as module
+from message_sender.net.config import Descriptors
+from message_sender.net.journal import Attempt, Journal
+from message_sender.net.sender import HEARD, Sender
 
 GONE = {"X_Route_To": "dest=9"}  # no endpoint: held until its time is up
 SHORT_S = 4.0  # left of a message that is to end in a test: far more than this process may stall
--- a/tests/test_sender_drain.py
+++ b/tests/test_sender_drain.py
@@ -16,8 +16,8 @@
 from peers import Peer, Platform, Reply, Request, config_json, host, message, play, soon
 from test_process import running, start, wait_for
 
-import elmglade.__main__ as sender_main
-from elmglade.net.handover import Estate
+import message_sender.__main__ as sender_main
+from message_sender.net.handover import Estate
 
 CLIENTS = 8
 READY_LINE = rb"ready on (\S+):(\d+)"
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -11,9 +11,9 @@
 import pytest
 from peers import READY, Reply, ask, message, play, read_reply, soon
 
-from elmglade import interface as face
-from elmglade.net.message import HandedIn
-from elmglade.net.server import (
+from message_sender import interface as face
+from message_sender.net.message import HandedIn
+from message_sender.net.server import (
     IDLE_LIMIT,
     LINGER,
     LINGER_BYTES,
