--- a/tests/test_prefix_cache_index.py
+++ b/tests/test_prefix_cache_index.py
@@ -1,4 +1,4 @@
-"""The index of kept prompts, the homes and the sources: pure parts, held against plain models."""
+"""The prefix-cache index, prefix homes and the choice of a fetch source, against simple models."""
 
 import math
 from collections import OrderedDict
@@ -8,11 +8,11 @@
 
 from plumline.prefix_cache.blocks import common_tokens
 from plumline.prefix_cache.index import (
-    ENDLESS,
-    ENDPOINT_SHARE,
-    FORGOTTEN,
-    SAVING,
-    Keep,
+    CACHE_MEMORY_SHARE,
+    READING_TIMEOUT_S,
+    SAVE_TIMEOUT_S,
+    STREAM_TIMEOUT_S,
+    EndpointCache,
     Placement,
     PrefixCacheIndex,
 )
@@ -29,7 +29,7 @@
     return Placement(endpoint, "s", parts, float(sum(n for _, n in parts)), STORE, at)
 
 
-def test_a_prompt_is_backlog_until_it_is_read_and_kept_from_then_on() -> None:
+def test_a_prompt_is_backlog_until_it_is_read_and_cached_from_then_on() -> None:
     index = PrefixCacheIndex(lambda _: 100_000)
     index.placed(("r1", 1), placed())
     assert index.backlog("e1") == 5100
@@ -42,21 +42,21 @@
     assert index.kept("e2", "s", PARTS) == 0
     assert index.read_before("s", PARTS) == 5100
     assert index.read_before("s", [("system", 800), ("unread", 9)]) == 800
-    # Its memory is taken until the stream has ended; being placed again begins anew.
+    # The prompt uses memory until its stream has ended.
     assert index.occupied("e1") == 5100
     index.done(("r1", 1))
     assert index.occupied("e1") == 0
 
 
-def test_what_a_store_holds_is_what_its_events_told() -> None:
+def test_the_contents_of_a_store_follow_its_events() -> None:
     store = PrefixCacheIndex(lambda _: 0.0).store(STORE)
     shared = PARTS[:2]
     assert store.lacks(0.0, "s", shared)
     store.sent(0.0, "s", shared)
     assert not store.lacks(1.0, "s", shared)
     assert store.held("s", shared) == 0
-    # What did not come is sent again after a while.
-    assert store.lacks(SAVING, "s", shared)
+    # Parts that the store does not confirm are sent again after a while.
+    assert store.lacks(SAVE_TIMEOUT_S, "s", shared)
     store.changed(7, [["+", "s", "system", 800], ["+", "s", "subject", 3984]])
     assert not store.lacks(9.0, "s", shared)
     assert store.held("s", [*PARTS]) == 4800 + 300  # small parts count as held
@@ -64,30 +64,30 @@
     store.changed(7, [["-", "s", "subject", 128]])
     assert store.held("s", shared) == 800
     assert store.lacks(9.0, "s", shared)
-    store.changed(8, [["+", "s", "subject", 4000]])  # begun anew
+    store.changed(8, [["+", "s", "subject", 4000]])  # another epoch: the store has restarted
     assert store.held("s", shared) == 0
     store.clear()
     assert store.held("s", shared[1:]) == 0
 
 
-def test_what_was_not_read_is_neither_backlog_nor_kept() -> None:
+def test_a_prompt_that_ended_unread_is_neither_backlog_nor_cached() -> None:
     index = PrefixCacheIndex(lambda _: 0.0)
     index.placed(("r1", 1), placed())
     index.done(("r1", 1))
     index.read(("r1", 1), 1.0)
     assert (index.backlog("e1"), index.kept("e1", "s", PARTS)) == (0, 0)
-    # The end of one that nobody told of is assumed after a while; the same news twice change nothing.
+    # A prompt without an end event expires; a repeated placed event changes nothing.
     index.placed(("r2", 7), placed(at=5.0))
     index.placed(("r2", 7), placed(at=5.0))
-    index.age(5.0 + FORGOTTEN / 2)
+    index.age(5.0 + READING_TIMEOUT_S / 2)
     assert index.backlog("e1") == 5100
-    index.age(5.0 + FORGOTTEN)
+    index.age(5.0 + READING_TIMEOUT_S)
     assert (index.backlog("e1"), index.occupied("e1")) == (0, 5100)
-    index.age(5.0 + ENDLESS)
+    index.age(5.0 + STREAM_TIMEOUT_S)
     assert index.occupied("e1") == 0
 
 
-def test_what_an_endpoint_that_is_gone_or_has_other_weights_kept_is_forgotten() -> None:
+def test_the_cache_of_an_endpoint_that_left_or_has_other_weights_is_dropped() -> None:
     index = PrefixCacheIndex(lambda _: 0.0)
     for number, endpoint in enumerate(("e1", "e2", "e3")):
         index.placed(("r", number), placed(endpoint))
@@ -101,41 +101,43 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.lists(st.tuples(st.sampled_from("abcdef"), st.integers(1, 50)), max_size=4), max_size=30))
-def test_a_keep_is_a_least_lately_used_memory(prompts: list[list[tuple[str, int]]]) -> None:
-    keep, model = Keep(120.0), OrderedDict[str, int]()
+def test_an_endpoint_cache_evicts_the_least_recently_used_parts(prompts: list[list[tuple[str, int]]]) -> None:
+    cache, model = EndpointCache(120.0), OrderedDict[str, int]()
     for parts in prompts:
-        keep.add("s", parts)
+        cache.add("s", parts)
         for name, tokens in parts:
             model.pop(name, None)
             model[name] = tokens
         while sum(model.values()) > 120:
             model.popitem(last=False)
-        assert keep.size == sum(model.values()) == sum(keep.parts.values()) <= 120
-        assert [name for _, name in keep.parts] == list(model)
+        assert cache.size == sum(model.values()) == sum(cache.parts.values()) <= 120
+        assert [name for _, name in cache.parts] == list(model)
         for parts_asked in prompts:
             held = 0
             for name, tokens in parts_asked:
                 if name not in model:
                     break
                 held += tokens
-            assert keep.held("s", parts_asked) == held
+            assert cache.cached_tokens("s", parts_asked) == held
 
 
-def test_a_share_of_the_memory_is_left_to_running_requests() -> None:
+def test_cached_parts_leave_a_share_of_the_memory_to_running_requests() -> None:
     index = PrefixCacheIndex(lambda _: 1000.0)
     for number in range(20):
         index.placed(("r", number), placed("e", [(f"p{number}", 100)]))
         index.read(("r", number), 1.0)
-    assert sum(index.kept("e", "s", [(f"p{number}", 100)]) for number in range(20)) == 1000 * ENDPOINT_SHARE
+    assert (
+        sum(index.kept("e", "s", [(f"p{number}", 100)]) for number in range(20)) == 1000 * CACHE_MEMORY_SHARE
+    )
 
 
-def test_common_counts_the_parts_that_both_begin_with() -> None:
+def test_common_tokens_counts_the_leading_parts_of_both_prompts() -> None:
     assert common_tokens(PARTS, PARTS) == 5100
     assert common_tokens(PARTS, [("system", 800), ("other", 4000), ("own", 300)]) == 800
     assert common_tokens(PARTS, []) == 0
 
 
-def test_the_source_that_saves_most_is_taken_and_none_where_reading_is_faster() -> None:
+def test_the_fetch_source_that_saves_most_is_chosen_and_none_where_reading_is_faster() -> None:
     def fetch(*holders: Holder, kept: int = 0, zone: str = "z1"):  # noqa: ANN202
         regions = {"z1": "r1", "z2": "r1", "z3": "r2"}
         return best_fetch(holders, A, zone, kept, 163_840, 1_100_000, 61.2, regions)
@@ -147,7 +149,7 @@
     # Farther away it takes longer, and from another region longer than reading.
     assert fetch(Holder(B, "z2", 13_300, 1_100_000)).ms > best.ms
     assert fetch(Holder(B, "z3", 13_300, 300_000)) is None
-    # Nothing is fetched that is kept, from itself, over a link that nothing is known of, or for a few tokens.
+    # No fetch of cached tokens, from the endpoint itself, over a link of unknown speed, or of a few tokens.
     assert fetch(peer, kept=13_300) is None
     assert fetch(Holder(A, "z1", 13_300, 1_100_000)) is None
     assert best_fetch([Holder(B, "z1", 9000, 0)], A, "z1", 0, 163_840, 0, 61.2, {}) is None
@@ -162,26 +164,28 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.integers(2, 12), st.text(min_size=1, max_size=8))
-def test_a_home_is_the_same_for_all_routers_and_moves_only_if_it_leaves(count: int, part: str) -> None:
+def test_a_home_is_the_same_for_all_routers_and_changes_only_if_its_endpoint_leaves(
+    count: int, part: str
+) -> None:
     found, other = homes_of(count), homes_of(count)
     other.set_endpoints(reversed(found.endpoints))
     parts = [("system", 8), (part, 90), ("own", 9)]
     home = found.home(parts)
     assert home in found.endpoints and other.home(parts) == home
-    gone = next(each for each in found.endpoints if each != home)
-    found.set_endpoints([each for each in found.endpoints if each != gone])
+    removed = next(each for each in found.endpoints if each != home)
+    found.set_endpoints([each for each in found.endpoints if each != removed])
     assert found.home(parts) == home
     assert found.home(parts[:1]) is None
     found.set_endpoints([])
     assert found.home(parts) is None
 
 
-def test_work_fades_and_a_long_prompt_is_told_by_the_shortest_aim() -> None:
+def test_work_decays_and_a_long_prompt_is_one_beyond_a_share_of_the_shortest_target() -> None:
     work = PrefixHomes().work
     assert work.rates(0.0) == (0.0, 0.0)
     work.add(0.0, 100.0, long=True)
     work.add(0.0, 50.0, long=False)
-    # The first moment is no rate: it counts as LEAST_S.
+    # A rate is taken over at least LEAST_S.
     assert math.isclose(work.rates(0.0)[1], 100 / (MEMORY_S * (1 - math.exp(-LEAST_S / MEMORY_S))))
     short, long = work.rates(MEMORY_S)
     span = MEMORY_S * (1 - 1 / math.e)
@@ -195,8 +199,8 @@
     assert not is_long(6.0, 300.0)
 
 
-def test_a_part_that_is_being_read_counts_as_read_until_its_prompt_is_given_up() -> None:
-    """Else a second prompt would have it read at another endpoint, as if that cost no more than its time."""
+def test_a_part_that_is_being_read_counts_as_read_until_its_prompt_ends() -> None:
+    """Guards against reading the part at a second endpoint without the cost of reading it again."""
     index = PrefixCacheIndex(lambda _: 100_000)
     shared = PARTS[:2]
     index.placed(("r1", 1), placed())
@@ -205,18 +209,18 @@
     index.done(("r1", 1))
     assert index.read_before("s", shared) == 4800
     index.done(("r2", 1))
-    assert index.read_before("s", shared) == 0 and not index.being_read
+    assert index.read_before("s", shared) == 0 and not index.parts_being_read
 
 
-def test_only_prompts_that_found_no_other_unread_tell_how_fast_an_endpoint_reads() -> None:
-    told: list[tuple[str, float, float]] = []
-    index = PrefixCacheIndex(lambda _: 100_000, lambda *reading: told.append(reading))
+def test_only_prompts_that_were_not_queued_are_observed_as_readings() -> None:
+    readings: list[tuple[str, float, float]] = []
+    index = PrefixCacheIndex(lambda _: 100_000, lambda *reading: readings.append(reading))
     index.placed(("r1", 1), placed(at=1.0))
     index.placed(("r2", 1), placed(at=1.1))
     index.placed(("r2", 2), placed("e2", at=1.1))
-    for serial, now in ((("r2", 1), 1.2), (("r1", 1), 1.3), (("r2", 2), 1.35)):
-        index.read(serial, now)
-    assert [(endpoint, tokens, round(ms)) for endpoint, tokens, ms in told] == [
+    for prompt_id, now in ((("r2", 1), 1.2), (("r1", 1), 1.3), (("r2", 2), 1.35)):
+        index.read(prompt_id, now)
+    assert [(endpoint, tokens, round(ms)) for endpoint, tokens, ms in readings] == [
         ("e1", 5100.0, 300),
         ("e2", 5100.0, 250),
     ]
