--- a/plumline/prefix_cache/__init__.py
+++ b/plumline/prefix_cache/__init__.py
@@ -1,1 +1,1 @@
-"""The prompt index: which parts of prompts are kept where."""
+"""The prefix-cache index: which endpoints and stores hold which prompt parts."""
--- a/plumline/prefix_cache/blocks.py
+++ b/plumline/prefix_cache/blocks.py
@@ -1,14 +1,14 @@
-"""The parts that a prompt begins with, as the client names them, and sizes in tokens."""
+"""The parts of a prompt's prefix, as named by the client, and sizes in tokens."""
 
 from collections.abc import Callable, Iterable, Sequence
 
 PrefixBlock = tuple[str, int]  # id, tokens
 
-MOST_DIGITS = 9  # of a number of tokens that is taken for one
+MAX_DIGITS = 9  # of a valid number of tokens
 
 
 def parse_parts(text: str) -> list[PrefixBlock]:
-    """'ID:TOKENS,...' in order; what can't be read ends the list, as nothing after it can be found kept."""
+    """Parses 'ID:TOKENS,...'. A malformed item ends the list, since no part after it can be found cached."""
     parts = []
     for piece in text.split(","):
         name, _, tokens = piece.strip().partition(":")
@@ -19,42 +19,42 @@
 
 
 def prompt_tokens(counts: str) -> int:
-    """The prompt's size out of 'prompt,max_out'; 0 if it can't be read."""
+    """The prompt's size in 'prompt,max_out'; 0 if it is malformed."""
     return whole_number(counts.partition(",")[0])
 
 
 def output_tokens(counts: str) -> int:
-    """The most that is put out, of the same; 0 if it can't be read."""
+    """The maximum output in 'prompt,max_out'; 0 if it is malformed."""
     return whole_number(counts.partition(",")[2])
 
 
 def whole_number(text: str) -> int:
-    """The number that the text is, spaces around it aside; 0 if it is none."""
+    """Parses a number with optional surrounding spaces; 0 if the text is none."""
     text = text.strip()
     return int(text) if is_whole_number(text) else 0
 
 
 def is_whole_number(text: str) -> bool:
-    """Whether the text is digits alone, and not too many."""
-    return text.isascii() and text.isdecimal() and len(text) <= MOST_DIGITS
+    """Whether the text consists of at most MAX_DIGITS digits."""
+    return text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS
 
 
 def size_of(parts: Iterable[PrefixBlock]) -> int:
-    """Tokens of all the parts."""
+    """Total tokens of the parts."""
     return sum(tokens for _, tokens in parts)
 
 
-def leading_tokens(parts: Iterable[PrefixBlock], is_kept: Callable[[PrefixBlock], bool]) -> int:
-    """Tokens at the prompt's start that are kept: a part counts if it and all before it are."""
+def leading_tokens(parts: Iterable[PrefixBlock], is_cached: Callable[[PrefixBlock], bool]) -> int:
+    """Tokens at the prompt's start that are cached: a part counts if it and all before it are."""
     total = 0
     for part in parts:
-        if not is_kept(part):
+        if not is_cached(part):
             break
         total += part[1]
     return total
 
 
 def common_tokens(some: Sequence[PrefixBlock], others: Sequence[PrefixBlock]) -> int:
-    """Tokens of the parts that both begin with."""
+    """Tokens of the leading parts that both have in common."""
     names = (name for name, _ in others)
     return leading_tokens(some, lambda part: part[0] == next(names, None))
--- a/plumline/prefix_cache/events.py
+++ b/plumline/prefix_cache/events.py
@@ -1,7 +1,7 @@
-"""What routers tell one another of their long prompts and of the stores, as messages and as plain values.
+"""Events that routers exchange about long prompts and stores, as messages and as plain values.
 
-On the wire each is a list that begins with the name of its kind; routers of another version may send more
-kinds, which are refused here as ValueError.
+On the wire each is a list that begins with the name of its kind. Unknown kinds, which routers of another
+version may send, raise ValueError.
 """
 
 from collections.abc import Sequence
@@ -21,7 +21,7 @@
     endpoint: str
     salt: str
     parts: list[PrefixBlock]
-    missing: float  # tokens that are to be read there
+    missing: float  # tokens that the endpoint has to read
     saves: str  # address of the store that it is saved to; empty: to none
 
 
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """A prompt's stream has ended, or never will begin."""
+    """A prompt's stream has ended, or will never begin."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """What has changed in a store, by its own events: [sign, salt, part, tokens kept now] of each."""
+    """Changes in a store, from its own events: [sign, salt, part, tokens held now] each."""
 
     epoch: int
     changes: list[Sequence[Any]]
@@ -51,7 +51,7 @@
 
 
 def news_from(event: object) -> News:
-    """The message that the plain values are. Raises ValueError, TypeError for what is no news."""
+    """Decodes an event from plain values. Raises ValueError, TypeError if it is malformed or unknown."""
     match event:
         case [
             "placed",
@@ -70,4 +70,4 @@
             return Done(number)
         case ["stored", int(epoch), list(changes)]:
             return Stored(epoch, changes)
-    raise ValueError(f"no news: {event!r}")
+    raise ValueError(f"not a prompt or store event: {event!r}")
--- a/plumline/prefix_cache/index.py
+++ b/plumline/prefix_cache/index.py
@@ -79,7 +79,7 @@
         self.pending_saves.clear()
 
     def changed(self, epoch: int, changes: Iterable[Sequence[Any]]) -> None:
-        """Applies events: [sign, salt, part, tokens held now] each. Raises ValueError, TypeError for others."""
+        """Applies events, [sign, salt, part, tokens held now] each. Raises ValueError, TypeError."""
         if epoch != self.epoch:
             self.clear()
             self.epoch = epoch
@@ -243,7 +243,7 @@
         return self.resident_tokens.get(endpoint, 0.0)
 
     def read_before(self, salt: str, parts: Iterable[PrefixBlock]) -> int:
-        """Tokens at the prompt's start that an endpoint has read or is reading: reading them again is waste."""
+        """Tokens at the prompt's start that an endpoint has read or is reading: a second reading is waste."""
 
         def is_read(part: PrefixBlock) -> bool:
             key = (salt, part[0])
--- a/plumline/routing/cache_salt.py
+++ b/plumline/routing/cache_salt.py
@@ -1,9 +1,11 @@
-"""Under which text an endpoint keeps a prompt's parts, and which version of the weights goes with it.
+"""Cache salts: the text under which an endpoint caches a prompt's parts, with its weights' version.
 
-STALE and WALL hold by construction: the salt names the version, the tenant where it uses a cache of its own,
-else the generation of the shared prefix cache, and it leaves this module only together with the same version
-for `Expect-Version`. Which generation is in force, and who shares it, are taken from the same configuration:
-a generation begins without the tenants that are isolated then, though an older configuration let them share.
+The properties STALE and WALL hold by construction. The salt names the version and, if the tenant has a cache
+of its own, the tenant, else the generation of the shared prefix cache. It leaves this module only together
+with the same version for `Expect-Version`.
+
+The generation in force and the tenants that share it are taken from the same configuration: a generation
+begins without the tenants that are isolated then, even if an older configuration let them share.
 """
 
 import math
@@ -13,7 +15,7 @@
 from plumline.configuration.entities import Tenant
 from plumline.configuration.route_table import RouteTable
 
-NAMED_SHARE = 0.6  # of VersionApplyMs, in which endpoints of the older version may still be used
+OLDER_VERSION_SHARE = 0.6  # of VersionApplyMs, during which endpoints of an older version may still be used
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,17 +27,17 @@
 
 
 def salt_for(version: int, shared_generation: int, cache_owner: str | None) -> Salt:
-    """`cache_owner`: see `cache_owner_of`; by the same configuration as the generation."""
+    """The salt for a version. `cache_owner`: from `cache_owner_of`, by the generation's configuration."""
     if cache_owner is not None:
         return Salt(f"v{version}t:{cache_owner}", version)
     return Salt(f"v{version}w{shared_generation}", version)
 
 
 def cache_owner_of(tenant: Tenant | None, table: RouteTable) -> str | None:
-    """The name of the tenant that alone may use what its request leaves, by this table; None: it is shared.
+    """The tenant that alone may use what its request leaves in a cache, by this table; None if it is shared.
 
-    A request without a tenant shares. One of a tenant that is no longer listed does not: the tenant may come
-    back isolated.
+    A request without a tenant uses the shared cache. A request of a tenant that is no longer listed does not,
+    since the tenant may return as an isolated one.
     """
     if tenant is None or table.shares_cache(tenant.name):
         return None
@@ -43,33 +45,34 @@
 
 
 class NamedVersions:
-    """When each model's versions were named, as far as is known here. Times are steady seconds.
+    """When the versions of each model were named, as seen by this router. Times are steady seconds.
 
-    What the first snapshot holds may have been named long ago: it counts as if it had been.
+    The versions in the first snapshot may have been named long before: they count as named long ago.
     """
 
-    def __init__(self, versions: Callable[[], dict[str, int] | None], apply: float) -> None:
-        self.versions, self.patience = versions, apply * NAMED_SHARE
-        self.named: dict[str, list[tuple[int, float]]] = {}  # model -> (version, since), rising
-        self.began = False
+    def __init__(self, versions: Callable[[], dict[str, int] | None], version_apply_s: float) -> None:
+        """`versions()`: the named version by model; None while no configuration is known."""
+        self.versions, self.grace_s = versions, version_apply_s * OLDER_VERSION_SHARE
+        self.named_since: dict[str, list[tuple[int, float]]] = {}  # model -> (version, since), ascending
+        self.initialized = False
 
     def look(self, now: float) -> None:
-        """Called when a configuration entry has come."""
-        told = self.versions()
-        if told is None:
+        """Records the versions that are new in the current configuration."""
+        current = self.versions()
+        if current is None:
             return
-        for model, version in told.items():
-            known = self.named.setdefault(model, [])
+        for model, version in current.items():
+            known = self.named_since.setdefault(model, [])
             if version > (known[-1][0] if known else 1):
-                known.append((version, now if self.began else -math.inf))
-                # All that is over by now counts alike: only the newest of it is needed.
-                while len(known) > 1 and now - known[1][1] >= self.patience:
+                known.append((version, now if self.initialized else -math.inf))
+                # Of the versions whose grace time is over, only the newest is needed.
+                while len(known) > 1 and now - known[1][1] >= self.grace_s:
                     del known[0]
-        self.began = True
+        self.initialized = True
 
     def usable(self, model: str, version: int, now: float) -> bool:
-        """Whether an endpoint with this version may still run the model's requests."""
-        for newer, since in self.named.get(model, ()):
+        """Whether an endpoint with this version of the weights may still get requests for the model."""
+        for newer, since in self.named_since.get(model, ()):
             if newer > version:
-                return now - since < self.patience
+                return now - since < self.grace_s
         return True
--- a/plumline/routing/fleet.py
+++ b/plumline/routing/fleet.py
@@ -1,7 +1,6 @@
-"""What a router knows of the fleet: pure data, kept by the feed's follower, read by the decisions.
+"""A router's view of the fleet: plain data, written by the feed's subscriber and read by routing decisions.
 
-Endpoints and stores come from soft state that travels as plain lists and dicts: plumline.routing.fleet_state
-describes it.
+Endpoints and stores come from soft state, whose wire form plumline.routing.fleet_state describes.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -40,7 +39,7 @@
 def endpoints_from(
     roster: Iterable[Mapping[str, Any]], marks: Mapping[str, Mapping[str, Any]]
 ) -> dict[str, Endpoint]:
-    """The endpoints by id. A mark never takes a version back that the list already shows."""
+    """The endpoints by id. A mark never lowers a version that the list already shows."""
     found: dict[str, Endpoint] = {}
     for each in roster:
         listed = ListedEndpoint.from_wire(each)
@@ -64,8 +63,11 @@
 
 
 class Fleet:
-    """The newest of everything that the feed has told. `state` is a ReplicatedConfiguration, `table` the
-    RouteTable made from it; both None until the first snapshot has come."""
+    """The newest state received from the feed.
+
+    `state` is a ReplicatedConfiguration, `table` the RouteTable made from it; both are None until the first
+    snapshot has come.
+    """
 
     def __init__(self) -> None:
         self.place = 0  # number of the newest chain entry applied
@@ -78,8 +80,8 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.routers = 1  # alive in the fleet, this one included
         self.fresh_at = -1e9  # steady s at which `fresh` last held
-        self.fresh = False  # a source that is itself in touch with the core's majority feeds us now
-        #: Told "configuration", "endpoints", "stores", "grants" or "members".
+        self.fresh = False  # the feed's source is currently in contact with the core's majority
+        #: Called with "configuration", "endpoints", "stores", "grants" or "members".
         self.watchers: list[Callable[[str], None]] = []
 
     def named_version(self, model: str) -> int:
@@ -87,28 +89,28 @@
         return self.state.weight_versions.get(model, 1) if self.state else 1
 
     def tell(self, topic: str) -> None:
-        """Tells the watchers that this has changed."""
+        """Notifies the watchers that this topic has changed."""
         for each in self.watchers:
             each(topic)
 
     def take_roster(self, roster: list[dict[str, Any]]) -> None:
-        """The platform's list has come, as plumline.routing.fleet_state says."""
+        """Replaces the platform's list of endpoints (see plumline.routing.fleet_state)."""
         self.roster = roster
         self.endpoints = endpoints_from(self.roster, self.marks)
         self.tell("endpoints")
 
     def take_stores(self, stores: Mapping[str, Mapping[str, Any]]) -> None:
-        """What is known of the stores has come (see plumline.routing.fleet_state). Raises KeyError."""
+        """Replaces the status of the stores (see plumline.routing.fleet_state). Raises KeyError."""
         self.stores = {name: StoreStatus.from_wire(each) for name, each in stores.items()}
         self.tell("stores")
 
     def take_grants(self, grants: Mapping[str, list[Any]]) -> None:
-        """The grants of the roll-outs under way have come. Raises ValueError, TypeError."""
+        """Replaces the grants of the roll-outs in progress. Raises ValueError, TypeError."""
         self.grants = {service: RolloutGrant.from_wire(each) for service, each in grants.items()}
         self.tell("grants")
 
     def take_marks(self, marks: dict[str, dict[str, Any]]) -> None:
-        """The marks have come, as plumline.routing.fleet_state says."""
+        """Replaces the marks (see plumline.routing.fleet_state)."""
         self.marks = marks
         self.endpoints = endpoints_from(self.roster, self.marks)
         self.tell("endpoints")
--- a/plumline/routing/fleet_state.py
+++ b/plumline/routing/fleet_state.py
@@ -3,9 +3,9 @@
 The four kinds travel complete, in plain lists and dicts, as soft state (plumline.coordination.soft_state):
 
 - `roster`: a list of `ListedEndpoint`, what the platform's API lists
-- `marks`: `RolloutState` by endpoint id, what the holder of the `weights` lease knows better than that list
+- `marks`: `RolloutState` by endpoint id, newer state of the weights, from the holder of the `weights` lease
 - `stores`: `StoreStatus` by the store's name
-- `grants`: `RolloutGrant` by service, from the controller of its roll-out; holds for GRANT_DURATION_S
+- `grants`: `RolloutGrant` by service, from the controller of its roll-out; valid for GRANT_DURATION_S
 """
 
 from collections.abc import Mapping
@@ -19,13 +19,13 @@
 class ListedEndpoint(NamedTuple):
     """One incarnation of an endpoint as the platform lists it."""
 
-    id: str  # the platform's `Identifier`, another one after each restart
+    id: str  # the platform's `Identifier`, a new one after each restart
     service: str
     address: str  # "host:port", as listed
     zone: str
     slots: int  # concurrent requests
     draining: bool
-    cold_ms: float  # left until it is warm, at the time of the read
+    cold_ms: float  # remaining warm-up time when the list was read
     models: dict[str, int]  # version of the weights by model
     version: str = ""  # of its software; empty where the platform lists none
 
@@ -62,7 +62,7 @@
 
 
 class RolloutState(NamedTuple):
-    """Where an endpoint stands in the roll-out of versions, beyond what the platform lists."""
+    """An endpoint's state in a roll-out of versions, beyond what the platform lists."""
 
     #: An order to change the version is in flight or about to be sent: a new request would be rejected with
     #: `Not-Executed`.
@@ -75,7 +75,7 @@
 
     @classmethod
     def from_wire(cls, value: Mapping[str, Any]) -> "RolloutState":
-        """The state of a value of `marks`; a field that is missing says nothing."""
+        """The state of a value of `marks`; a missing field has its default."""
         return cls(bool(value.get("moving", False)), value.get("models", {}))
 
 
@@ -83,7 +83,7 @@
     """What the holder of the `discovery` lease knows of a cache store."""
 
     up: bool
-    epoch: int  # another one once the store has restarted empty; 0 if it isn't known
+    epoch: int  # a new one once the store has restarted empty; 0 if it isn't known
 
     def to_wire(self) -> dict[str, Any]:
         """The status as a value of `stores`."""
@@ -96,12 +96,12 @@
 
 
 class RolloutGrant(NamedTuple):
-    """What routers may send to the target version of a roll-out that is under way."""
+    """The requests that routers may send to the target version of a roll-out in progress."""
 
     target: str
     stage: RolloutStage
     share: float  # of the service's requests, 0 to 1
-    endpoints: tuple[str, ...] | None  # ids of those that may be used; None: all of the target version
+    endpoints: tuple[str, ...] | None  # ids of the usable ones; None: all of the target version
 
     def to_wire(self) -> list[Any]:
         """The grant as a value of `grants`."""
--- a/plumline/routing/prefix_fetch.py
+++ b/plumline/routing/prefix_fetch.py
@@ -1,28 +1,28 @@
-"""Where the parts of a prompt that an endpoint lacks are best fetched from. Pure; ms and tokens."""
+"""The best source for the parts of a prompt that an endpoint lacks. Pure; ms and tokens."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
 from plumline.routing.fleet import Address
 
-SETUP_MS = 2.0  # of a move, however small
-OTHER_ZONE = 2  # times as long a move takes to another zone
-OTHER_REGION = 10
+SETUP_MS = 2.0  # of a fetch of any size
+OTHER_ZONE_FACTOR = 2  # times the duration of a fetch within a zone
+OTHER_REGION_FACTOR = 10  # times the duration of a fetch within a zone
 
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """A place that holds the first `held` tokens of a prompt."""
+    """An endpoint or store that holds the first `held` tokens of a prompt."""
 
     address: Address
     zone: str
     held: int
-    link_mbps: float  # of its own link; 0: not known
+    link_mbps: float  # speed of its own link; 0: not known
 
 
 @dataclass(frozen=True, slots=True)
 class Fetch:
-    """A move of the first tokens that an endpoint lacks, and how long it takes."""
+    """A fetch of the first tokens that an endpoint lacks, and its duration."""
 
     source: Address
     tokens: int
@@ -30,14 +30,14 @@
 
 
 def distance(zone: str, other: str, regions: dict[str, str]) -> int:
-    """How many times as long a move between the two zones takes as within one."""
+    """The duration of a fetch between the two zones, as a multiple of that within one."""
     if zone == other:
         return 1
-    return OTHER_ZONE if regions.get(zone) == regions.get(other) else OTHER_REGION
+    return OTHER_ZONE_FACTOR if regions.get(zone) == regions.get(other) else OTHER_REGION_FACTOR
 
 
 def may_gain(tokens: float, read_rate: float) -> bool:
-    """Whether a move of so many tokens can be faster than to read them, however good the link is."""
+    """Whether fetching so many tokens over any link can be faster than reading them."""
     return tokens / read_rate > SETUP_MS
 
 
@@ -51,10 +51,13 @@
     read_rate: float,
     regions: dict[str, str],
 ) -> Fetch | None:
-    """The move to the endpoint at `address` that saves the most reading; None where none saves any. `kept`:
-    tokens at the prompt's start that it keeps itself; `read_rate`: tokens a ms that it reads."""
+    """The fetch to the endpoint at `address` that saves the most time; None if none saves any.
+
+    `kept`: tokens at the prompt's start that the endpoint caches itself; `read_rate`: tokens a ms that it
+    reads.
+    """
     best: Fetch | None = None
-    most = 0.0
+    largest_gain = 0.0
     for each in holders:
         tokens = each.held - kept
         if tokens <= 0 or each.address == address:
@@ -62,8 +65,8 @@
         link = min(each.link_mbps or link_mbps, link_mbps or each.link_mbps)
         if not link:
             continue
-        moving = tokens * token_bytes * 8 / (link * 1000)
-        ms = SETUP_MS + moving * distance(zone, each.zone, regions)
-        if (gain := tokens / read_rate - ms) > most:
-            best, most = Fetch(each.address, tokens, ms), gain
+        transfer_ms = tokens * token_bytes * 8 / (link * 1000)
+        ms = SETUP_MS + transfer_ms * distance(zone, each.zone, regions)
+        if (gain := tokens / read_rate - ms) > largest_gain:
+            best, largest_gain = Fetch(each.address, tokens, ms), gain
     return best
--- a/plumline/routing/reserved_quota.py
+++ b/plumline/routing/reserved_quota.py
@@ -54,11 +54,11 @@
     that has only its reserve.
     """
     left, slopes = capacity, []
-    for tenant, wanted in demand.items():
+    for tenant, amount in demand.items():
         floor = reserved.get(tenant, 0.0)
-        left -= min(wanted, floor)
-        if wanted > floor:
-            slopes += [(floor, 1), (wanted, -1)]
+        left -= min(amount, floor)
+        if amount > floor:
+            slopes += [(floor, 1), (amount, -1)]
     if sum(demand.values()) <= capacity:
         return math.inf
     level, rising = 0.0, 0
@@ -117,24 +117,24 @@
     """A rate of work, decaying exponentially with DEMAND_TIME_CONSTANT_S."""
 
     amount: float = 0.0
-    at: float = 0.0
-    since: float = 0.0
+    updated_at: float = 0.0
+    started_at: float = 0.0
 
     def add(self, now: float, ms: float) -> float:
         """Adds the work and returns the new rate, in ms a second."""
-        if not self.since:
-            self.since = self.at = now
-        self.amount = self.amount * math.exp((self.at - now) / DEMAND_TIME_CONSTANT_S) + ms
-        self.at = now
+        if not self.started_at:
+            self.started_at = self.updated_at = now
+        self.amount = self.amount * math.exp((self.updated_at - now) / DEMAND_TIME_CONSTANT_S) + ms
+        self.updated_at = now
         return self.value(now)
 
     def value(self, now: float) -> float:
         """The current rate, in ms a second."""
-        if not self.since:
+        if not self.started_at:
             return 0.0
-        known = max(now - self.since, MIN_RATE_SPAN_S)
+        known = max(now - self.started_at, MIN_RATE_SPAN_S)
         span = DEMAND_TIME_CONSTANT_S * (1 - math.exp(-known / DEMAND_TIME_CONSTANT_S))
-        return self.amount * math.exp((self.at - now) / DEMAND_TIME_CONSTANT_S) / span
+        return self.amount * math.exp((self.updated_at - now) / DEMAND_TIME_CONSTANT_S) / span
 
 
 @dataclass(slots=True)
@@ -232,7 +232,7 @@
         if now - self.pruned_at > TENANT_IDLE_S:
             self.pruned_at = now
             self.accounts = {
-                n: each for n, each in self.accounts.items() if now - each.demand.at < TENANT_IDLE_S
+                n: each for n, each in self.accounts.items() if now - each.demand.updated_at < TENANT_IDLE_S
             }
         demand = dict(self.fleet_report[0]) if self.fleet_report else {}
         for tenant, each in self.accounts.items():
@@ -315,11 +315,11 @@
         wait = account.spend(now, work, ceiling * min(own / demand, 1.0))
         return Standing(quota.surge, True, wait > 0, max(wait, MIN_RETRY_AFTER_S) if wait else 0.0)
 
-    def sent(self, service: str, tenant: str, whole_ms: float, read_ms: float) -> None:
-        """Counts a request sent to an endpoint that has to read `read_ms` of the `whole_ms` of its prompt."""
-        if self.reserved and whole_ms and (quota := self.services.get(service)):
+    def sent(self, service: str, tenant: str, prompt_ms: float, read_ms: float) -> None:
+        """Counts a request sent to an endpoint that has to read `read_ms` of its `prompt_ms`."""
+        if self.reserved and prompt_ms and (quota := self.services.get(service)):
             if account := quota.accounts.get(tenant):
-                account.read_ratio += (min(read_ms / whole_ms, 1.0) - account.read_ratio) * READ_RATIO_WEIGHT
+                account.read_ratio += (min(read_ms / prompt_ms, 1.0) - account.read_ratio) * READ_RATIO_WEIGHT
 
     def ended(self, service: str, strained: bool) -> None:
         """Counts a send whose first piece has come, or that an endpoint refused as full.
--- a/plumline/routing/rollout_evidence.py
+++ b/plumline/routing/rollout_evidence.py
@@ -1,12 +1,14 @@
-"""What a router's own requests show of the versions of a service while one of them is on trial.
+"""Evidence about the versions of a service from a router's own requests, while one of them is on trial.
 
-An answer is bad if it failed, or took several times what a like request takes: its expected time until the
-first piece, and the rest that answers on the same route take at versions in service. Answers on trial are
-counted by endpoint and route, all others by route alone. Counts only rise while the roll-out is under way, so
-that a report that is lost or comes twice does no harm.
+An answer is bad if it failed, or took several times the time of a similar request: its expected time until
+the first piece, plus the remainder that answers on the same route take at versions in service.
 
-Start of a route's rest: its latency target, as if one answer had shown it. Bounds: at least MIN_REST_MS.
-Forgetting: each answer lowers the weight of those before it, down to REST_WEIGHT for the newest.
+Answers on trial are counted by endpoint and route, all others by route alone. Counts only increase during a
+roll-out, so that a lost or repeated report does no harm.
+
+The average remainder of a route starts at its latency target, as if one answer had taken that. Each answer
+counts with at least MIN_REMAINDER_MS and lowers the weight of earlier ones; the newest weighs at least
+REMAINDER_WEIGHT.
 """
 
 from dataclasses import dataclass, field
@@ -14,39 +16,39 @@
 
 from plumline.routing.version_gate import ServiceTraffic
 
-SLOW_FACTOR = 3.0  # times the expected time, from which on an answer counts as bad
-REST_WEIGHT = 0.02  # of the newest answer, once many were seen
-MIN_REST_MS = 10.0
-NOT_ON_TRIAL = ""  # in place of an endpoint's id
+SLOW_FACTOR = 3.0  # times the expected time, above which an answer is bad
+REMAINDER_WEIGHT = 0.02  # least weight of the newest answer in the average
+MIN_REMAINDER_MS = 10.0
+NOT_ON_TRIAL = ""  # in place of an endpoint id
 
 TallyKey = tuple[str, str]  # endpoint id or NOT_ON_TRIAL, route
 
 
 class TimedAnswer(NamedTuple):
-    """One request that an endpoint was sent, at its end. Times in ms."""
+    """One request to an endpoint, after its end."""
 
     service: str
     endpoint: str
     route: str
-    took_ms: float  # from its sending to its end
-    expected_ms: float  # until its first piece, at a usual endpoint
+    took_ms: float  # from the send to the end
+    expected_ms: float  # until its first piece, at a typical endpoint
     failed: bool
-    cut_short: bool  # by its client, or by the end of its time: it counts only if it was slow by then
+    cut_short: bool  # by its client or its deadline: it counts only if it was already slow
     latency_target_ms: float  # of the route
 
 
 @dataclass(slots=True)
-class AnswerRest:
-    """What answers on a route take beyond the expected time until their first piece."""
+class AverageRemainder:
+    """The average time of answers on a route beyond their expected time until the first piece."""
 
     mean_ms: float
     answers: int = 1
 
-    def observe(self, rest_ms: float) -> None:
-        """Takes the rest of one answer."""
+    def observe(self, remainder_ms: float) -> None:
+        """Adds the remainder of one answer."""
         self.answers += 1
-        weight = max(1 / self.answers, REST_WEIGHT)
-        self.mean_ms += (max(rest_ms, MIN_REST_MS) - self.mean_ms) * weight
+        weight = max(1 / self.answers, REMAINDER_WEIGHT)
+        self.mean_ms += (max(remainder_ms, MIN_REMAINDER_MS) - self.mean_ms) * weight
 
 
 @dataclass(slots=True)
@@ -59,21 +61,21 @@
 
 
 class RolloutEvidence:
-    """One for a router."""
+    """The evidence of one router."""
 
     def __init__(self) -> None:
-        self._rests: dict[tuple[str, str], AnswerRest] = {}  # by service and route
+        self._remainders: dict[tuple[str, str], AverageRemainder] = {}  # by service and route
         self._trials: dict[str, _Trial] = {}  # by service
 
     def observe(self, answer: TimedAnswer, traffic: ServiceTraffic | None) -> None:
-        """Counts an answer that ended. `traffic`: the service's, at this moment."""
-        rest = self._rest(answer)
-        bad = answer.failed or answer.took_ms > SLOW_FACTOR * (answer.expected_ms + rest.mean_ms)
+        """Counts an answer that ended. `traffic`: the current traffic of its service."""
+        remainder = self._remainder(answer)
+        bad = answer.failed or answer.took_ms > SLOW_FACTOR * (answer.expected_ms + remainder.mean_ms)
         on_trial = (
             traffic is not None and traffic.target is not None and answer.endpoint not in traffic.serving
         )
         if not (on_trial or answer.failed or answer.cut_short):
-            rest.observe(answer.took_ms - answer.expected_ms)
+            remainder.observe(answer.took_ms - answer.expected_ms)
         if traffic is None or traffic.target is None or (answer.cut_short and not bad):
             return
         trial = self._trials.get(answer.service)
@@ -85,12 +87,14 @@
         tally[1] += bad
         trial.changed.add(key)
 
-    def _rest(self, answer: TimedAnswer) -> AnswerRest:
+    def _remainder(self, answer: TimedAnswer) -> AverageRemainder:
         key = answer.service, answer.route
-        return self._rests.get(key) or self._rests.setdefault(key, AnswerRest(answer.latency_target_ms))
+        return self._remainders.get(key) or self._remainders.setdefault(
+            key, AverageRemainder(answer.latency_target_ms)
+        )
 
     def retain(self, targets: dict[str, str]) -> None:
-        """Keeps the counts of these roll-outs only; the target by service."""
+        """Drops the counts of all roll-outs but these. `targets`: by service."""
         self._trials = {
             service: trial for service, trial in self._trials.items() if targets.get(service) == trial.target
         }
--- a/plumline/routing/rollout_report.py
+++ b/plumline/routing/rollout_report.py
@@ -1,11 +1,11 @@
-"""What routers report of a roll-out under way, and its form on the wire.
+"""Reports of routers about a roll-out in progress, and their wire form.
 
     ["rollout-report", node, life, {service: [target, stage, others_running, tallies]}]
 
 with [endpoint, route, answers, bad] for each of the tallies.
 
-The counts are totals of one life of the router's process, for one roll-out; each report holds those that have
-changed, and now and then all of them.
+The counts are totals since the start of the router's process, for one roll-out. Each report has those that
+have changed; some have all of them.
 """
 
 from typing import Any, NamedTuple
@@ -16,7 +16,7 @@
 
 
 class AnswerTally(NamedTuple):
-    """Answers that ended, of one endpoint on trial, or of all others together."""
+    """Counts of the ended answers of one endpoint on trial, or of all others together."""
 
     endpoint: str  # NOT_ON_TRIAL for all others
     route: str
@@ -25,15 +25,15 @@
 
 
 class ServiceReport(NamedTuple):
-    """What one router has seen of one roll-out."""
+    """The report of one router about one roll-out."""
 
     target: str
-    stage: RolloutStage | None  # of the grant that the router follows; None: it has none that is fresh
+    stage: RolloutStage | None  # of the router's grant; None: it has no valid one
     others_running: int  # its requests at endpoints of other versions
     tallies: tuple[AnswerTally, ...]
 
     def to_wire(self) -> list[Any]:
-        """The report's plain values."""
+        """The report as plain values."""
         stage = self.stage.value if self.stage else None
         return [self.target, stage, self.others_running, [list(each) for each in self.tallies]]
 
@@ -49,14 +49,14 @@
 
 
 class RolloutReport(NamedTuple):
-    """All that one router reports at a time."""
+    """One report message of a router."""
 
     node: str
-    life: int  # another one after each start of the router's process
+    life: int  # a new one after each start of the router's process
     services: dict[str, ServiceReport]
 
     def to_wire(self) -> list[Any]:
-        """The message's plain values."""
+        """The message as plain values."""
         services = {service: report.to_wire() for service, report in self.services.items()}
         return [ROLLOUT_REPORT_KIND, self.node, self.life, services]
 
@@ -68,4 +68,4 @@
                 return cls(
                     node, life, {name: ServiceReport.from_wire(each) for name, each in services.items()}
                 )
-        raise ValueError("no report of a roll-out")
+        raise ValueError("malformed roll-out report")
--- a/tests/test_endpoint_scoring.py
+++ b/tests/test_endpoint_scoring.py
@@ -1,4 +1,4 @@
-"""The pure parts of the routing decision: cost, salts, affinity, event joining, headers, breakers."""
+"""The routing decision: costs, salts, affinity, joining of event streams, headers and breakers."""
 
 import math
 import random
@@ -15,22 +15,22 @@
 from plumline.routing.outcomes import Outcomes
 
 
-def test_a_kept_prompt_outweighs_some_load_but_not_any() -> None:
-    keeps = Candidate("keeps", missing=3_720, unread=3_000, running=2, slots=24)
+def test_a_cached_prompt_outweighs_some_load_but_not_any_load() -> None:
+    cached = Candidate("keeps", missing=3_720, unread=3_000, running=2, slots=24)
     empty = Candidate("empty", missing=17_020, slots=24)
-    assert choose([empty, keeps], random.Random(1)) is keeps
-    keeps.unread = 40_000
-    assert choose([empty, keeps], random.Random(1)) is empty
+    assert choose([empty, cached], random.Random(1)) is cached
+    cached.unread = 40_000
+    assert choose([empty, cached], random.Random(1)) is empty
 
 
-def test_what_the_store_holds_costs_the_move_or_the_reading_whichever_is_less() -> None:
+def test_tokens_in_a_store_cost_the_lesser_of_moving_and_reading_them() -> None:
     moved = Candidate("a", missing=6_120, movable=6_120, moved_ms=45)
     assert expected_ms(moved) == 45
     moved.moved_ms, moved.read_rate = 1e9, 61.2
     assert math.isclose(expected_ms(moved), 100)
 
 
-def test_zone_and_connection_only_decide_between_like_ones() -> None:
+def test_zone_and_connection_decide_only_between_similar_endpoints() -> None:
     far = Candidate("far", same_zone=False, connected=False)
     near = Candidate("near")
     assert {choose([far, near], random.Random(seed)).id for seed in range(9)} == {"near"}
@@ -40,37 +40,37 @@
     assert choose([far, near], random.Random(1)) is far
 
 
-def test_like_ones_are_spread_by_chance() -> None:
-    like = [Candidate(str(n)) for n in range(6)]
-    assert len({choose(like, random.Random(seed)).id for seed in range(60)}) == 6
+def test_similar_endpoints_are_chosen_at_random() -> None:
+    similar = [Candidate(str(n)) for n in range(6)]
+    assert len({choose(similar, random.Random(seed)).id for seed in range(60)}) == 6
     assert choose([], random.Random(1)) is None
 
 
-def test_a_salt_belongs_to_one_version_and_one_wall() -> None:
-    texts = [salt_for(v, w, t).text for v in (1, 2, 11) for w in (0, 1) for t in (None, "a", "b")]
-    assert len(set(texts)) == 3 * (2 + 2)  # an isolated tenant's doesn't hang on the shared wall
+def test_a_salt_belongs_to_one_version_and_one_cache_scope() -> None:
+    texts = [salt_for(v, g, t).text for v in (1, 2, 11) for g in (0, 1) for t in (None, "a", "b")]
+    assert len(set(texts)) == 3 * (2 + 2)  # an isolated tenant's salt doesn't depend on the shared generation
     assert salt_for(7, 0, None).version == 7
 
 
-def test_older_weights_are_usable_for_a_part_of_the_time_since_the_first_newer_naming() -> None:
-    told: dict[str, int] | None = None
-    named = NamedVersions(lambda: told, apply=10.0)
+def test_older_weights_are_usable_for_a_grace_time_after_the_first_newer_version_is_named() -> None:
+    current: dict[str, int] | None = None
+    named = NamedVersions(lambda: current, version_apply_s=10.0)
     named.look(0.0)
-    told = {"m": 2}
+    current = {"m": 2}
     named.look(1.0)
-    assert not named.usable("m", 1, 1.0)  # nobody knows since when
+    assert not named.usable("m", 1, 1.0)  # when version 2 was named is not known
     assert named.usable("m", 2, 1.0)
-    told = {"m": 3}
+    current = {"m": 3}
     named.look(5.0)
     assert named.usable("m", 2, 10.9) and not named.usable("m", 2, 11.0)
-    told = {"m": 5}
+    current = {"m": 5}
     named.look(9.0)
     assert not named.usable("m", 2, 11.0) and named.usable("m", 3, 14.9) and not named.usable("m", 3, 15.0)
     assert not named.usable("m", 1, 9.0) and named.usable("other", 1, 99.0)
 
 
-def test_a_part_is_kept_only_behind_kept_ones() -> None:
-    affinity = Affinity(most=3)
+def test_a_part_counts_as_cached_only_if_all_before_it_are() -> None:
+    affinity = Affinity(max_parts=3)
     affinity.sent("s", [("a", 800), ("b", 400)], "e1", 0.0)
     parts = [("a", 800), ("b", 400), ("c", 9)]
     assert affinity.kept("s", parts, "e1", 1.0) == 1200 == affinity.seen("s", parts)
@@ -80,18 +80,18 @@
     assert affinity.kept("s", parts, "e1", 2.0) == 0 and len(affinity.parts) == 3
 
 
-def test_prompts_are_read_as_far_as_they_can_be() -> None:
+def test_part_lists_are_parsed_up_to_the_first_malformed_item() -> None:
     assert parse_parts("5c1e07a2:800, 91bd:410,bad,ff:1") == [("5c1e07a2", 800), ("91bd", 410)]
     assert (prompt_tokens("1460,80"), prompt_tokens(""), prompt_tokens("x,1")) == (1460, 0, 0)
 
 
-def test_the_excess_fades() -> None:
+def test_the_observed_excess_decays() -> None:
     load = Load()
     load.first_piece(10.0, 100.0)
     assert load.excess(10.0) == 20.0 > load.excess(13.0) > load.excess(20.0)
 
 
-def test_headers_of_ours_and_of_one_connection_do_not_go_on() -> None:
+def test_internal_and_hop_by_hop_headers_are_not_forwarded() -> None:
     sent = [
         (b"host", b"h"),
         (b"attempt-id", b"1"),
@@ -110,7 +110,7 @@
     assert not is_framed(b"GET", 200, [(b"server-seal", b"s")]) and is_framed(b"HEAD", 200, [])
 
 
-def test_how_long_a_connection_is_kept() -> None:
+def test_idle_time_of_a_connection() -> None:
     assert idle_time([(b"keep-alive", b"timeout=5, max=9")]) == 4.0
     assert idle_time([(b"keep-alive", b"timeout=1")]) == 0.0
     assert idle_time([]) == 4.0
@@ -120,22 +120,22 @@
 
 
 @given(st.lists(st.integers(0, 300), max_size=12), st.integers(0, 300), st.integers(0, 11))
-def test_joined_runs_give_each_event_once(cuts: list[int], broken: int, back: int) -> None:
-    joiner, text, came = EventJoiner(), b"".join(EVENTS), b""
+def test_joined_streams_give_each_event_once(cuts: list[int], broken: int, back: int) -> None:
+    joiner, text, joined = EventJoiner(), b"".join(EVENTS), b""
     joiner.begin()
     first = text[:broken]
     for start, end in zip([0, *sorted(cuts)], [*sorted(cuts), len(first)], strict=True):
-        came += joiner.feed(first[start:end])
+        joined += joiner.feed(first[start:end])
     assert joiner.may_join()
-    again = max(int(joiner.last or 0) - back, 0)  # an endpoint that repeats some
+    again = max(int(joiner.last or 0) - back, 0)  # an endpoint may repeat some events
     joiner.begin()
     rest = b"".join(EVENTS[again:])
     for at in range(0, len(rest), 7):
-        came += joiner.feed(rest[at : at + 7])
-    assert came + joiner.rest() == text
+        joined += joiner.feed(rest[at : at + 7])
+    assert joined + joiner.rest() == text
 
 
-def test_a_stream_without_numbers_is_not_joined() -> None:
+def test_a_stream_without_numeric_ids_is_not_joined() -> None:
     joiner = EventJoiner()
     joiner.begin()
     assert joiner.feed(b"id: a\ndata: 1\n\nda") == b"id: a\ndata: 1\n\n"
@@ -145,7 +145,7 @@
         joiner.begin()
         assert joiner.may_join()
         assert joiner.feed(text) == text
-        assert not joiner.may_join()  # the newest event has no place that could be named
+        assert not joiner.may_join()  # the newest event has no id to resume from
     joiner = EventJoiner()
     joiner.begin()
     joiner.feed(b"id: 1\ndata: 1\n\n: still here\n\n")
@@ -156,37 +156,37 @@
     return Outcomes(lambda: routers, random.Random(1))
 
 
-def test_failures_in_a_row_open_and_one_trial_closes() -> None:
+def test_consecutive_failures_open_a_breaker_and_one_trial_closes_it() -> None:
     health = outcomes()
     for at in range(3):
         health.failed(health.begin("e", float(at)), float(at))
     assert health.is_open("e") and math.isclose(health.ready_in("e", 2.5), 1.5, abs_tol=0.01)
     trial = health.begin("e", 4.1)
     assert health.ready_in("e", 4.2) == math.inf
-    health.nothing(trial)  # the client went away: the trial is still to be made
+    health.nothing(trial)  # the client disconnected: the trial is still to be made
     assert health.ready_in("e", 4.2) == 0
     health.served(health.begin("e", 4.3), 4.4)
     assert not health.is_open("e")
 
 
-def test_refusals_pace_and_never_open_and_a_call_counts_once() -> None:
+def test_refusals_pace_calls_without_opening_and_a_call_counts_once() -> None:
     health = outcomes()
     call = health.begin("e", 1.0)
     health.refused(call, 1.02, 0.0)
     health.failed(call, 1.02)
     assert not health.is_open("e") and health.breakers["e"].failures == 0
-    assert 0.07 < health.ready_in("e", 1.02) < 0.09  # the gap's first step, from the sending on
+    assert 0.07 < health.ready_in("e", 1.02) < 0.09  # the first step of the gap, counted from the send
     health.refused(health.begin("e", 1.11), 1.12, 0.5)
     assert health.ready_in("e", 1.12) >= 0.499
     assert health.breakers["e"].out == 0
 
 
-def test_breakers_of_what_is_gone_age_out() -> None:
+def test_breakers_of_unlisted_destinations_expire() -> None:
     health = outcomes()
-    out = health.begin("gone", 0.0)
+    call = health.begin("gone", 0.0)
     health.begin("listed", 0.0)
     health.age(["listed"], 100.0)
     assert set(health.breakers) == {"gone", "listed"}
-    health.nothing(out)
+    health.nothing(call)
     health.age(["listed"], 100.0)
     assert set(health.breakers) == {"listed"}
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -1,4 +1,4 @@
-"""Isolated tenants: whose memory a request can find while tenants become isolated, shared, or are dropped."""
+"""Isolated tenants: whose cache a request can use while tenants become isolated, shared, or are removed."""
 
 import asyncio
 from collections import defaultdict
@@ -18,7 +18,7 @@
 from tests.dispatch_world import FULL, LONG, MODEL, Act, Peer, Router, answer, document, made, stream, within
 
 HALL, LIBRARY = "hall", "library"
-CONNECT_TIMEOUT_S = 5.0  # a busy machine takes longer than a router waits
+CONNECT_TIMEOUT_S = 5.0  # a loaded test machine exceeds a router's default timeout
 LONG_SHARED_PARTS = {name.replace("-", "_"): value for name, value in LONG.items()}
 SHORT = {name.replace("-", "_"): value for name, value in MODEL.items()}
 
@@ -33,7 +33,7 @@
 
 
 class Operator:
-    """Puts configurations in force at a router, as its feed does."""
+    """Applies configurations at a router, as its feed does."""
 
     def __init__(self, router: Router, **route: object) -> None:
         self.router, self.route, self.state = router, route, ReplicatedConfiguration()
@@ -56,7 +56,8 @@
     return router, operator
 
 
-# Guards against the memory of a tenant that becomes isolated while its request waits (review/1, WALL).
+# Guards against use of the shared cache by a tenant that becomes isolated while its request waits (review/1,
+# WALL).
 @pytest.mark.parametrize("listed", [LIBRARY_ISOLATED, LIBRARY_DROPPED], ids=["isolated", "dropped"])
 def test_a_request_that_waits_while_its_tenant_leaves_the_shared_cache_uses_its_own(
     listed: list[Document],
@@ -84,7 +85,7 @@
     within(work())
 
 
-# Guards against the same in a second send, which may follow the admission by seconds.
+# Guards against the same in a second attempt, which may be sent seconds after the admission.
 def test_a_second_attempt_after_its_tenant_became_isolated_uses_its_own_cache() -> None:
     async def work() -> None:
         operator: Operator
@@ -103,7 +104,7 @@
     within(work())
 
 
-# Guards against the same where the system resumes a stream, which may follow the admission by seconds too.
+# Guards against the same when the router resumes a stream, which may be seconds after the admission too.
 def test_a_stream_resumed_after_its_tenant_became_isolated_uses_its_own_cache() -> None:
     async def work() -> None:
         operator: Operator
@@ -123,7 +124,7 @@
     within(work())
 
 
-# Guards against a change in the time that a connection takes, between the choice of an endpoint and the send.
+# Guards against a change while a connection is made, between the choice of an endpoint and the send.
 def test_a_request_whose_tenant_becomes_isolated_while_it_connects_uses_its_own_cache() -> None:
     async def work() -> None:
         peer = Peer("e0", answer())
@@ -162,7 +163,7 @@
     within(work())
 
 
-# Any history of tenants, with routers that lag behind and requests that are sent long after their admission.
+# Any history of configurations, with routers that lag behind and requests sent long after their admission.
 
 NAMES = ("a", "b", "c")
 #: Of each tenant: not listed, sharing, or isolated.
@@ -189,12 +190,12 @@
         max_size=30,
     ),
 )
-def test_no_history_lets_a_request_find_what_an_isolated_tenant_made(
+def test_no_history_lets_a_request_use_cache_entries_of_an_isolated_tenant(
     listings: list[list[bool | None]], steps: list[tuple[int, int, str, int]]
 ) -> None:
-    """A step: a router goes on by some configurations, then sends a request of a tenant that was admitted
-    some configurations before. Judged where the router has the newest configuration that any router has: one
-    that lags is bounded by ConfigurationApplyMs.
+    """In each step a router applies some configurations, then sends a request of a tenant that was admitted
+    some configurations earlier. Checked only at routers with the newest configuration that any router has:
+    the lag of others is bounded by ConfigurationApplyMs.
     """
     states = states_of(listings)
     at = [0] * ROUTERS
--- a/tests/test_prefix_cache_events.py
+++ b/tests/test_prefix_cache_events.py
@@ -1,13 +1,13 @@
-"""What routers tell one another of prompts, as plain values."""
+"""The decoding of prompt and store events."""
 
 import pytest
 
 from plumline.prefix_cache.events import Done, Placed, Read, Stored, news_from
 
 
-def test_the_plain_values_of_each_kind_make_a_message() -> None:
-    told = ["placed", 3, "e1", "v1w0", [["system", 800], ["own", 30]], 30.0, "10.9.9.9:1"]
-    assert news_from(told) == Placed(3, "e1", "v1w0", [("system", 800), ("own", 30)], 30.0, "10.9.9.9:1")
+def test_each_kind_of_event_is_decoded() -> None:
+    event = ["placed", 3, "e1", "v1w0", [["system", 800], ["own", 30]], 30.0, "10.9.9.9:1"]
+    assert news_from(event) == Placed(3, "e1", "v1w0", [("system", 800), ("own", 30)], 30.0, "10.9.9.9:1")
     assert news_from(["read", 3]) == Read(3)
     assert news_from(["done", 3]) == Done(3)
     assert news_from(["stored", 7, [["+", "v1w0", "system", 800]]]) == Stored(
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(
-    "told",
+    "event",
     [
         None,
         [],
@@ -28,6 +28,6 @@
         ["stored", 7, {}],
     ],
 )
-def test_what_is_no_news_is_refused(told: object) -> None:
+def test_malformed_and_unknown_events_are_rejected(event: object) -> None:
     with pytest.raises(ValueError):
-        news_from(told)
+        news_from(event)
--- a/tests/test_prefix_cache_index.py
+++ b/tests/test_prefix_cache_index.py
@@ -17,7 +17,7 @@
     PrefixCacheIndex,
 )
 from plumline.routing.prefix_fetch import SETUP_MS, Holder, best_fetch
-from plumline.routing.prefix_homes import LEAST_S, MEMORY_S, PrefixHomes, is_long
+from plumline.routing.prefix_homes import MIN_RATE_SPAN_S, WORK_TIME_CONSTANT_S, PrefixHomes, is_long
 
 A, B = ("10.0.0.1", 1), ("10.0.0.2", 1)
 STORE = "10.9.9.9:1"
@@ -185,10 +185,13 @@
     assert work.rates(0.0) == (0.0, 0.0)
     work.add(0.0, 100.0, long=True)
     work.add(0.0, 50.0, long=False)
-    # A rate is taken over at least LEAST_S.
-    assert math.isclose(work.rates(0.0)[1], 100 / (MEMORY_S * (1 - math.exp(-LEAST_S / MEMORY_S))))
-    short, long = work.rates(MEMORY_S)
-    span = MEMORY_S * (1 - 1 / math.e)
+    # A rate is taken over at least MIN_RATE_SPAN_S.
+    assert math.isclose(
+        work.rates(0.0)[1],
+        100 / (WORK_TIME_CONSTANT_S * (1 - math.exp(-MIN_RATE_SPAN_S / WORK_TIME_CONSTANT_S))),
+    )
+    short, long = work.rates(WORK_TIME_CONSTANT_S)
+    span = WORK_TIME_CONSTANT_S * (1 - 1 / math.e)
     assert math.isclose(short, 50 / math.e / span) and math.isclose(long, 100 / math.e / span)
     steady = PrefixHomes().work
     for step in range(100):
--- a/tests/test_version_gate.py
+++ b/tests/test_version_gate.py
@@ -1,4 +1,4 @@
-"""Which endpoints take requests while versions are rolled out."""
+"""The endpoints that get requests during roll-outs of versions."""
 
 import pytest
 
@@ -44,21 +44,21 @@
 BOTH = endpoints(a="v1", b="v1", x="v2", y="v2")
 
 
-def test_without_roll_outs_all_versions_take_requests() -> None:
+def test_all_versions_get_requests_without_a_roll_out() -> None:
     gate = Gate()
     gate.gate.update(BOTH, {})
     assert gate.serving == {"a", "b", "x", "y"}
 
 
 @pytest.mark.parametrize("stage", RUNNING)
-def test_the_target_version_takes_nothing_without_a_grant(stage: RolloutStage) -> None:
+def test_the_target_version_gets_no_requests_without_a_grant(stage: RolloutStage) -> None:
     gate = Gate()
     gate.gate.update(BOTH, record(stage))
     assert gate.serving == {"a", "b"}
     assert gate.trial == (set(), 0.0)
 
 
-def test_a_grant_allows_its_endpoints_a_share_until_it_is_over() -> None:
+def test_a_grant_allows_its_endpoints_a_share_until_it_expires() -> None:
     gate = Gate()
     gate.gate.update(BOTH, record(RolloutStage.CANARY))
     gate.gate.grant(grant(0.1, "x"))
@@ -68,7 +68,8 @@
     assert gate.trial == ({"x"}, 0.1)
     gate.now += 0.02
     assert gate.trial == (set(), 0.0)
-    gate.gate.update(BOTH, record(RolloutStage.CANARY))  # nor does news of something else renew it
+    # An update of something else does not renew the grant.
+    gate.gate.update(BOTH, record(RolloutStage.CANARY))
     assert gate.trial == (set(), 0.0)
 
 
@@ -79,8 +80,8 @@
     assert gate.trial == (set(), 0.0)
 
 
-# Guards against the two ways in which a bad version got requests after its end.
-def test_a_version_that_was_reverted_takes_nothing_whatever_grant_is_left() -> None:
+# Guards against requests to a reverted version: through a grant that is still valid, or as an earlier target.
+def test_a_reverted_version_gets_no_requests_even_with_a_valid_grant() -> None:
     gate = Gate()
     gate.gate.update(BOTH, record(RolloutStage.CANARY))
     gate.gate.grant(grant(0.5))
@@ -92,16 +93,16 @@
     assert gate.serving == {"a"}
 
 
-def test_after_completion_only_the_target_version_takes_requests() -> None:
+def test_after_completion_only_the_target_version_gets_requests() -> None:
     gate = Gate()
     gate.gate.update(BOTH, record(RolloutStage.HOLDING))
     gate.gate.update(BOTH, record(RolloutStage.COMPLETED))
-    assert gate.serving == {"x", "y"}  # the others have stopped, and stay listed for a while
+    assert gate.serving == {"x", "y"}  # the others have stopped, but are still listed
     gate.gate.update(endpoints(x="v2", n="v3"), record(RolloutStage.CANARY, "v3"))
     assert gate.serving == {"x"}
 
 
-def test_a_version_that_is_listed_before_its_order_is_known_waits_for_it() -> None:
+def test_a_version_listed_before_its_order_arrives_gets_no_requests() -> None:
     gate = Gate()
     gate.gate.update(endpoints(a="v1"), {})
     gate.gate.update(BOTH, {})
@@ -111,7 +112,7 @@
     assert gate.serving == {"a", "b"}
 
 
-def test_a_version_that_nobody_orders_is_used_after_a_while() -> None:
+def test_a_version_without_an_order_is_used_after_a_delay() -> None:
     gate = Gate()
     gate.gate.update(endpoints(a="v1"), {})
     gate.gate.update(BOTH, {})
@@ -119,14 +120,14 @@
     assert gate.serving == {"a", "b", "x", "y"}
 
 
-def test_a_version_that_nobody_ordered_is_used_at_once_where_nothing_else_is_left() -> None:
+def test_a_version_without_an_order_is_used_at_once_if_there_is_no_other() -> None:
     gate = Gate()
     gate.gate.update(endpoints(a="v1"), {})
     gate.gate.update(endpoints(x="v2"), {})
     assert gate.serving == {"x"}
 
 
-def test_a_router_that_starts_during_a_roll_out_knows_what_is_on_trial() -> None:
+def test_a_router_that_starts_during_a_roll_out_knows_the_version_on_trial() -> None:
     gate = Gate()
     gate.gate.update(BOTH, record(RolloutStage.CANARY))
     assert gate.serving == {"a", "b"}
@@ -135,7 +136,7 @@
     assert gate.serving == {"x", "y"}
 
 
-def test_prompts_have_their_homes_where_requests_go() -> None:
+def test_prefix_homes_follow_the_stage_of_the_roll_out() -> None:
     gate = Gate()
     gate.gate.update(BOTH, record(RolloutStage.CANARY))
     gate.gate.grant(grant(0.1, "x"))
