--- a/plumline/routing/reserved_quota.py
+++ b/plumline/routing/reserved_quota.py
@@ -21,7 +21,7 @@
 DEMAND_TIME_CONSTANT_S = 1.5  # of the decay of measured demand; a flood must show within its first second
 MIN_RATE_SPAN_S = 1.0  # a burst right after the first request is not yet a rate
 TARGET_UTILIZATION = 0.8  # of endpoints' time: beyond it waiting times grow without bound
-REFUSAL_SURGE = 1.2  # demand by capacity; below it, requests over their share are sent with the last priority
+REFUSAL_SURGE = 1.2  # demand divided by capacity; below it, requests over their share are sent last
 FLOOD_FACTOR = 2.0  # a rate above this multiple of the reported one is a flood not yet in the fleet's sums
 MIN_REPORT_INTERVAL_S = 0.5  # heartbeats to several registrars that are closer together count as one report
 BUCKET_IDLE_S = 2.0  # a bucket that was unused for longer doesn't show what its tenant has used since
@@ -163,9 +163,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Standing:
-    """A request's position towards its tenant's quota."""
+    """How a request relates to its tenant's quota."""
 
-    surge: float = 0.0  # demand on its service by the capacity; 0 if the capacity isn't exceeded
+    surge: float = 0.0  # demand on its service divided by the capacity; 0 if the capacity isn't exceeded
     surging: bool = False  # its tenant's demand is above its ceiling
     over: bool = False  # and its bucket is empty
     wait: float = 0.0  # seconds until the bucket has tokens again, if it is empty
@@ -197,7 +197,7 @@
     """Capacity and demand of one service, as one router knows them."""
 
     capacity: float = 0.0  # ms a second that can be allocated, computed from the number of endpoints
-    capacity_factor: float = 1.0  # the part of it that the endpoints prove to have
+    capacity_factor: float = 1.0  # the fraction of it that the endpoints currently show to have
     factor_changed_at: float = 0.0
     strain: float = 0.0
     accounts: dict[str, Account] = field(default_factory=dict)
@@ -267,7 +267,7 @@
 class Shares:
     """The quotas of all services at one router.
 
-    `on_surge(service, whether a surge is on, demand by capacity)` is called when one begins and ends.
+    `on_surge(service, whether a surge is on, demand divided by capacity)` is called when one begins and ends.
     """
 
     def __init__(
