--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -218,7 +218,7 @@
     assert sent(world.take("zoned", after=100 * MS)) == ["m2"]
     world.answer("m2", Outcome.OK)
     (breaker,) = world.dispatcher.breakers.values()
-    actions = world.step(face.WakeUp(), after=int(breaker.patience()))
+    actions = world.step(face.WakeUp(), after=int(breaker.overdue_timeout()))
     assert [each for each in actions if isinstance(each, face.CancelAttempt)] == [face.CancelAttempt("m1", 0)]
     assert sent(world.answer("m1", Outcome.CANCELLED)) == ["m1"]
 
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -29,7 +29,7 @@
             world.take("once")
             world.answer(f"m{world.count}", Outcome.RESET)
         (breaker,) = world.dispatcher.breakers.values()
-        assert (breaker.cold_gap(world.now) > 0) == cold
+        assert (breaker.warm_up_gap(world.now) > 0) == cold
 
 
 def test_the_first_gap_of_a_crowd_is_wide() -> None:
@@ -99,7 +99,7 @@
     world.take()
     assert sent(world.answer("m1", Outcome.CROWDED)) == []
     (breaker,) = world.dispatcher.breakers.values()
-    assert breaker.gap == 0 and breaker.cold_gap(world.now) == 0
+    assert breaker.gap == 0 and breaker.warm_up_gap(world.now) == 0
     assert sent(world.step(face.WakeUp(), after=SECOND)) == ["m1"]
 
 
@@ -126,11 +126,11 @@
             world.take(after=pause)
             world.answer(f"m{world.count}", Outcome.OK)
         (breaker,) = world.dispatcher.breakers.values()
-        gaps.append((breaker.step, breaker.most_gap))
+        gaps.append((breaker.initial_gap, breaker.max_gap))
     few = World(fleet_size=2)
     few.take()
     (breaker,) = few.dispatcher.breakers.values()
-    assert (breaker.step, breaker.most_gap) == (GAP_STEP, RESET_TIMEOUT)
+    assert (breaker.initial_gap, breaker.max_gap) == (GAP_STEP, RESET_TIMEOUT)
     assert RESET_TIMEOUT <= gaps[0][1] < gaps[1][1] < RESET_TIMEOUT * CROWD / GAP_SENDERS
     # Narrower than the messages come, the first gap would change nothing.
     assert SECOND // 10 < gaps[0][0] < SECOND < gaps[1][0] < 2 * SECOND
@@ -142,7 +142,7 @@
         world = World(fleet_size=fleet, fall_multiple=2.0, cold_from=0.2)
         (breaker,) = [world.dispatcher.breaker_at(1, "")]
         breaker.cold_since, breaker.calls, breaker.span = world.now, 10.0, 10.0 * SECOND
-        times = round(SECOND / breaker.cold_gap(world.now) / 0.2, 6)  # of the capacity that its rate shows
+        times = round(SECOND / breaker.warm_up_gap(world.now) / 0.2, 6)  # of the capacity that its rate shows
         assert (times == 1.5) == (fleet == 2) and 1.5 <= times < 2.0
 
 
@@ -165,9 +165,9 @@
             call = Call(breaker, world.dispatcher.endpoints["a"], world.now)
             breaker.refused(world.now, call, 0)
             world.now += RESET_TIMEOUT
-        assert (breaker.cold_gap(world.now) > 0) == warms
+        assert (breaker.warm_up_gap(world.now) > 0) == warms
         breaker.served(world.now, Call(breaker, world.dispatcher.endpoints["a"], world.now))
-        assert (breaker.cold_gap(world.now) > 0) == warms
+        assert (breaker.warm_up_gap(world.now) > 0) == warms
 
 
 def test_the_gap_of_a_crowd_shrinks_faster_the_longer_no_refusal_comes() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,8 +5,8 @@
 
 from message_sender import interface as face
 from message_sender.interface import Outcome
-from message_sender.rules import AGE_CHECK, IDLE_AGE
-from plumline.breaker.breaker import COLD_PUSH
+from message_sender.rules import EXPIRY_INTERVAL, IDLE_EXPIRY
+from plumline.breaker.breaker import WARM_UP_PACE
 
 
 def test_held_message_is_ended_before_its_time() -> None:
@@ -321,9 +321,9 @@
     world.step(face.WakeUp(), after=SECOND)
     assert world.dispatcher.keys == {} and world.dispatcher.credit == {}
     gone = [endpoint("a", state=face.EndpointState.GONE), endpoint("b", state=face.EndpointState.GONE)]
-    world.step(face.EndpointsListed(face.Listing.CHANGES, tuple(gone)), after=AGE_CHECK)
+    world.step(face.EndpointsListed(face.Listing.CHANGES, tuple(gone)), after=EXPIRY_INTERVAL)
     assert len(world.dispatcher.breakers) == 2 and world.dispatcher.waiting == {}
-    world.step(face.WakeUp(), after=IDLE_AGE)
+    world.step(face.WakeUp(), after=IDLE_EXPIRY)
     assert [key[0] for key in world.dispatcher.breakers] == [2]
 
 
@@ -355,8 +355,8 @@
         (breaker,) = world.dispatcher.breakers.values()
         for _ in range(3):
             breaker.failed(world.now)
-        gaps.append(breaker.cold_gap(world.now))
-    assert gaps[1] == 2 / 40 * SECOND / (2.0 * COLD_PUSH * 0.2) < gaps[0]
+        gaps.append(breaker.warm_up_gap(world.now))
+    assert gaps[1] == 2 / 40 * SECOND / (2.0 * WARM_UP_PACE * 0.2) < gaps[0]
 
 
 def test_a_told_wait_binds_calls_about_to_go_before_its_events_are_handled() -> None:
--- a/tests/test_shared_breaker.py
+++ b/tests/test_shared_breaker.py
@@ -153,8 +153,8 @@
 
 def test_after_an_outage_calls_are_paced_until_the_destination_is_warm() -> None:
     breaker = opened(COLD)
-    assert breaker.cold_gap(START) > breaker.cold_gap(START + 5 * SECOND) > 0
-    assert breaker.cold_gap(START + COLD.cold) == 0
+    assert breaker.warm_up_gap(START) > breaker.warm_up_gap(START + 5 * SECOND) > 0
+    assert breaker.warm_up_gap(START + COLD.cold) == 0
 
 
 @pytest.mark.parametrize("fleet_size", [4, CROWD])
@@ -170,13 +170,13 @@
     breaker.served(now + SECOND, Sent(now + MS))
     breaker.served(now + SECOND, Sent(now + MS))
     for at in (START, now, now + SECOND, now + 3 * SECOND):
-        assert breaker.cold_gap(at) == 0
-    assert 0 < breaker.step <= breaker.most_gap < NEVER
+        assert breaker.warm_up_gap(at) == 0
+    assert 0 < breaker.initial_gap <= breaker.max_gap < NEVER
 
 
 @pytest.mark.parametrize("cold", [1, 10 * SECOND])
 def test_a_cold_time_is_used_as_it_is_told(cold: int) -> None:
-    assert a_breaker(PlainSettings(2 * SECOND, cold=cold)).remembered == cold
+    assert a_breaker(PlainSettings(2 * SECOND, cold=cold)).rate_memory == cold
 
 
 def test_the_senders_settings_and_plain_ones_make_the_same_breaker() -> None:
