--- a/message_sender/__init__.py
+++ b/message_sender/__init__.py
@@ -1,4 +1,4 @@
-"""The message sender: decisions of a dispatcher of notifications, a circuit breaker per destination."""
+"""The message sender: schedules notifications, with a circuit breaker per destination."""
 
 from message_sender.rules import Dispatcher
 
--- a/message_sender/adapter.py
+++ b/message_sender/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire on standard input and output; many senders, nothing shared between them."""
+"""The simulator's line protocol on standard input and output; serves many independent senders."""
 
 import json
 import sys
@@ -26,21 +26,21 @@
     "2": face.Listing.FULL,
     "3": face.Listing.FAILED,
 }
-BITS = {"0": False, "1": True}
-TEXT_FIELDS = {"power_on": " env="}
-AGAIN_BIT = 2
-IGNORED = {"head_received", "probe_result", "whisper"}
+BOOLEANS = {"0": False, "1": True}
+TEXT_FIELDS = {"power_on": " env="}  # by type of line: its last field, whose value may contain spaces
+RESUBMITTED_BIT = 2
+IGNORED_EVENTS = {"head_received", "probe_result", "whisper"}
 
 
 class WireError(Exception):
-    """The input is not what the wire describes."""
+    """The input violates the line protocol."""
 
 
 class Line:
-    """One line of the input: its type and its fields."""
+    """One input line: its type and fields."""
 
     def __init__(self, number: int, text: str) -> None:
-        self.number = number
+        self.line_number = number
         text = text.rstrip("\n")
         head, _, rest = text.partition(" ")
         self.type = head
@@ -56,7 +56,7 @@
             self.fields[name] = value
 
     def error(self, field: str, what: str) -> WireError:
-        return WireError(f"line {self.number}: {self.type or '(empty)'}: {field}: {what}")
+        return WireError(f"line {self.line_number}: {self.type or '(empty)'}: {field}: {what}")
 
     def text(self, field: str, default: str | None = None) -> str:
         value = self.fields.get(field, default)
@@ -64,13 +64,13 @@
             raise self.error(field, "is missing")
         return value
 
-    def number_of(self, field: str, default: str | None = None) -> int:
+    def integer(self, field: str, default: str | None = None) -> int:
         return self._read(field, default, int)
 
-    def real(self, field: str, default: str | None = None) -> float:
+    def number(self, field: str, default: str | None = None) -> float:
         return self._read(field, default, float)
 
-    def one_of(self, field: str, choices: dict[str, Any], default: str | None = None) -> Any:  # noqa: ANN401
+    def choice(self, field: str, choices: dict[str, Any], default: str | None = None) -> Any:  # noqa: ANN401
         return self._read(field, default, choices.__getitem__)
 
     def _read(self, field: str, default: str | None, read: Callable[[str], Any]) -> Any:  # noqa: ANN401
@@ -90,42 +90,42 @@
         raise line.error("env", str(error)) from None
 
 
-def write_action(who: str, action: face.Action) -> str:
+def write_action(sender: str, action: face.Action) -> str:
     match action:
         case face.Send(message, endpoint, timeout):
-            return f"place who={who} ref={message} give_up_after={timeout} receiver={endpoint}\n"
+            return f"place who={sender} ref={message} give_up_after={timeout} receiver={endpoint}\n"
         case face.Refuse(message, retry_after):
-            return f"shed who={who} ref={message} retry_after={retry_after}\n"
+            return f"shed who={sender} ref={message} retry_after={retry_after}\n"
         case face.Fail(message):
-            return f"error who={who} ref={message}\n"
+            return f"error who={sender} ref={message}\n"
         case face.CancelAttempt(message, attempt):
-            return f"stop_attempt who={who} ref={message} go={attempt}\n"
+            return f"stop_attempt who={sender} ref={message} go={attempt}\n"
         case face.WakeAfter(delay):
-            return f"set_alarm who={who} handle=0 delay={delay}\n"
+            return f"set_alarm who={sender} handle=0 delay={delay}\n"
         case face.Subscribe():
-            return f"listen who={who} on=1\n"
+            return f"listen who={sender} on=1\n"
         case face.CloseIdle(endpoint):
-            return f"release who={who} receiver={endpoint}\n"
+            return f"release who={sender} receiver={endpoint}\n"
         case face.Note(text):
-            return f"remark who={who} message={text}\n"
+            return f"remark who={sender} message={text}\n"
 
 
 class Adapter:
-    """Turns batches of lines into events and the answers into lines."""
+    """Converts batches of lines to events, and the resulting actions to lines."""
 
     def __init__(self, source: IO[str], sink: IO[str]) -> None:
         self.source = source
-        self.sink = sink
+        self.output = sink
         self.senders: dict[str, Dispatcher] = {}
-        self.sheets: dict[int, tuple[face.Endpoint, ...]] = {}
-        self.number = 0
+        self.endpoint_lists: dict[int, tuple[face.Endpoint, ...]] = {}
+        self.line_number = 0
 
     def next_line(self) -> Line | None:
         text = self.source.readline()
         if not text:
             return None
-        self.number += 1
-        return Line(self.number, text)
+        self.line_number += 1
+        return Line(self.line_number, text)
 
     def run(self) -> None:
         while (line := self.next_line()) is not None:
@@ -133,60 +133,60 @@
                 continue  # an empty line between batches
             if line.type != "sync":
                 raise line.error("(type)", "a batch begins with sync")
-            self.batch(line.number_of("wall"), line.number_of("seq"))
+            self.batch(line.integer("wall"), line.integer("seq"))
 
     def batch(self, now: int, seq: int) -> None:
-        inbox: dict[str, list[face.Event]] = {}
+        events_by_sender: dict[str, list[face.Event]] = {}
         while True:
             line = self.next_line()
             if line is None:
-                raise WireError(f"line {self.number}: sync: (end): the input ends inside a batch")
+                raise WireError(f"line {self.line_number}: sync: (end): the input ends inside a batch")
             if line.type == "over_to_you":
                 break
             if line.type == "sheet":
-                self.sheets[line.number_of("table")] = self.read_sheet(line.number_of("elements"))
+                self.endpoint_lists[line.integer("table")] = self.read_endpoints(line.integer("elements"))
                 continue
-            who = line.text("who")
+            sender = line.text("who")
             if line.type == "power_on":
-                self.senders[who] = Dispatcher(read_settings(line), line.number_of("nonce64"))
-                inbox[who] = []
+                self.senders[sender] = Dispatcher(read_settings(line), line.integer("nonce64"))
+                events_by_sender[sender] = []
                 continue
             if line.type == "destroy":
-                self.senders.pop(who, None)
-                inbox.pop(who, None)
+                self.senders.pop(sender, None)
+                events_by_sender.pop(sender, None)
                 continue
             event = self.read_event(line)
-            if who not in self.senders:
-                raise line.error("who", f"{who} is not running")
-            inbox.setdefault(who, [])
+            if sender not in self.senders:
+                raise line.error("who", f"{sender} is not running")
+            events_by_sender.setdefault(sender, [])
             if event is not None:
-                inbox[who].append(event)
-        out = []
-        for who, events in inbox.items():
+                events_by_sender[sender].append(event)
+        replies = []
+        for sender, events in events_by_sender.items():
             try:
-                actions = self.senders[who].handle(now, events)
+                actions = self.senders[sender].handle(now, events)
             except Exception as error:
                 text = " ".join(f"{type(error).__name__}: {error}".split())
-                out.append(f"panic who={who} message={text}\n")
+                replies.append(f"panic who={sender} message={text}\n")
                 continue
-            out.extend(write_action(who, action) for action in actions)
-        self.sink.write("".join(out) + f"end seq={seq}\n")
-        self.sink.flush()
+            replies.extend(write_action(sender, action) for action in actions)
+        self.output.write("".join(replies) + f"end seq={seq}\n")
+        self.output.flush()
 
-    def read_sheet(self, count: int) -> tuple[face.Endpoint, ...]:
+    def read_endpoints(self, count: int) -> tuple[face.Endpoint, ...]:
         entries = []
         for _ in range(count):
             line = self.next_line()
             if line is None or line.type != "receiver":
-                raise WireError(f"line {self.number}: sheet: elements: a receiver line is missing")
+                raise WireError(f"line {self.line_number}: sheet: elements: a receiver line is missing")
             entries.append(
                 face.Endpoint(
                     id=line.text("receiver"),
-                    destination=line.number_of("destination"),
-                    state=line.one_of("state", STATES),
+                    destination=line.integer("destination"),
+                    state=line.choice("state", STATES),
                     kind=line.text("generation_hw", ""),
                     zone=line.text("dc", ""),
-                    scale=line.real("scale", "1"),
+                    scale=line.number("scale", "1"),
                 )
             )
         return tuple(entries)
@@ -194,39 +194,39 @@
     def read_event(self, line: Line) -> face.Event | None:
         match line.type:
             case "view":
-                listing = line.one_of("how", LISTINGS)
+                listing = line.choice("how", LISTINGS)
                 if listing is face.Listing.FAILED:
                     return face.EndpointsListed(listing)
-                table = line.number_of("table")
-                if table not in self.sheets:
+                table = line.integer("table")
+                if table not in self.endpoint_lists:
                     raise line.error("table", f"no sheet {table}")
-                return face.EndpointsListed(listing, self.sheets[table])
+                return face.EndpointsListed(listing, self.endpoint_lists[table])
             case "req":
                 return face.MessageTaken(
                     message=line.text("ref"),
                     message_class=line.text("service"),
-                    destination=line.number_of("dest"),
-                    time_left=line.number_of("time_left"),
+                    destination=line.integer("dest"),
+                    time_left=line.integer("time_left"),
                     tenant=line.text("customer", ""),
                     key=line.text("path_key", ""),
-                    again=bool(line.number_of("bitmap", "0") & AGAIN_BIT),
+                    again=bool(line.integer("bitmap", "0") & RESUBMITTED_BIT),
                 )
             case "answer":
-                outcome = line.one_of("outcome", OUTCOMES)
-                wait_ms = line.number_of("note", "0") if outcome is face.Outcome.FULL else 0
+                outcome = line.choice("outcome", OUTCOMES)
+                wait_ms = line.integer("note", "0") if outcome is face.Outcome.FULL else 0
                 return face.AttemptEnded(
                     message=line.text("ref"),
-                    attempt=line.number_of("go"),
+                    attempt=line.integer("go"),
                     outcome=outcome,
-                    finished=line.one_of("finished", BITS, "0"),
+                    finished=line.choice("finished", BOOLEANS, "0"),
                     wait=wait_ms * 1000,
                 )
             case "lapsed":
                 return face.MessageWithdrawn(line.text("ref"))
             case "reminder":
-                line.number_of("handle")
+                line.integer("handle")
                 return face.WakeUp()
-            case name if name in IGNORED:
+            case name if name in IGNORED_EVENTS:
                 return None
             case _:
                 raise line.error("(type)", "unknown event")
--- a/message_sender/interface.py
+++ b/message_sender/interface.py
@@ -1,6 +1,6 @@
-"""What a sender and the decision module say to each other: settings, events and actions.
+"""The interface between a sender and its decision module: settings, events and actions.
 
-Times are whole microseconds of the sender's own clock; durations are microseconds too.
+Times are whole microseconds of the sender's own clock; durations are whole microseconds too.
 """
 
 from collections.abc import Mapping
@@ -10,10 +10,10 @@
 
 
 class Effect(Enum):
-    """What a repeat of a message does at its destination."""
+    """The effect of a repeated message at its destination."""
 
-    SAFE = "safe"  # repeats do no harm
-    KEYED = "keyed"  # repeats are dropped for a while, see MessageClass.window
+    SAFE = "safe"  # repeats are harmless
+    KEYED = "keyed"  # repeats are dropped for a limited time, see MessageClass.window
     UNSAFE = "unsafe"  # must never run twice
 
 
@@ -23,17 +23,17 @@
     OK = "ok"
     ERROR = "error"
     FULL = "full"
-    CROWDED = "crowded"  # a new connection was turned away: too many are open there
+    CROWDED = "crowded"  # a new connection was refused: the endpoint is at its connection limit
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    STALE = "stale"  # a kept connection broke under it: that says nothing of the destination
-    SPOILT = "spoilt"  # answered, but the answer cannot be read
+    STALE = "stale"  # a reused connection broke; says nothing about the destination's health
+    SPOILT = "spoilt"  # answered, but the answer is malformed
     CANCELLED = "cancelled"
     NOT_SENT = "not_sent"
 
 
-#: Outcomes that speak against the destination's health.
+#: Outcomes that count against the destination's health.
 FAILURES = frozenset({Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.SPOILT})
 
 #: Outcomes that prove the attempt never ran at the destination.
@@ -47,7 +47,7 @@
 
 
 class Listing(Enum):
-    """What a list of endpoints holds."""
+    """The kind of a list of endpoints."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -63,9 +63,9 @@
     worth: float
     late_worth: float
     effect: Effect
-    window: int = 0  # KEYED: how long repeats are dropped, from the first sending that may have run
+    window: int = 0  # KEYED: how long repeats are dropped, from the first attempt that may have run
     window_by_zone: bool = False  # KEYED: only endpoints of the same zone drop repeats
-    in_order: bool = False  # messages of one key go one at a time, as taken
+    in_order: bool = False  # messages of one key are sent one at a time, in the order of arrival
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     """A kind of destination."""
 
     batch: int = 1  # messages that one call may carry
-    apart: bool = False  # endpoints are routes apart, each with its own limit and outages
+    apart: bool = False  # each endpoint has its own limit and outages
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,24 +86,24 @@
     zone: str
     tick: int
     fleet_size: int = 1
-    tenants: tuple[tuple[str, float], ...] = ()  # name, messages a second within its share (all senders)
+    tenants: tuple[tuple[str, float], ...] = ()  # name, messages per second in its share (all senders)
     over_share_worth: float = 1.0
-    halves: bool = False  # late worth falls by half with each further aim, else evenly
-    zone_fees: tuple[tuple[str, float], ...] = ()  # zone, worth lost per message on a route apart there
-    must_ask: bool = False  # the list of endpoints comes only when asked for
-    told_unheard: bool = False  # what discovery holds counts as told from the start, heard or not
+    halves: bool = False  # the value of a late message halves per latency aim; else it falls linearly
+    zone_fees: tuple[tuple[str, float], ...] = ()  # zone, value lost per message on a separate route there
+    must_ask: bool = False  # the list of endpoints is sent only on request
+    told_unheard: bool = False  # discovery's state binds from the start, even if not yet received
     ask_within: int = 10_000_000
-    rates_told: bool = False  # Endpoint.scale is the rate in calls a second that its destination takes
+    rates_told: bool = False  # Endpoint.scale is the rate limit of the destination in calls per second
     may_cancel: bool = True
-    max_retry_after: int = 0  # the longest wait a client honours; 0: it is told none
-    cold: int = 10_000_000  # a destination back from an outage is warm after this
-    cold_from: float = 0.2  # and starts at this share of its capacity
+    max_retry_after: int = 0  # longest wait that a client observes; 0: clients are given none
+    cold: int = 10_000_000  # warm-up time of a destination after an outage
+    cold_from: float = 0.2  # share of its capacity at the start of the warm-up
     fall_multiple: float = 2.0
-    conn_idle: int = 10_000_000  # idle connections are closed after this
-    connect_timeout: int = 1_500_000  # a connection not made by then has failed
+    conn_idle: int = 10_000_000  # idle connections are closed after this time
+    connect_timeout: int = 1_500_000  # a connection not established by then has failed
     key_quiet: int = 0
     drain_grace: int = 0
-    ends_answered: bool = False  # a message ended here is over only with its EndAnswered
+    ends_answered: bool = False  # a message ended here is complete only on its EndAnswered
 
     def __post_init__(self) -> None:
         counts = ("slots", "max_open", "max_attempts", "fleet_size")
@@ -134,7 +134,7 @@
     scale: float = 1.0
 
 
-# Events: what happened to this sender.
+# Events, which the sender passes to the decision module.
 
 
 @dataclass(frozen=True, slots=True)
@@ -150,26 +150,26 @@
     destination: int
     time_left: int
     tenant: str = ""
-    key: str = ""  # empty: not kept in order
-    again: bool = False  # the client says it was handed in before
+    key: str = ""  # empty: no ordering
+    again: bool = False  # the client has marked it as submitted before
 
 
 @dataclass(frozen=True, slots=True)
 class MessageRestored:
-    """A message that an earlier process of this sender took on."""
+    """A message that an earlier process of this sender accepted."""
 
     taken: MessageTaken
-    attempts: int  # so far; one that was out when the process ended has ended as a reset
-    risky_since: int | None  # sending of the first attempt that may have run
+    attempts: int  # so far; an attempt in flight when the process ended counts as a reset
+    risky_since: int | None  # send time of the first attempt that may have run
     risky_zone: str
-    #: Endpoint and outcome of each attempt that has one and went after the last served at the destination.
+    #: Endpoint and outcome of each completed attempt sent after the last one that the destination served.
     outcomes: tuple[tuple[str, Outcome], ...] = ()
-    held: bool = True  # else it is out, or has ended; the TakenOver that follows says which
+    held: bool = True  # queued; else in flight or ended, as the TakenOver that follows says
 
 
 @dataclass(frozen=True, slots=True)
 class TakenOver:
-    """What another process of this sender knew, and had out, as it handed over: its Dispatcher.memory()."""
+    """State of another process of this sender at its handover: its Dispatcher.memory()."""
 
     memory: Mapping[str, Any]
 
@@ -179,8 +179,8 @@
     message: str
     attempt: int  # attempts of a message are numbered from 0
     outcome: Outcome
-    finished: bool = False  # nothing more is owed for the message
-    wait: int = 0  # with FULL: how long the destination asked to be left alone
+    finished: bool = False  # the message needs no further attempt or answer
+    wait: int = 0  # with FULL: for how long the destination asks for no calls
 
 
 @dataclass(frozen=True, slots=True)
@@ -190,14 +190,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndAnswered:
-    """The refusal or failure of a message has been heard; see Settings.ends_answered."""
+    """The refusal or failure of a message has been answered; see Settings.ends_answered."""
 
     message: str
 
 
 @dataclass(frozen=True, slots=True)
 class Stopping:
-    """The process ends after `left`; a call that is out then ends as a reset."""
+    """The process ends after `left`; a call in flight then ends as a reset."""
 
     left: int
 
@@ -219,7 +219,7 @@
     | WakeUp
 )
 
-# Actions: what this sender should do, in this order.
+# Actions, which the sender carries out in this order.
 
 
 @dataclass(frozen=True, slots=True)
@@ -232,7 +232,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """End a message; the client may safely hand it in again."""
+    """End a message; the client may safely submit it again."""
 
     message: str
     retry_after: int = 0
@@ -240,7 +240,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """End a message for good, with no promise about its effect."""
+    """End a message for good; whether it took effect is unknown."""
 
     message: str
 
@@ -258,7 +258,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the list of endpoints and for its changes from now on."""
+    """Request the list of endpoints and its later changes."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -270,7 +270,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Note:
-    """A line for the operators, such as a change of a breaker's state."""
+    """A log line for operators, such as a change of a breaker's state."""
 
     text: str
 
--- a/message_sender/rules.py
+++ b/message_sender/rules.py
@@ -403,10 +403,9 @@
                 breakers.append(breaker)
 
     def find_overdue(self) -> None:
-        """Detects hung, unanswered and slow calls: an overdue call counts as a failure at once. With no slot
-        free, the oldest far overdue call is cancelled, harmless ones first; this may lose a valuable message.
-        Where calls sent later have been served, the destination is not slow but the call or its connection
-        is lost: it is cancelled and its messages are sent again if they may be repeated."""
+        """Counts a hung or slow call as a failure once it is overdue. With no slot free, the oldest far overdue
+        one is cancelled, harmless ones first; this may lose a valuable message. Where later calls have been
+        served, the call or its connection is lost: it is cancelled if its messages may be repeated."""
         for call in [each for each in self.out if not (each.overdue or each.settled)]:
             if self.now >= call.breaker.overdue_at(call):
                 call.overdue = True
--- a/message_sender/settings.py
+++ b/message_sender/settings.py
@@ -1,4 +1,4 @@
-"""The settings object that an instance is told, turned into the module's own; adapter and sender share it."""
+"""Converts the settings object of an instance to `Settings`; used by both the adapter and the sender."""
 
 from typing import Any
 
@@ -8,8 +8,8 @@
 
 
 def settings_from(info: dict[str, Any], ends_answered: bool = False) -> face.Settings:
-    """The named values of `info`; `ends_answered` says that this sender tells of each answered notice."""
-    limits, safety, special = info["limits"], info["safety"], info["specifics"]
+    """The settings in `info`. `ends_answered`: this sender reports answered notices with EndAnswered."""
+    limits, safety, specifics = info["limits"], info["safety"], info["specifics"]
     zones, models = info["zones"], info["models"]
     classes = tuple(
         face.MessageClass(
@@ -29,15 +29,15 @@
         (name, face.Kind(batch=batch, apart=apart))
         for name, batch, apart in zip(
             models,
-            special.get("batch_by_kind") or [1] * len(models),
-            special.get("own_limits") or [False] * len(models),
+            specifics.get("batch_by_kind") or [1] * len(models),
+            specifics.get("own_limits") or [False] * len(models),
             strict=False,
         )
     )
     return face.Settings(
         classes=classes,
         kinds=kinds,
-        slots=special["slots"],
+        slots=specifics["slots"],
         max_open=limits["max_open"],
         max_attempts=limits["attempts_cap"],
         zone=info["locality"],
@@ -45,8 +45,8 @@
         fleet_size=info["fleet_size"],
         tenants=tuple((each["name"], each["quota_per_s"]) for each in info.get("customers") or ()),
         over_share_worth=info.get("over_share_worth", 1.0),
-        halves=special.get("loses_worth") == "halves",
-        zone_fees=tuple(zip(zones, special.get("zone_fee") or (), strict=False)),
+        halves=specifics.get("loses_worth") == "halves",
+        zone_fees=tuple(zip(zones, specifics.get("zone_fee") or (), strict=False)),
         must_ask=info["membership_mode"] == "on_request",
         ask_within=safety.get("ask_within", 10_000_000),
         rates_told=info.get("weight_kind") == "nominal",
--- a/plumline/breaker/interface.py
+++ b/plumline/breaker/interface.py
@@ -1,4 +1,4 @@
-"""What a breaker reads of its owner. Times and durations are whole microseconds of the owner's own clock."""
+"""What a breaker reads from its owner. Times and durations are whole microseconds of the owner's clock."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -9,36 +9,36 @@
 
     @property
     def aim(self) -> int:
-        """Within which an answer is wanted, us, above 0."""
+        """The latency aim for an answer, us, above 0."""
 
 
 class BreakerSettings(Protocol):
-    """What a breaker's owner knows of the destinations and of those who share them."""
+    """Properties of the destinations and of the fleet that shares them."""
 
     @property
     def fleet_size(self) -> int:
-        """How many share the destinations, this one included; 1 or more."""
+        """Number of callers that share the destinations, this one included; 1 or more."""
 
     @property
     def cold(self) -> int:
-        """A destination back from an outage is warm after this, us; 0 where none needs to warm up."""
+        """Warm-up time of a destination after an outage, us; 0: no warm-up."""
 
     @property
     def cold_from(self) -> float:
-        """The share of its capacity at which it starts, above 0, at most 1."""
+        """Share of the capacity at the start of the warm-up, above 0, at most 1."""
 
     @property
     def fall_multiple(self) -> float:
-        """The multiple of its capacity, cold or warm, at which it falls over; above 0 unless `cold` is 0."""
+        """Multiple of the current capacity, cold or warm, at which it fails; above 0 unless `cold` is 0."""
 
     @property
     def classes(self) -> Sequence[Aim]:
-        """One or more; the least aim is the first guess of how long a call takes."""
+        """One or more; the smallest aim gives the initial estimate of the time of a call."""
 
 
 class TimedCall(Protocol):
-    """A call that is out."""
+    """A call in flight."""
 
     @property
     def sent(self) -> int:
-        """When it went, us."""
+        """Its send time, us."""
--- a/plumline/breaker/plain.py
+++ b/plumline/breaker/plain.py
@@ -1,26 +1,26 @@
-"""Settings of a breaker whose owner has no classes of its own to tell."""
+"""Settings of a breaker whose owner has no classes of calls."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class PlainAim:
-    """The one class of calls of such an owner."""
+    """The single class of calls of such an owner."""
 
     aim: int  # us
 
 
 @dataclass(frozen=True, slots=True)
 class PlainSettings:
-    """A BreakerSettings. `least_aim_us` is the first guess of how long a call may take: a call is overdue
-    after a quarter of it at the soonest. Raises ValueError, which names the field that is out of its range.
+    """Implements BreakerSettings. `least_aim_us` gives the initial estimate of the time of a call: no call is
+    overdue before a quarter of it. Raises a ValueError that names the field if a value is out of range.
     """
 
     least_aim_us: int  # us, above 0
-    fleet_size: int = 1  # how many share the destinations, this one included
-    cold: int = 0  # us from an outage's end to a warm destination; 0: none needs to warm up
-    cold_from: float = 1.0  # share of the capacity just after the outage, above 0, at most 1
-    fall_multiple: float = 2.0  # multiple of the capacity at which the destination falls over, above 0
+    fleet_size: int = 1  # callers that share the destinations, this one included
+    cold: int = 0  # us of warm-up after an outage; 0: no warm-up
+    cold_from: float = 1.0  # share of the capacity at the start of the warm-up, above 0, at most 1
+    fall_multiple: float = 2.0  # multiple of the capacity at which the destination fails, above 0
 
     def __post_init__(self) -> None:
         for name in ("least_aim_us", "fleet_size", "fall_multiple"):
@@ -33,5 +33,5 @@
 
     @property
     def classes(self) -> tuple[PlainAim, ...]:
-        """One class, with the least aim."""
+        """The single class, with the smallest aim."""
         return (PlainAim(self.least_aim_us),)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small hand-written worlds for the module's tests."""
+"""A dispatcher with a simulated clock, and sample settings, for tests of the message sender."""
 
 from message_sender import Dispatcher
 from message_sender import interface as face
@@ -32,7 +32,7 @@
 
 
 class World:
-    """A dispatcher, its clock, and what it has out."""
+    """A dispatcher, its clock, and the attempt number of each sent message."""
 
     def __init__(self, *endpoints: face.Endpoint, **changes: object) -> None:
         self.dispatcher = Dispatcher(settings(**changes), seed=7)
@@ -61,7 +61,7 @@
         return self.step(face.AttemptEnded(message, self.attempts[message], outcome, ok, wait), after=after)
 
     def open_breaker(self) -> None:
-        """Fail enough once-only messages to open the breaker of destination 1; nothing is left held."""
+        """Fails once-only messages until the breaker of destination 1 opens; no message stays queued."""
         for _ in range(5):
             if not sent(self.take("once")):
                 return
@@ -77,7 +77,7 @@
     return [each for each in actions if isinstance(each, face.Refuse | face.Fail)]
 
 
-#: A settings object as an instance is told it.
+#: The settings object that an instance is given.
 ENV = {
     "limits": {
         "conn_idle": 10000000,
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire: round trips, split batches and malformed input."""
+"""The simulator's line protocol: round trips, batches and malformed input."""
 
 import io
 import json
@@ -29,14 +29,14 @@
     return sink.getvalue().splitlines()
 
 
-def test_message_goes_out_and_its_answer_comes_back() -> None:
+def test_message_is_sent_and_its_answer_returned() -> None:
     answer = "answer who=sender-0 ref=rq_a go=0 receiver=10.0.0.1:1 outcome=OK lag=5 finished=1"
     out = replies([*START, "sync wall=9000 seq=2", answer, "over_to_you"])
     assert "place who=sender-0 ref=rq_a give_up_after=8000000 receiver=10.0.0.1:1" in out
     assert [line for line in out if line.startswith("end")] == ["end seq=1", "end seq=2"]
 
 
-def test_sheet_number_is_resolved_in_the_order_of_events() -> None:
+def test_endpoint_list_number_is_resolved_in_the_order_of_events() -> None:
     other = "receiver receiver=10.0.0.2:1 destination=3 state=1"
     lines = [*START[:5], "sheet table=0 elements=1", other, *START[5:]]
     assert any("receiver=10.0.0.1:1" in line for line in replies(lines))
@@ -64,12 +64,12 @@
     assert "line 7" in str(caught.value)
 
 
-def test_decision_error_is_told_by_panic() -> None:
+def test_decision_error_is_reported_as_panic() -> None:
     lines = [*START[:-1], START[5], "over_to_you"]
     assert any(line.startswith("panic who=sender-0 message=ValueError") for line in replies(lines))
 
 
-def test_same_replies_whatever_the_hash_seed_and_the_process_ends_well() -> None:
+def test_replies_do_not_depend_on_the_hash_seed_and_the_process_exits_with_zero() -> None:
     runs = [
         subprocess.run(
             [sys.executable, "-m", "message_sender.adapter"],
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker of the ordinary path."""
+"""The circuit breaker as the dispatcher uses it."""
 
 import pytest
 from helpers import MS, SECOND, World, ended, endpoint, sent
@@ -8,7 +8,7 @@
 from plumline.breaker.breaker import FAILURE_THRESHOLD, RESET_TIMEOUT
 
 
-def test_opens_at_the_threshold_and_holds() -> None:
+def test_opens_at_the_threshold_and_queues_messages() -> None:
     world = World()
     for number in range(FAILURE_THRESHOLD):
         assert sent(world.take("once")) == [f"m{number + 1}"]
@@ -17,7 +17,7 @@
     assert sent(actions) == [] and ended(actions) == []
 
 
-def test_a_served_call_zeroes_the_count() -> None:
+def test_a_served_call_resets_the_count() -> None:
     world = World()
     for _ in range(FAILURE_THRESHOLD - 1):
         world.take("once")
@@ -79,14 +79,14 @@
     assert breaker.gap < made
 
 
-def test_a_limit_above_that_of_the_smallest_step_is_paced() -> None:
+def test_a_rate_limit_above_that_of_the_smallest_gap_step_is_paced() -> None:
     world = World()
     world.take()
     world.answer("m1", Outcome.FULL)
     refused, served = 0, -SECOND
     for _ in range(300):
         for name in sent(world.take("once", after=10 * MS)):
-            if world.now - served < 30 * MS:  # the destination takes a call in that time
+            if world.now - served < 30 * MS:  # the destination takes one call in that time
                 world.answer(name, Outcome.FULL, after=0)
                 refused += 1
             else:
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("took, counts", [(50 * MS, False), (3 * SECOND, True)])
-def test_a_message_with_too_little_time_left_is_no_failure_of_its_destination(
+def test_a_message_with_too_little_time_left_does_not_count_as_a_destination_failure(
     took: int, counts: bool
 ) -> None:
     world = World()
@@ -117,7 +117,7 @@
     assert (breaker.failures > 0) == counts
 
 
-def test_each_opening_and_closing_is_noted() -> None:
+def test_each_opening_and_closing_is_reported() -> None:
     world = World()
     notes = []
     for _ in range(FAILURE_THRESHOLD):
@@ -138,7 +138,7 @@
     assert sent(world.take()) == []
 
 
-def test_sends_of_one_round_share_a_call_where_batches_are_taken() -> None:
+def test_sends_of_one_round_share_a_call_where_batches_are_allowed() -> None:
     world = World(endpoint("a", kind="apart"), slots=1)
     events = [face.MessageTaken(f"x{each}", "safe", 1, 20 * SECOND) for each in range(7)]
     assert len(sent(world.step(*events))) == 5
@@ -167,7 +167,7 @@
     assert 0 < breaker.failures < FAILURE_THRESHOLD
 
 
-def test_stuck_calls_do_not_hold_every_slot() -> None:
+def test_hung_calls_do_not_occupy_every_slot() -> None:
     world = World(endpoint("a"), endpoint("b", destination=2), slots=4)
     for destination in (1, 1, 2, 2):
         world.take("once", destination=destination)
@@ -201,7 +201,7 @@
     assert sent(world.step(face.WakeUp(), after=5 * SECOND)) == ["m1"]
 
 
-def test_a_stray_failure_before_a_restart_holds_nothing_up() -> None:
+def test_a_single_failure_before_a_restart_delays_nothing() -> None:
     world = World()
     taken = [face.MessageTaken(f"m{each}", "safe", 1, 20 * SECOND) for each in range(2)]
     actions = world.step(
@@ -211,8 +211,8 @@
     assert sent(actions) == ["m0", "m1"]
 
 
-def test_a_call_lost_while_later_ones_are_served_is_called_off_and_sent_again_in_its_window() -> None:
-    """Seen: connections that fell silent held their messages, and the keys behind them, to the deadline."""
+def test_a_lost_call_is_cancelled_and_sent_again_in_its_window_when_later_ones_are_served() -> None:
+    """Stalled connections blocked their messages, and later ones of the same keys, until the deadline."""
     world = World()
     world.take("zoned")
     assert sent(world.take("zoned", after=100 * MS)) == ["m2"]
@@ -223,7 +223,7 @@
     assert sent(world.answer("m1", Outcome.CANCELLED)) == ["m1"]
 
 
-def test_a_call_is_left_out_where_nothing_later_is_served_or_it_may_not_be_sent_again() -> None:
+def test_a_call_is_not_cancelled_where_nothing_later_is_served_or_it_may_not_be_sent_again() -> None:
     for kind, served in (("zoned", False), ("once", True)):
         world = World()
         world.take(kind)
@@ -234,8 +234,8 @@
         assert not [each for each in actions if isinstance(each, face.CancelAttempt)]
 
 
-def test_the_gap_stays_within_what_the_told_rate_makes_of_it() -> None:
-    """Seen: gaps of 2 s, grown by refusals, at a destination that takes 58 calls a second."""
+def test_the_gap_stays_within_the_limits_of_the_announced_rate() -> None:
+    """Refusals had raised the gap to 2 s at a destination that takes 58 calls per second."""
     world = World(endpoint("a", scale=50.0), fleet_size=2, rates_told=True)
     (breaker,) = world.dispatcher.breakers.values()
     gaps = []
@@ -247,7 +247,7 @@
     assert gaps == [20 * MS, 40 * MS, 80 * MS, 160 * MS, 160 * MS]
 
 
-def test_a_kept_connection_that_breaks_says_nothing_of_the_destination() -> None:
+def test_a_reused_connection_that_breaks_does_not_count_against_the_destination() -> None:
     world = World()
     (breaker,) = world.dispatcher.breakers.values()
     for _ in range(FAILURE_THRESHOLD + 1):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""The module's size, and its answers to bad input."""
+"""The size limit of the decision modules, and their handling of invalid input."""
 
 import copy
 import tomllib
@@ -17,7 +17,7 @@
 
 
 def test_the_decision_files_keep_to_their_size() -> None:
-    """All of them together: decisions that move to another file count on."""
+    """Counted together, so that decisions moved to another of these files still count."""
     assert {"message_sender/rules.py", "plumline/breaker/breaker.py"} <= set(DEPLOYED["policy"])
     lines = [line for name in DEPLOYED["policy"] for line in (ROOT / name).read_text().splitlines()]
     assert sum(1 for line in lines if line.strip()) <= 800
@@ -28,7 +28,7 @@
     assert [name for name in DEPLOYED["policy"] + DEPLOYED["node"] if not (ROOT / name).exists()] == []
 
 
-def test_the_package_depends_on_what_is_pinned() -> None:
+def test_the_package_dependencies_match_the_pinned_requirements() -> None:
     assert PROJECT["dependencies"] == (ROOT / "requirements.txt").read_text().split()
 
 
@@ -38,7 +38,7 @@
         settings(**{name: -1})
 
 
-def test_unknown_class_reused_id_and_a_clock_that_goes_back_are_refused() -> None:
+def test_unknown_class_reused_id_and_a_clock_that_goes_back_are_rejected() -> None:
     world = World()
     with pytest.raises(ValueError, match="unknown class"):
         world.take("nothing")
@@ -49,14 +49,14 @@
         world.step(face.WakeUp(), after=-SECOND)
 
 
-def test_events_of_ids_no_longer_held_are_passed_over() -> None:
+def test_events_for_unknown_ids_are_ignored() -> None:
     world = World()
     assert world.step(face.AttemptEnded("never", 0, face.Outcome.OK), face.MessageWithdrawn("never")) == []
 
 
-def test_what_the_settings_may_leave_out_keeps_its_default() -> None:
-    """Sites without tenants, batches, weights or told waits for clients."""
-    told = copy.deepcopy(ENV)
-    del told["customers"], told["weight_kind"], told["safety"]["ask_within"]
-    del told["specifics"]["batch_by_kind"], told["specifics"]["own_limits"], told["limits"]["max_retry_after"]
-    assert settings_from(told) == replace(settings_from(ENV), max_retry_after=0)
+def test_optional_settings_have_defaults() -> None:
+    """Sites without tenants, batches, weights or requested waits for clients."""
+    info = copy.deepcopy(ENV)
+    del info["customers"], info["weight_kind"], info["safety"]["ask_within"]
+    del info["specifics"]["batch_by_kind"], info["specifics"]["own_limits"], info["limits"]["max_retry_after"]
+    assert settings_from(info) == replace(settings_from(ENV), max_retry_after=0)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each of the six rules has its guard here; removing the guard makes its test fail."""
+"""The six delivery rules: each has a test that fails if the rule is not enforced."""
 
 import pytest
 from helpers import MS, SECOND, World, ended, endpoint, sent
@@ -15,7 +15,7 @@
     assert ended(world.step(face.WakeUp(), after=SECOND - 5 * MS)) == [face.Refuse("m1")]
 
 
-def test_message_turned_away_at_the_last_moment_is_still_ended() -> None:
+def test_message_refused_just_before_it_expires_is_still_ended() -> None:
     world = World()
     world.take(time_left=SECOND)
     world.step(face.WakeUp(), after=SECOND - 4 * MS)
@@ -37,14 +37,14 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT])
-def test_once_only_message_that_never_ran_goes_again(outcome: Outcome) -> None:
+def test_once_only_message_that_never_ran_is_sent_again(outcome: Outcome) -> None:
     world = World()
     world.take("once")
     actions = world.answer("m1", outcome)
     assert sent(actions + world.step(face.WakeUp(), after=3 * SECOND)) == ["m1"]
 
 
-def test_keyed_message_goes_again_only_inside_its_window() -> None:
+def test_keyed_message_is_sent_again_only_inside_its_window() -> None:
     world = World()
     world.take("keyed")
     actions = world.answer("m1", Outcome.ERROR, after=5 * SECOND)
@@ -53,7 +53,7 @@
     assert sent(world.answer("m2", Outcome.ERROR)) == ["m2"]
 
 
-def test_keyed_message_goes_again_only_in_the_zone_that_drops_repeats() -> None:
+def test_keyed_message_is_sent_again_only_in_the_zone_that_drops_repeats() -> None:
     world = World(endpoint("a"), endpoint("b", zone="z2"))
     world.take("zoned")
     again = [each for each in world.answer("m1", Outcome.ERROR) if isinstance(each, face.Send)]
@@ -80,7 +80,7 @@
     assert action.endpoint == "b"
 
 
-def test_told_wait_binds_every_message_of_the_destination() -> None:
+def test_requested_wait_applies_to_every_message_of_the_destination() -> None:
     world = World()
     world.take()
     world.answer("m1", Outcome.FULL, wait=4 * SECOND)
@@ -88,14 +88,14 @@
     assert sent(world.step(face.WakeUp(), after=10 * MS)) != []
 
 
-def test_told_wait_binds_one_route_where_routes_are_apart() -> None:
+def test_requested_wait_applies_to_one_route_where_routes_are_separate() -> None:
     world = World(endpoint("a", kind="apart"), endpoint("b", kind="apart"))
     (first,) = [each for each in world.take() if isinstance(each, face.Send)]
     (again,) = [each for each in world.answer("m1", Outcome.FULL, wait=SECOND) if isinstance(each, face.Send)]
     assert {first.endpoint, again.endpoint} == {"a", "b"}
 
 
-def test_messages_of_a_key_go_one_at_a_time_as_taken() -> None:
+def test_messages_of_a_key_are_sent_one_at_a_time_in_order() -> None:
     world = World()
     assert sent(world.take("ordered", key="k")) == ["m1"]
     assert sent(world.take("ordered", key="k")) == []
@@ -103,7 +103,7 @@
     assert sent(world.answer("m1", Outcome.OK)) == ["m2"]
 
 
-def test_key_rests_after_an_unsettled_attempt() -> None:
+def test_key_pauses_after_an_uncertain_attempt() -> None:
     world = World()
     world.take("ordered", key="k", time_left=SECOND)
     world.take("ordered", key="k")
@@ -120,7 +120,7 @@
     assert sent(world.answer("m1", Outcome.OK)) == ["m2"]
 
 
-def test_returning_destination_gets_a_part_of_its_usual_rate() -> None:
+def test_returning_destination_gets_part_of_its_usual_rate() -> None:
     world = World()
     for _ in range(40):
         world.take(after=90 * MS)
@@ -145,7 +145,7 @@
 @pytest.mark.parametrize(
     "outcome, paced", [(Outcome.RESET, False), (Outcome.SPOILT, False), (Outcome.ERROR, True)]
 )
-def test_a_burst_of_broken_calls_is_no_outage_where_another_call_is_served(
+def test_a_burst_of_failed_calls_is_no_outage_where_another_call_is_served(
     outcome: Outcome, paced: bool
 ) -> None:
     world = World()
@@ -165,7 +165,7 @@
     assert (calls <= 10) == paced, "twenty usual calls would fit here"
 
 
-def test_what_a_shut_destination_still_serves_does_not_end_its_warm_up() -> None:
+def test_calls_that_a_shut_destination_still_serves_do_not_end_its_warm_up() -> None:
     world = World()
     world.take()
     world.answer("m1", Outcome.OK)
@@ -181,10 +181,10 @@
     assert breaker.cold_since == since
     (opened,) = sent(world.step(face.WakeUp(), after=8 * SECOND))
     world.answer(opened, Outcome.OK)
-    assert breaker.cold_since >= since  # eight seconds without a served call: it was shut
+    assert breaker.cold_since >= since  # eight seconds without a served call: the destination was shut
 
 
-def test_a_destination_that_told_to_wait_for_long_is_cold_after_a_single_refusal() -> None:
+def test_a_destination_that_requests_a_long_wait_is_cold_after_a_single_refusal() -> None:
     world = World()
     world.take()
     world.answer("m1", Outcome.OK)
@@ -197,7 +197,7 @@
     assert breaker.cold_since == world.now
 
 
-def test_a_failure_during_a_long_told_wait_does_not_bring_the_warm_up_forward() -> None:
+def test_a_failure_during_a_long_requested_wait_does_not_bring_the_warm_up_forward() -> None:
     world = World()
     refused, *broken = [name for _ in range(5) for name in sent(world.take("once"))]
     world.answer(refused, Outcome.FULL, wait=8 * SECOND)
@@ -208,7 +208,7 @@
     assert breaker.cold_since == opens
 
 
-def test_the_status_line_tells_what_keeps_the_next_call_back() -> None:
+def test_the_status_line_shows_what_delays_the_next_call() -> None:
     world = World()
     world.take()
     world.answer("m1", Outcome.FULL, wait=3 * SECOND)
@@ -218,7 +218,7 @@
     assert nowhere == "9: 1 (no endpoint)"
 
 
-def test_a_destination_that_refused_for_long_is_cold_though_few_calls_show_it() -> None:
+def test_a_destination_that_refused_for_long_is_cold_though_few_calls_were_refused() -> None:
     world = World()
     world.take()
     world.answer("m1", Outcome.OK)
@@ -232,7 +232,7 @@
     assert breaker.cold_since == world.now
 
 
-def test_a_new_process_that_meets_a_burst_of_broken_calls_sees_no_outage_either() -> None:
+def test_a_new_process_takes_a_burst_of_failed_calls_for_no_outage_either() -> None:
     world = World()
     slow, *broken = [name for _ in range(6) for name in sent(world.take("once"))]
     for name in broken:
@@ -251,7 +251,7 @@
     return face.MessageRestored(taken, attempts, risky_since, "z2" if risky_since is not None else "")
 
 
-def test_restored_message_keeps_to_the_zone_and_the_window_of_its_first_risky_attempt() -> None:
+def test_restored_message_keeps_the_zone_and_window_of_its_first_attempt_that_may_have_run() -> None:
     world = World(endpoint("a"), endpoint("b", zone="z2"))
     actions = world.step(restored("m1"))
     assert [each.endpoint for each in actions if isinstance(each, face.Send)] == ["b"]
@@ -260,20 +260,20 @@
     assert late.step(restored("m1"), face.WakeUp())[0] == face.Fail("m1")
 
 
-def test_restored_once_only_message_that_may_have_run_fails_and_another_goes() -> None:
+def test_restored_once_only_message_that_may_have_run_fails_and_another_is_sent() -> None:
     world = World()
     actions = world.step(restored("m1", message_class="once"), restored("m2", 1, None, message_class="once"))
     assert ended(actions) == [face.Fail("m1")] and sent(actions) == ["m2"]
 
 
-def test_attempts_count_on_after_a_restart() -> None:
+def test_attempt_count_continues_after_a_restart() -> None:
     world = World()
     world.step(restored("m1", 5, None))
     world.attempts["m1"] = 5
     assert len(ended(world.answer("m1", Outcome.FULL))) == 1
 
 
-def test_key_rests_after_a_restart() -> None:
+def test_key_pauses_after_a_restart() -> None:
     world = World()
     world.step(restored("m1", 6, message_class="ordered", key="k"))
     assert sent(world.take("ordered", key="k")) == []
@@ -290,14 +290,14 @@
     assert sent(world.step(face.EndAnswered("m1"))) == ["m2"]
 
 
-def test_no_call_starts_that_may_be_out_when_the_process_ends() -> None:
+def test_no_call_starts_that_may_be_in_flight_when_the_process_ends() -> None:
     world = World()
     assert sent(world.step(face.Stopping(3 * SECOND))) == []
     assert sent(world.take()) == ["m1"]
     assert sent(world.take(after=2800 * MS)) == []
 
 
-def test_what_is_told_while_a_call_connects_stops_it() -> None:
+def test_a_wait_or_removal_while_a_call_connects_stops_it() -> None:
     world = World(endpoint("a"), endpoint("b", destination=2))
     world.take()
     world.take()
@@ -309,8 +309,8 @@
     assert not world.dispatcher.may_still_go("b", 1, world.now)
 
 
-def test_what_is_past_ages_out_but_not_a_wait_that_lasts() -> None:
-    """Guards a process that lasts: endpoints, keys and accounts are ever new."""
+def test_unused_state_expires_but_not_a_wait_in_force() -> None:
+    """State of past endpoints, keys and tenants would grow without bound in a long-running process."""
     world = World(endpoint("a"), endpoint("b", destination=2))
     world.take("ordered", key="k", time_left=SECOND)
     world.answer("m1", Outcome.TIMEOUT, after=SECOND)
@@ -327,7 +327,7 @@
     assert [key[0] for key in world.dispatcher.breakers] == [2]
 
 
-def test_a_key_that_rests_wakes_the_sender_when_it_has() -> None:
+def test_the_end_of_a_key_pause_wakes_the_sender() -> None:
     world = World()
     world.take("ordered", key="k")
     world.take("ordered", key="k")
@@ -336,7 +336,7 @@
     assert sent(world.step(face.WakeUp(), after=int(world.dispatcher.wake_at) - world.now)) == ["m2"]
 
 
-def test_a_message_whose_window_closes_while_it_is_held_ends_then() -> None:
+def test_a_queued_message_ends_when_its_repeat_window_closes() -> None:
     world = World(slots=1)
     world.take("keyed")
     world.answer("m1", Outcome.ERROR, wait=60 * SECOND)
@@ -347,8 +347,8 @@
     assert 4 * SECOND <= world.now <= 6 * SECOND
 
 
-def test_a_started_sender_paces_a_returning_destination_by_its_part_of_the_told_rate() -> None:
-    """Seen: after a restart two busy destinations got a call in each 2.8 s, guessed for want of a history."""
+def test_a_restarted_sender_paces_a_returning_destination_by_its_part_of_the_announced_rate() -> None:
+    """Without a history the pace was a guess: after a restart two busy destinations got a call per 2.8 s."""
     gaps = []
     for exact in (False, True):
         world = World(endpoint("a", scale=40.0), fleet_size=2, rates_told=exact)
@@ -359,14 +359,14 @@
     assert gaps[1] == 2 / 40 * SECOND / (2.0 * WARM_UP_PACE * 0.2) < gaps[0]
 
 
-def test_a_told_wait_binds_calls_about_to_go_before_its_events_are_handled() -> None:
+def test_a_requested_wait_applies_to_calls_about_to_start_before_its_events_are_handled() -> None:
     world = World()
     world.dispatcher.wait_told("a", world.now + SECOND)
     assert not world.dispatcher.may_still_go("a", 1, world.now) and sent(world.take()) == []
     assert sent(world.step(face.WakeUp(), after=SECOND)) == ["m1"]
 
 
-def test_refused_connections_bound_the_calls_at_once_and_leave_the_gap() -> None:
+def test_refused_connections_limit_concurrent_calls_and_leave_the_gap() -> None:
     world = World(slots=20)
     for _ in range(5):
         world.take()
@@ -374,17 +374,17 @@
         world.answer(name, Outcome.CROWDED, after=0)
     (breaker,) = world.dispatcher.breakers.values()
     assert breaker.gap == 0 and breaker.out == 3
-    assert not sent(world.step(face.WakeUp()))  # three are out, and that is what it takes
+    assert not sent(world.step(face.WakeUp()))  # three calls are in flight, which is its connection limit
     assert sent(world.answer("m1", Outcome.OK)) == ["m4"]
-    for turn in range(40):  # its room grows again while it serves
+    for turn in range(40):  # its connection limit grows again while it serves
         out = [name for name, each in world.dispatcher.messages.items() if each.out]
         world.take()
         world.answer(out[turn % len(out)], Outcome.OK)
     assert breaker.out > 3
 
 
-def test_a_refused_connection_with_no_other_call_out_is_a_refusal() -> None:
-    """It may be shut: then nothing is served there, and only a gap keeps calls away."""
+def test_a_refused_connection_with_no_other_call_in_flight_is_a_refusal() -> None:
+    """It may be shut: then nothing is served there, and only a gap limits the calls."""
     world = World(slots=20)
     for _ in range(3):
         world.take()
@@ -395,7 +395,7 @@
     assert len(sent(world.step(face.WakeUp(), after=SECOND))) == 1
 
 
-def test_a_crowded_endpoint_leaves_the_others_of_its_destination_free() -> None:
+def test_a_connection_limit_leaves_other_endpoints_of_the_destination_usable() -> None:
     world = World(endpoint("a"), endpoint("b"), slots=20)
     actions = [*world.take(), *world.take(), *world.take()]
     at = {each.message: each.endpoint for each in actions if isinstance(each, face.Send)}
@@ -405,8 +405,8 @@
     assert again.endpoint != first
 
 
-def test_a_call_does_not_go_to_an_endpoint_that_has_come_to_serve_another_destination() -> None:
-    """While its connection came up."""
+def test_a_call_does_not_start_at_an_endpoint_reassigned_to_another_destination() -> None:
+    """The endpoint is reassigned while the connection is being established."""
     world = World()
     assert sent(world.take()) == ["m1"] and world.dispatcher.may_still_go("a", 1, world.now)
     world.step(face.EndpointsListed(face.Listing.CHANGES, (endpoint("a", 2),)))
--- a/tests/test_shared_breaker.py
+++ b/tests/test_shared_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker by itself, as any owner drives it; the sender's use of it is tested with its dispatcher."""
+"""The breaker alone, as any owner uses it; the sender's use of it is tested with its dispatcher."""
 
 import random
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 MS = 1_000
 SECOND = 1_000_000
 START = 1000 * SECOND
-CROWD = 200
+LARGE_FLEET = 200
 PLAIN = PlainSettings(least_aim_us=2 * SECOND, fleet_size=4)
 COLD = PlainSettings(
     least_aim_us=2 * SECOND, fleet_size=4, cold=10 * SECOND, cold_from=0.2, fall_multiple=2.0
@@ -29,28 +29,28 @@
 
 
 @dataclass
-class Sent:
+class SentCall:
     sent: int
 
 
-def a_breaker(told: BreakerSettings = PLAIN) -> Breaker:
-    return Breaker(told, random.Random(7), "a")
+def a_breaker(settings: BreakerSettings = PLAIN) -> Breaker:
+    return Breaker(settings, random.Random(7), "a")
 
 
-def send(breaker: Breaker, now: int) -> Sent:
+def send(breaker: Breaker, now: int) -> SentCall:
     assert breaker.ready_at(now) <= now
     breaker.last_sent = now
-    return Sent(now)
+    return SentCall(now)
 
 
-def opened(told: BreakerSettings = PLAIN) -> Breaker:
-    breaker = a_breaker(told)
+def opened(settings: BreakerSettings = PLAIN) -> Breaker:
+    breaker = a_breaker(settings)
     for _ in range(FAILURE_THRESHOLD):
         breaker.failed(START)
     return breaker
 
 
-def trial_of(breaker: Breaker, now: int) -> Sent:
+def trial_of(breaker: Breaker, now: int) -> SentCall:
     breaker.trial = trial = send(breaker, now)
     return trial
 
@@ -64,11 +64,11 @@
     assert breaker.ready_at(START) == START + RESET_TIMEOUT
 
 
-def test_a_served_call_between_them_starts_the_count_anew() -> None:
+def test_a_served_call_between_them_resets_the_count() -> None:
     breaker = a_breaker()
     for _ in range(FAILURE_THRESHOLD - 1):
         breaker.failed(START)
-    breaker.served(START + MS, Sent(START))
+    breaker.served(START + MS, SentCall(START))
     for _ in range(FAILURE_THRESHOLD - 1):
         breaker.failed(START + 2 * MS)
     assert breaker.ready_at(START + 2 * MS) <= START + 2 * MS
@@ -81,7 +81,7 @@
     assert 0 < breaker.failures < FAILURE_THRESHOLD and breaker.ready_at(START) <= START
 
 
-def test_the_reset_timeout_lets_one_trial_go() -> None:
+def test_after_the_reset_timeout_one_trial_may_start() -> None:
     breaker, due = opened(), START + RESET_TIMEOUT
     assert breaker.ready_at(due - 1) > due - 1
     trial_of(breaker, due)
@@ -109,7 +109,7 @@
     assert breaker.ready_at(due + 10 * MS) == due + 10 * MS + RESET_TIMEOUT
 
 
-def test_refusals_grow_the_gap_up_to_its_end_and_do_not_open_it() -> None:
+def test_refusals_raise_the_gap_up_to_its_limit_and_do_not_open_it() -> None:
     breaker, now, gaps = a_breaker(), START, []
     for _ in range(8):
         call = send(breaker, now)
@@ -120,14 +120,14 @@
     assert breaker.failures == 0
 
 
-def test_a_call_sent_before_the_gap_grew_grows_it_no_further() -> None:
+def test_a_call_sent_before_the_gap_was_raised_raises_it_no_further() -> None:
     breaker = a_breaker()
     for _ in range(3):
-        breaker.refused(START + MS, Sent(START), 0)
+        breaker.refused(START + MS, SentCall(START), 0)
     assert breaker.gap == GAP_STEP
 
 
-def test_served_calls_shrink_the_gap_and_let_it_go() -> None:
+def test_served_calls_shrink_the_gap_to_zero() -> None:
     breaker, now = a_breaker(), START
     breaker.refused(now + MS, send(breaker, now), 0)
     gaps = [breaker.gap]
@@ -138,15 +138,15 @@
     assert gaps == sorted(gaps, reverse=True) and gaps[1] < gaps[0] and gaps[-1] == 0
 
 
-def test_a_told_wait_binds_whatever_else_is_known_and_a_shorter_one_changes_nothing() -> None:
+def test_a_requested_wait_applies_in_every_state_and_a_shorter_one_changes_nothing() -> None:
     for breaker in (a_breaker(), opened()):
         breaker.told_wait(START + 5 * SECOND)
         breaker.told_wait(START + SECOND)
         assert breaker.ready_at(START) == START + 5 * SECOND
 
 
-def test_a_crowd_adds_a_little_to_a_told_wait() -> None:
-    breaker = a_breaker(PlainSettings(2 * SECOND, fleet_size=CROWD))
+def test_a_large_fleet_extends_a_requested_wait_slightly() -> None:
+    breaker = a_breaker(PlainSettings(2 * SECOND, fleet_size=LARGE_FLEET))
     breaker.told_wait(START)
     assert START + 80 * MS <= breaker.wait_until <= START + WAIT_SLACK
 
@@ -157,25 +157,25 @@
     assert breaker.warm_up_gap(START + COLD.cold) == 0
 
 
-@pytest.mark.parametrize("fleet_size", [4, CROWD])
-def test_without_a_cold_time_nothing_is_paced_for_warmth_and_nothing_breaks(fleet_size: int) -> None:
+@pytest.mark.parametrize("fleet_size", [4, LARGE_FLEET])
+def test_without_a_warm_up_time_no_call_is_paced_for_it_and_nothing_fails(fleet_size: int) -> None:
     breaker = opened(PlainSettings(2 * SECOND, fleet_size))
     now = START
     for routes in (1, 2, 1):
         breaker.asked_for(now, routes)
     now = int(breaker.ready_at(now))
     breaker.served(now + MS, trial_of(breaker, now))
-    breaker.refused(now + 2 * MS, Sent(now + MS), 3 * SECOND)
+    breaker.refused(now + 2 * MS, SentCall(now + MS), 3 * SECOND)
     breaker.asked_for(now + 2 * MS, 1)
-    breaker.served(now + SECOND, Sent(now + MS))
-    breaker.served(now + SECOND, Sent(now + MS))
+    breaker.served(now + SECOND, SentCall(now + MS))
+    breaker.served(now + SECOND, SentCall(now + MS))
     for at in (START, now, now + SECOND, now + 3 * SECOND):
         assert breaker.warm_up_gap(at) == 0
     assert 0 < breaker.initial_gap <= breaker.max_gap < NEVER
 
 
 @pytest.mark.parametrize("cold", [1, 10 * SECOND])
-def test_a_cold_time_is_used_as_it_is_told(cold: int) -> None:
+def test_the_configured_warm_up_time_is_the_rate_memory(cold: int) -> None:
     assert a_breaker(PlainSettings(2 * SECOND, cold=cold)).rate_memory == cold
 
 
@@ -183,8 +183,8 @@
     sender = settings(fleet_size=4)
     plain = PlainSettings(min(each.aim for each in sender.classes), 4, 10 * SECOND, 0.2, 2.0)
     known = []
-    for told in (sender, plain):
-        breaker, now = a_breaker(told), START
+    for owner_settings in (sender, plain):
+        breaker, now = a_breaker(owner_settings), START
         for number in range(60):
             now = max(now, int(breaker.ready_at(now)) + 1)
             breaker.asked_for(now, 1)
