--- a/message_sender/interface.py
+++ b/message_sender/interface.py
@@ -41,6 +41,8 @@
 
 
 class EndpointState(Enum):
+    """The state in which discovery lists an endpoint."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
@@ -57,6 +59,8 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageClass:
+    """A class of messages: latency aim, deadline, value in time and late, and effect of repeats."""
+
     name: str
     aim: int
     deadline: int
@@ -78,6 +82,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """The settings of one sender. Raises a ValueError that names the field if a value is out of range."""
+
     classes: tuple[MessageClass, ...]
     kinds: tuple[tuple[str, Kind], ...]
     slots: int
@@ -126,6 +132,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
+    """An endpoint as discovery lists it."""
+
     id: str
     destination: int
     state: EndpointState
@@ -139,12 +147,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsListed:
+    """Discovery has sent a list of endpoints, or has failed."""
+
     listing: Listing
     endpoints: tuple[Endpoint, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class MessageTaken:
+    """A client has submitted a message."""
+
     message: str
     message_class: str
     destination: int
@@ -176,6 +188,8 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt to send a message has ended."""
+
     message: str
     attempt: int  # attempts of a message are numbered from 0
     outcome: Outcome
@@ -185,6 +199,8 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageWithdrawn:
+    """A message has been withdrawn and needs no further attempt or answer."""
+
     message: str
 
 
@@ -224,6 +240,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Start an attempt to send a message to an endpoint."""
+
     message: str
     endpoint: str
     timeout: int
@@ -247,12 +265,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
+    """Cancel an attempt in flight."""
+
     message: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class WakeAfter:
+    """Send a WakeUp after `delay`."""
+
     delay: int
 
 
--- a/message_sender/rules.py
+++ b/message_sender/rules.py
@@ -33,7 +33,7 @@
 UNCERTAIN = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.STALE, Outcome.SPOILT, Outcome.CANCELLED})
 ANSWERED_FAILURES = frozenset({Outcome.ERROR, Outcome.SPOILT})
 LIMIT_GROWTH = 0.1  # concurrent calls that each served call adds to the connection limit of an endpoint
-SCARCE_IDLE_TIMES = 3  # idle timeouts; for so long after a refused one, a large fleet closes idle connections
+SCARCE_IDLE_TIMES = 3  # idle timeouts, during which a large fleet closes idle connections after a refused one
 MAX_DOUBLINGS = 4  # of the backoff after a refused connection, which starts at the usual time of a call
 IDLE_EXPIRY = 60_000_000  # us after which unused state is dropped; far longer than any outage
 EXPIRY_INTERVAL = 5_000_000  # us between checks for unused state
@@ -41,7 +41,7 @@
 
 
 class Endpoint:
-    KEPT = ("bad_until", "last_sent", "room", "again_at", "turned_away")  # snapshot fields
+    KEPT = ("bad_until", "last_sent", "room", "again_at", "turned_away")  # fields in memory()
 
     def __init__(self, listed: face.Endpoint) -> None:
         self.listed, self.out = listed, 0
@@ -87,6 +87,8 @@
 
 
 class Dispatcher:
+    """Decides when and where the messages of one sender are sent."""
+
     def __init__(self, settings: face.Settings, seed: int) -> None:
         self.settings, self.random = settings, random.Random(seed)
         self.classes = {each.name: each for each in settings.classes}
@@ -119,6 +121,7 @@
         self.actions: list[face.Action] = []
 
     def handle(self, now_us: int, events: Iterable[face.Event]) -> list[face.Action]:
+        """Handles the events in order and returns the actions to carry out; `now_us` must not go back."""
         if now_us < self.now:
             raise ValueError(f"the clock went back from {self.now} to {now_us}")
         self.now, self.actions, self.arriving = now_us, [], set()
@@ -403,9 +406,10 @@
                 breakers.append(breaker)
 
     def find_overdue(self) -> None:
-        """Counts a hung or slow call as a failure once it is overdue. With no slot free, the oldest far overdue
-        one is cancelled, harmless ones first; this may lose a valuable message. Where later calls have been
-        served, the call or its connection is lost: it is cancelled if its messages may be repeated."""
+        """Counts a hung or slow call as a failure once it is overdue. With no slot free the oldest far
+        overdue one is cancelled, harmless ones first; this may lose a valuable message. Where later calls
+        have been served, not the destination is slow but the call or its connection is lost: if its messages
+        may be repeated, it is cancelled and they are sent again."""
         for call in [each for each in self.out if not (each.overdue or each.settled)]:
             if self.now >= call.breaker.overdue_at(call):
                 call.overdue = True
--- a/plumline/breaker/breaker.py
+++ b/plumline/breaker/breaker.py
@@ -88,7 +88,7 @@
             self.max_gap = max(RESET_TIMEOUT, min(RESET_TIMEOUT * self.crowd, longest))
 
     def told_wait(self, until: int) -> None:
-        """Rule: waits. The machines of a large fleet may have clocks ahead of the destination's."""
+        """Rule: waits. A large fleet's senders share machines, whose clock may lead the destination's."""
         self.wait_until = max(self.wait_until, until + math.ceil(WAIT_SLACK * self.fleet_factor))
 
     def ready_at(self, now: int) -> float:
@@ -109,7 +109,8 @@
         return ", ".join([f"(failures {self.failures:.1f}", f"out {self.out}", *parts]) + ")"
 
     def restart_timeout(self, now: int) -> None:
-        """Restarts the timeout; a large fleet extends it to about a cold destination's gap, to spare it."""
+        """Restarts the timeout. In a large fleet a failed trial extends it to about the gap of a cold
+        destination, which protects a destination that is down."""
         timeout: float = RESET_TIMEOUT
         if self.trial and self.crowd > 1:
             self.cold_since = now
@@ -173,7 +174,7 @@
     def end_suspicion(self, now: int, call: TimedCall) -> None:
         """Reverts the warm-up if the unserved calls span too short a time for an outage, which lasts far
         longer than the reset timeout. A call sent before the refusals proves nothing, as a shut destination
-        serves what it has accepted; nor does any call after errors, as one that fails most serves some."""
+        serves what it has accepted. Nor does a call after errors: one that fails most calls serves some."""
         if call.sent < self.shut_at and self.cold_since != self.cold_before:
             return
         known_up = [at for at in (self.up_at, call.sent) if at <= self.doubt_began]
