--- a/message_sender/rules.py
+++ b/message_sender/rules.py
@@ -1,8 +1,8 @@
 """Every decision of a sender. Its types, events and actions are in message_sender/interface.py.
 
-A circuit breaker per destination (per endpoint where each endpoint has its own limit) decides when calls may
-start, see plumline/breaker/breaker.py; messages wait in a queue until then. The rest of the module enforces
-the six delivery rules (comments marked "Rule") or picks the queued message that is sent next.
+A circuit breaker per destination, or per endpoint where each has its own limit, decides when calls may start
+(plumline/breaker/breaker.py). Until then messages are queued. The rest enforces the six delivery rules
+(comments marked "Rule") or picks the queued message that is sent next.
 """
 
 import heapq
@@ -408,8 +408,8 @@
     def find_overdue(self) -> None:
         """Counts a hung or slow call as a failure once it is overdue. With no slot free the oldest far
         overdue one is cancelled, harmless ones first; this may lose a valuable message. Where later calls
-        have been served, not the destination is slow but the call or its connection is lost: if its messages
-        may be repeated, it is cancelled and they are sent again."""
+        were served, the destination is not slow but the call or its connection is lost: it is cancelled and
+        sent again if its messages may be repeated."""
         for call in [each for each in self.out if not (each.overdue or each.settled)]:
             if self.now >= call.breaker.overdue_at(call):
                 call.overdue = True
--- a/plumline/breaker/breaker.py
+++ b/plumline/breaker/breaker.py
@@ -55,7 +55,7 @@
         # The first messages may be a burst, which does not show the rate: one in 2 s is assumed before them.
         self.asked, self.asked_span, self.last_asked = 1.0, float(RESET_TIMEOUT), NEVER
         self.out, self.last_sent, self.wait_until = 0, -NEVER, 0
-        self.unserved, self.sick, self.cold_since = 0, 0.0, -NEVER  # unserved: since the last served
+        self.unserved, self.sick, self.cold_since = 0, 0.0, -NEVER  # unserved: calls since the last served
         # An outage is suspected from an unserved call until a call shows whether it was one.
         self.doubting, self.doubt_began, self.errors = False, -NEVER, False  # errors: any since
         self.up_at, self.cold_before = -NEVER, -NEVER  # last_served and cold_since at its start
@@ -88,7 +88,7 @@
             self.max_gap = max(RESET_TIMEOUT, min(RESET_TIMEOUT * self.crowd, longest))
 
     def told_wait(self, until: int) -> None:
-        """Rule: waits. A large fleet's senders share machines, whose clock may lead the destination's."""
+        """Rule: waits. Many senders share machines, whose clocks may be ahead of the destination's clock."""
         self.wait_until = max(self.wait_until, until + math.ceil(WAIT_SLACK * self.fleet_factor))
 
     def ready_at(self, now: int) -> float:
