--- a/plumline/configuration/__init__.py
+++ b/plumline/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' configuration: documents, validation, changes, replicated state, route look-ups."""
+"""The operators' configuration: documents, validation, changes, replicated state, route lookups."""
--- a/plumline/configuration/amendment.py
+++ b/plumline/configuration/amendment.py
@@ -1,6 +1,6 @@
-"""What a change of the configuration makes: a Replace or an Amend on top of a version.
+"""Applies a change of the configuration, a Replace or an Amend, on top of a version.
 
-Nothing here changes what it is given; a new document shares every item that a change leaves alone.
+Arguments are never modified; a new document shares every item that the change doesn't affect.
 """
 
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 def replace_document(current: Document | None, based_on: int, body: Document) -> Document:
-    """The document that a Replace makes: the body itself.
+    """The document that results from a Replace: the body itself.
 
     Raises VersionConflictError if `based_on` is not the version of `current`, and ConfigurationInvalidError
     for a body that is not valid or whose version is not above the current one.
@@ -24,7 +24,7 @@
 
 
 def amend_document(current: Document | None, based_on: int, body: Document) -> Document:
-    """The document that an Amend makes of `current`.
+    """The document that results from an Amend of `current`.
 
     Raises VersionConflictError if `based_on` is not the version of `current` or there is none, and
     ConfigurationInvalidError for a body, or a result, that is not valid.
@@ -62,15 +62,15 @@
 
 
 def _merge_items(items: list[Any], upserts: list[Document], removals: list[str]) -> list[Any]:
-    """The items with those of `upserts` in the place of their namesakes, new ones at the end."""
+    """The items, with upserts replacing items of the same name in place and new items at the end."""
     replacements = {item["Name"]: item for item in upserts}
-    removed = set(removals)
+    removed_names = set(removals)
     merged = []
     for item in items:
         name = item.get("Name") if isinstance(item, dict) else None
         if not isinstance(name, str):
             merged.append(item)
-        elif name not in removed:
+        elif name not in removed_names:
             merged.append(replacements.pop(name, item))
     merged.extend(replacements.values())
     return merged
@@ -86,7 +86,7 @@
 
 
 def _amendment_faults(current: Document, body: Document) -> list[str]:
-    """Faults of an Amend that its schema can't express."""
+    """Faults of an Amend that its schema can't detect."""
     faults = [
         fault_line(section, "a list beside Upserts", "lists of items only in Upserts and Removals")
         for section in SECTIONS
--- a/plumline/configuration/difference.py
+++ b/plumline/configuration/difference.py
@@ -1,19 +1,19 @@
-"""A Replace turned into the Amend that makes the same document, for replicas that hold the one before it."""
+"""Converts a Replace to an equivalent Amend, for replicas that have the previous document."""
 
 from typing import Any
 
 from plumline.configuration.amendment import merge_amendment
 from plumline.configuration.document import Document
 
-AMENDMENT_KEYS = ("Upserts", "Removals")  # keys that the body of an Amend reserves
-Change = list[Any]  # as replicated_state has it
+AMENDMENT_KEYS = ("Upserts", "Removals")  # keys with a special meaning in the body of an Amend
+Change = list[Any]  # in the form that replicated_state defines
 
 
 def replace_as_amend(current: Document | None, change: Change) -> Change:
-    """A change that turns `current` into the same document as `change` does, shorter where that can be.
+    """A change that leads from `current` to the same document as `change`, shorter if possible.
 
-    Only a Replace can be shortened, and only if an Amend can do the same: it takes no field of the top level
-    away, and leaves the items in their order. Any other change is returned as it is.
+    Only a Replace can be shortened, and only if an Amend can express it: an Amend can neither remove a
+    top-level field nor reorder items. Any other change is returned unmodified.
     """
     if change[0] != "replace" or current is None:
         return change
@@ -25,10 +25,10 @@
 
 
 def amendment_between(current: Document, new: Document) -> Document | None:
-    """The body of an Amend from `current` to `new`, up to the order of items; None if no Amend can do it.
+    """The body of an Amend from `current` to `new`, ignoring the order of items; None if there is none.
 
-    A list of items that `current` lacks counts as an empty one, so that its items come as upserts: the only
-    form in which an operator may send them.
+    A list of items that is missing in `current` is treated as empty, so that its items become upserts: the
+    only form in which an operator may send them.
     """
     if any(key not in new for key in current) or any(key in new for key in AMENDMENT_KEYS):
         return None
@@ -48,10 +48,10 @@
 
 
 def items_by_name(items: object) -> dict[str, Document] | None:
-    """The items of a section by name; None if it is no list of items with a name of its own each."""
+    """The items of a section by name; None unless it is a list of items with distinct names."""
     if not isinstance(items, list):
         return None
-    found = {
+    by_name = {
         item["Name"]: item for item in items if isinstance(item, dict) and isinstance(item.get("Name"), str)
     }
-    return found if len(found) == len(items) else None
+    return by_name if len(by_name) == len(items) else None
--- a/plumline/configuration/document.py
+++ b/plumline/configuration/document.py
@@ -1,6 +1,6 @@
-"""The operator's configuration as a document: reading the JSON, and the digest of a change.
+"""The operator's configuration as a document: parsing the JSON, and the digest of a change.
 
-A document is the dict of its JSON, kept as sent: fields that are not known here stay in it.
+A document is the dict of its JSON, stored as sent: unknown fields are preserved.
 """
 
 import hashlib
@@ -15,21 +15,21 @@
 Document = dict[str, Any]
 
 SECTIONS = ("Routes", "Services", "Tenants")
-MAX_NESTING = 64  # levels; far above any configuration, far below what the frames can carry
+MAX_NESTING = 64  # levels; far more than any configuration has, far fewer than frames can carry
 
 
 def parse_document(raw: bytes) -> Document:
     """The JSON object in `raw` (UTF-8).
 
-    Raises ConfigurationInvalidError unless all of it can be read and stored: strict JSON, no key twice in an
-    object, finite numbers, integers of 64 bits, at most MAX_NESTING levels.
+    Raises ConfigurationInvalidError unless all of it can be parsed and stored: strict JSON without
+    duplicate keys, finite numbers, integers of 64 bits, at most MAX_NESTING levels.
     """
     try:
         document = json.loads(
             raw.decode("utf-8"),
             object_pairs_hook=_object_without_repeated_keys,
             parse_float=_finite_number,
-            parse_constant=_refuse_constant,
+            parse_constant=_reject_constant,
         )
     except (ValueError, RecursionError) as error:
         raise ConfigurationInvalidError(f"the body can't be read as JSON: {error}") from error
@@ -39,18 +39,18 @@
         raise ConfigurationInvalidError(f"the body: nested too deep; allowed: up to {MAX_NESTING} levels")
     try:
         ormsgpack.packb(document)
-    except ormsgpack.MsgpackEncodeError as error:  # integers over 64 bits, halves of surrogate pairs
+    except ormsgpack.MsgpackEncodeError as error:  # integers over 64 bits, unpaired surrogates
         raise ConfigurationInvalidError(f"the body holds what can't be kept: {error}") from error
     return document
 
 
 def _object_without_repeated_keys(pairs: list[tuple[str, Any]]) -> Document:
-    found = dict(pairs)
-    if len(found) != len(pairs):
+    result = dict(pairs)
+    if len(result) != len(pairs):
         names = [name for name, _ in pairs]
         repeated = sorted({name for name in names if names.count(name) > 1})
         raise ValueError(f"an object names a key twice: {repeated}")
-    return found
+    return result
 
 
 def _finite_number(text: str) -> float:
@@ -60,29 +60,29 @@
     return value
 
 
-def _refuse_constant(text: str) -> float:
+def _reject_constant(text: str) -> float:
     raise ValueError(f"{text} is no number of JSON")
 
 
 def _is_nested_deeper_than(document: Document, max_levels: int) -> bool:
-    level: list[Any] = [document]
+    containers: list[Any] = [document]
     for _ in range(max_levels):
-        inner: list[Any] = []
-        for container in level:
+        inner_containers: list[Any] = []
+        for container in containers:
             values = container.values() if type(container) is dict else container
-            inner += [value for value in values if type(value) is dict or type(value) is list]
-        if not inner:
+            inner_containers += [value for value in values if type(value) is dict or type(value) is list]
+        if not inner_containers:
             return False
-        level = inner
+        containers = inner_containers
     return True
 
 
 def change_digest(kind: str, based_on: int, body: Document) -> str:
-    """SHA-256 in hex of a change in a canonical form (keys in order), by which an exact repeat is recognised.
+    """SHA-256 in hex of a change in canonical form (sorted keys), which identifies an exact repeat.
 
     Raises ConfigurationInvalidError for a body that can't be encoded.
     """
-    # MessagePack tells 1 from 1.0 and true as JSON does, at a sixth of the time.
+    # MessagePack distinguishes 1 from 1.0 and true as JSON does, and takes a sixth of the time.
     try:
         packed = ormsgpack.packb([kind, based_on, body], option=ormsgpack.OPT_SORT_KEYS)
     except ormsgpack.MsgpackEncodeError as error:
@@ -91,12 +91,12 @@
 
 
 def normalized_host(host: str) -> str:
-    """A host name as it is compared: without port, in lower case."""
+    """A host name in the form used for comparison: without port, in lower case."""
     name, colon, port = host.rpartition(":")
     return (name if colon and port.isdigit() else host).lower()
 
 
 def section_items(document: Document, section: str) -> list[Any]:
-    """The items of a section of a document not yet validated; none if the section is no list."""
+    """The items of a section of an unvalidated document; empty if the section is not a list."""
     items = document.get(section)
     return items if isinstance(items, list) else []
--- a/plumline/configuration/entities.py
+++ b/plumline/configuration/entities.py
@@ -1,4 +1,4 @@
-"""Typed items of a configuration, made from those of a valid document: routes, tenants, services, limits."""
+"""Typed entities of a configuration, built from a valid document: routes, tenants, services, limits."""
 
 import random
 from collections.abc import Mapping
@@ -16,40 +16,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What requests to one host and path prefix get: a service by weight, and their limits."""
+    """Where requests to one host and path prefix are sent, and under which limits."""
 
     name: str
     host: str  # lower case, without port
-    prefix: str  # of the path; begins and ends with "/"
-    kind: str  # one of KINDS; what is not known may run at most once
+    prefix: str  # path prefix; begins and ends with "/"
+    kind: str  # one of KINDS; an unknown Kind counts as NON_IDEMPOTENT and runs at most once
     timeout_ms: float
-    latency_target_ms: float  # the time-out where no TargetLatencyMs is given
+    latency_target_ms: float  # the timeout if TargetLatencyMs is not given
     priority: int = DEFAULT_PRIORITY  # 0 is highest
-    traffic_split: tuple[tuple[str, float], ...] = ()  # (service, weight); a service may come twice
+    traffic_split: tuple[tuple[str, float], ...] = ()  # (service, weight); a service may occur twice
     attempt_limit: int = 1
     public: bool = False  # needs no API key
-    sticky: bool = False  # prompts come in parts that may be in a prefix cache
-    resumable: bool = False  # a stream that breaks off may be continued at another endpoint
-    gap_target_ms: float = 0.0  # longest pause between events of a stream that is in time; 0: none is given
+    sticky: bool = False  # prompts are sent in parts that a prefix cache may contain
+    resumable: bool = False  # an interrupted stream may continue at another endpoint
+    gap_target_ms: float = 0.0  # target for the longest pause between events of a stream; 0: none
 
     @property
     def idempotent(self) -> bool:
-        """Whether a second endpoint may be asked although the first may have run the request."""
+        """Whether a request that may have run at one endpoint may be retried at another."""
         return self.kind == IDEMPOTENT or (self.kind == STREAMING and self.resumable)
 
     def choose_service(self, rng: random.Random) -> str:
-        """The name of a service, drawn by weight; one of weight 0 never."""
+        """The name of a service, chosen at random by weight; never one of weight 0."""
         if len(self.traffic_split) == 1:
             return self.traffic_split[0][0]
         remaining = rng.random() * sum(weight for _, weight in self.traffic_split)
-        last = ""
+        last_candidate = ""
         for service, weight in self.traffic_split:
             if weight > 0:
                 if remaining < weight:
                     return service
                 remaining -= weight
-                last = service
-        return last
+                last_candidate = service
+        return last_candidate
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,23 +57,23 @@
     """A customer, known by its API keys."""
 
     name: str
-    priority: int | None = None  # goes before the route's
+    priority: int | None = None  # overrides the route's
     isolated: bool = False  # shares no prefix cache with other tenants
-    reserved_share: float = 0.0  # of the capacity of each service, reserved for it in a surge
+    reserved_share: float = 0.0  # fraction of each service's capacity that is reserved for it under overload
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """The figures of a group of endpoints, or of a cache store (`cache_store_address` is set)."""
+    """The properties of a group of endpoints, or of a cache store (`cache_store_address` is set)."""
 
     name: str
     health_path: str = "/health"
-    connection_limit: int = UNLIMITED_CONNECTIONS  # of all callers together
-    slots: int = 1  # requests that an endpoint runs at once
-    cache_token_capacity: int = 0  # tokens in an endpoint's or a store's KV cache; 0: not known
+    connection_limit: int = UNLIMITED_CONNECTIONS  # total over all callers
+    slots: int = 1  # requests that an endpoint runs concurrently
+    cache_token_capacity: int = 0  # tokens that fit in an endpoint's or a store's KV cache; 0: unknown
     cache_token_bytes: int = 0  # bytes of KV cache per token
-    link_speed_mbps: float = 0.0  # Mbit/s; 0: not known
-    concurrency_limit: int = 1  # calls of /kv-events at a time
+    link_speed_mbps: float = 0.0  # Mbit/s; 0: unknown
+    concurrency_limit: int = 1  # concurrent calls of /kv-events
     models: tuple[str, ...] = ()
     cache_store_address: tuple[str, int] | None = None
     cache_store_zone: str = ""
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, and how slowly."""
+    """Limits on the size and the duration of what a client sends."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
@@ -90,7 +90,7 @@
 
 
 def traffic_split_of(item: Document) -> tuple[tuple[str, float], ...]:
-    """The services that a route's item names, with their weights."""
+    """The services of a route's item, with their weights."""
     splits = item.get("TrafficSplit")
     if not splits:
         return ((item["Service"], 1),)
@@ -123,7 +123,7 @@
 
 
 def service_from(item: Document) -> Service:
-    """The service of a valid item of Services; endpoints have their figures under Engine, stores at top."""
+    """The service of a valid item of Services; endpoints have properties in Engine, stores in the item."""
     engine = item.get("Engine") or item
     return Service(
         name=item["Name"],
@@ -162,6 +162,6 @@
 
 
 def _value_or(item: Mapping[str, Any], key: str, default: Any) -> Any:  # noqa: ANN401
-    """The value under the key; the default where it is missing or null."""
+    """The value under the key; the default if it is missing or null."""
     value = item.get(key)
     return default if value is None else value
--- a/plumline/configuration/replicated_state.py
+++ b/plumline/configuration/replicated_state.py
@@ -1,9 +1,11 @@
 """The replicated state machine: the configuration, the model versions, and the changes to them.
 
-The chain orders the changes; every replica applies them in this order and comes to the same state. A change
-is a plain list that a frame carries:
-["replace", based_on, body], ["amend", based_on, body] or ["weights", {"Model": str, "Version": int}]; those
-of roll-outs of service versions are of the last kind, see `service_rollouts`.
+The chain orders the changes; every replica applies them in this order and reaches the same state. A change
+is a list of one of these forms, as a frame carries it:
+
+- ["replace", based_on, body]
+- ["amend", based_on, body]
+- ["weights", {"Model": str, "Version": int}]; also for roll-outs of service versions, see `service_rollouts`
 """
 
 from collections.abc import Sequence
@@ -28,24 +30,24 @@
 from plumline.errors import ConfigurationInvalidError, PlumlineError, UnavailableError
 
 Change = Sequence[Any]
-WEIGHTS_VERSION = integer(1)
+MODEL_VERSION = integer(1)
 
 
 class ReplicatedStateInvalidError(PlumlineError):
-    """A state that came over the wire, or from a disk, has not the form of one."""
+    """A state from the wire or from disk is malformed."""
 
     code, status = "state-invalid", 500
 
 
 @dataclass(slots=True, frozen=True)
 class ReplicatedConfiguration:
-    """The state. Never changed in place; `apply` gives the next one, which shares what stays as it was."""
+    """The state. Immutable; `apply` returns the next state, which shares what hasn't changed."""
 
     configuration: Document | None = None  # None until the operator has sent the first one
-    weight_versions: dict[str, int] = field(default_factory=dict)  # model -> newest named version
+    weight_versions: dict[str, int] = field(default_factory=dict)  # model -> newest announced version
     shared_cache_generation: int = 0  # rises when a tenant leaves the prefix cache that tenants share
-    history: History = field(default_factory=History)  # the changes that led here, to recognise repeats
-    departed_tenants: frozenset[str] = frozenset()  # no longer listed, with prompts in the shared cache
+    history: History = field(default_factory=History)  # recent changes, to recognise repeats
+    departed_tenants: frozenset[str] = frozenset()  # removed tenants with prompts in the shared cache
     rollouts: ServiceRollouts = field(default_factory=ServiceRollouts)  # of service versions
 
     @property
@@ -57,13 +59,14 @@
         """True if exactly this change was applied already (it has no effect), False if it can be applied.
 
         Raises ConfigurationInvalidError, VersionConflictError, RolloutInvalidError or RolloutConflictError
-        where no later state will accept the change; UnavailableError where that can't be known: it builds on
-        a version that has been forgotten, on one that is not in place yet, or on a model that no
-        configuration names yet.
+        if no later state will accept the change.
+
+        Raises UnavailableError if that is unknown: the change builds on a version that is no longer in the
+        history or not in place yet, or names a model that no configuration lists yet.
         """
         match list(change):
-            case ["weights", dict(named)]:
-                return self._check_weights(named)
+            case ["weights", dict(body)]:
+                return self._check_weights(body)
             case ["replace", based_on, dict(body)]:
                 if self._is_repeat("replace", based_on, body):
                     return True
@@ -77,31 +80,31 @@
         raise ConfigurationInvalidError("the change: not allowed; allowed: replace, amend or weights")
 
     def _is_repeat(self, kind: str, based_on: object, body: Document) -> bool:
-        """Whether this very change was applied; UnavailableError where nobody can tell."""
+        """Whether exactly this change was applied; raises UnavailableError if that is unknown."""
         if type(based_on) is not int:
             return False
         if based_on > self.version:
             raise UnavailableError(f"version {based_on} is not in place yet; {self.version} is")
         if based_on == self.version:
             return False
-        found = self.history.match(based_on, change_digest(kind, based_on, body))
-        if found is HistoryMatch.FORGOTTEN:
+        result = self.history.match(based_on, change_digest(kind, based_on, body))
+        if result is HistoryMatch.FORGOTTEN:
             raise UnavailableError(f"what was taken on top of version {based_on} is not remembered")
-        return found is HistoryMatch.APPLIED
+        return result is HistoryMatch.APPLIED
 
-    def _check_weights(self, named: Document) -> bool:
-        if (rollout := rollout_change(named)) is not None:
+    def _check_weights(self, body: Document) -> bool:
+        if (rollout := rollout_change(body)) is not None:
             return self._check_rollout(rollout)
-        model, version = named.get("Model"), named.get("Version")
+        model, version = body.get("Model"), body.get("Version")
         if not NAME.test(model):
             raise ConfigurationInvalidError(fault_line("Model", model, NAME.allowed))
-        if not WEIGHTS_VERSION.test(version):
-            raise ConfigurationInvalidError(fault_line("Version", version, WEIGHTS_VERSION.allowed))
+        if not MODEL_VERSION.test(version):
+            raise ConfigurationInvalidError(fault_line("Version", version, MODEL_VERSION.allowed))
         if version <= self.weight_versions.get(model, 0):
-            return True  # a late resend is answered like the first time
+            return True  # a delayed duplicate gets the same answer as the first
         known = model_names(self.configuration)
         if known and model not in known:
-            # Not a refusal: a late copy would be accepted once a configuration names the model.
+            # Not a rejection: a delayed duplicate would be accepted once a configuration lists the model.
             raise UnavailableError(f"the configuration names no model {model} yet")
         return False
 
@@ -113,10 +116,10 @@
         return self.rollouts.check_start(change, service_names(self.configuration))
 
     def apply(self, change: Change) -> "ReplicatedConfiguration":
-        """The state after a change for which `check` gave False on this very state; the same one on a repeat.
+        """The state after a change for which `check` returned False on this state; unchanged on a repeat.
 
-        Validity isn't checked again (every member of the chain applies what its head has checked), but a
-        change on top of another version raises VersionConflictError all the same.
+        Validity isn't checked again, since every member of the chain applies what its head has checked. A
+        change on top of another version still raises VersionConflictError.
         """
         if change[0] == "weights":
             if (rollout := rollout_change(change[1])) is not None:
@@ -142,10 +145,13 @@
             return self
         require_base_version(self.configuration, based_on)
         new = merge_amendment(self.configuration, body) if kind == "amend" and self.configuration else body
-        # A tenant that becomes isolated must not find its prompts in the cache that it shared before.
-        sharing = self.departed_tenants | tenant_names(self.configuration, isolated=False)
-        generation, departed = self.shared_cache_generation, sharing - tenant_names(new, isolated=False)
-        if sharing & tenant_names(new, isolated=True):
+        # Prompts of a tenant that becomes isolated must not be found in the formerly shared cache.
+        sharing_tenants = self.departed_tenants | tenant_names(self.configuration, isolated=False)
+        generation, departed = (
+            self.shared_cache_generation,
+            sharing_tenants - tenant_names(new, isolated=False),
+        )
+        if sharing_tenants & tenant_names(new, isolated=True):
             generation, departed = generation + 1, frozenset[str]()
         return replace(
             self,
@@ -156,9 +162,9 @@
         )
 
     def to_wire(self, history: bool = True) -> dict[str, Any]:
-        """Plain dicts and lists for a frame or a record; they share the state's own and must not be changed.
+        """Plain dicts and lists for a frame or a record; they are shared with the state: don't modify them.
 
-        Without `history` for a subscriber, which never has to recognise a repeat.
+        `history` is False for a subscriber, which never has to recognise a repeat.
         """
         wire = {
             "configuration": self.configuration,
@@ -173,7 +179,7 @@
 
     @classmethod
     def from_wire(cls, wire: object) -> "ReplicatedConfiguration":
-        """The state that `to_wire` gave, now or in an earlier release. Raises ReplicatedStateInvalidError."""
+        """The inverse of `to_wire`, also of earlier releases. Raises ReplicatedStateInvalidError."""
         match wire:
             case {
                 "configuration": dict() | None as configuration,
@@ -191,7 +197,7 @@
 
 def _history_from_wire(wire: dict[str, Any]) -> History:
     match wire:
-        case {"taken": dict(versions_by_digest)}:  # as earlier releases stored it
+        case {"taken": dict(versions_by_digest)}:  # the form of earlier releases
             return History.from_versions(versions_by_digest)
         case {"history": list(history)}:
             try:
--- a/plumline/configuration/rules.py
+++ b/plumline/configuration/rules.py
@@ -1,6 +1,6 @@
-"""Rules for single values and objects, by which configurations, settings and deploy files are checked.
+"""Rules for single values and objects, which validate configurations, settings and deploy files.
 
-A rule says what it allows in words that reach the operator; docs/configuration.md shows the same words. Every
+A rule describes what it allows in a text for the operator; docs/configuration.md uses the same text. Each
 violation is reported as one line: key, value, and what is allowed.
 """
 
@@ -10,10 +10,10 @@
 
 import voluptuous
 
-MAX_INTEGER = 2**63 - 1  # the largest integer that every frame can carry
+MAX_INTEGER = 2**63 - 1  # largest integer that a frame can carry
 MAX_PORT = 65535
-MAX_SHOWN_VALUE = 80  # characters of a value in a violation's line
-MAX_SHOWN_FAULTS = 50  # lines of one answer to the operator
+MAX_SHOWN_VALUE_CHARS = 80  # characters of a value in the line of a violation
+MAX_SHOWN_FAULTS = 50  # lines in one answer to the operator
 
 Value = TypeVar("Value")
 
@@ -29,7 +29,7 @@
         self.test = test
 
     def __call__(self, value: Value) -> Value:
-        """The value itself, if the rule allows it."""
+        """Return the value if the rule allows it."""
         if self.test(value):
             return value
         raise voluptuous.Invalid(self.allowed)
@@ -93,20 +93,20 @@
 
 
 def required_field(key: str, rule: Rule) -> dict[voluptuous.Required, Rule]:
-    """The part of a schema for a field that must be there; its absence is reported with the rule's text."""
+    """The schema entry of a required field; its absence is reported with the rule's text."""
     return {voluptuous.Required(key, msg=rule.allowed): rule}
 
 
 class ObjectSchema:
-    """The rules for one kind of object; fields that they don't name are allowed.
+    """The rules for one type of object; unknown fields are allowed.
 
-    One table serves both a quick test and the voluptuous schema that names the faults, which is much slower.
+    The same rules serve a fast test and the voluptuous schema, which is much slower but reports the faults.
     """
 
     __slots__ = ("_required", "_schema", "_tests")
 
     def __init__(self, required: dict[str, Rule], optional: dict[str, Rule]) -> None:
-        """Fields that must be there and those that may be, by key."""
+        """Required and optional fields, by key."""
         self._required = required
         self._tests = [(key, rule.test) for key, rule in {**required, **optional}.items()]
         fields: dict[str | voluptuous.Required, Rule] = dict(optional)
@@ -115,45 +115,45 @@
         self._schema = voluptuous.Schema(fields, extra=voluptuous.ALLOW_EXTRA)
 
     def accepts(self, item: object) -> bool:
-        """Whether the item is a valid object of this kind."""
+        """Whether the item is a valid object of this type."""
         if type(item) is not dict or not item.keys() >= self._required.keys():
             return False
         return all(test(item[key]) for key, test in self._tests if key in item)
 
     def faults(self, item: object, prefix: str = "") -> list[str]:
-        """A line for each violation, its key under `prefix`; none for a valid object."""
+        """A line for each violation, with its key under `prefix`; empty for a valid object."""
         return [] if self.accepts(item) else schema_faults(self._schema, item, prefix)
 
 
 def fault_line(key: str, value: object, allowed: str) -> str:
-    """One line for a value that is not allowed; a long value is cut."""
+    """One line for a value that is not allowed; a long value is truncated."""
     shown = repr(value)
-    if len(shown) > MAX_SHOWN_VALUE:
-        shown = shown[: MAX_SHOWN_VALUE - 3] + "..."
+    if len(shown) > MAX_SHOWN_VALUE_CHARS:
+        shown = shown[: MAX_SHOWN_VALUE_CHARS - 3] + "..."
     return f"{key}: {shown} is not allowed; allowed: {allowed}"
 
 
 def schema_faults(schema: voluptuous.Schema, value: object, prefix: str = "") -> list[str]:
-    """A line for each violation that the schema finds in the value, its key under `prefix`."""
+    """A line for each violation that the schema finds in the value, with its key under `prefix`."""
     try:
         schema(value)
     except voluptuous.MultipleInvalid as error:
-        return [_line(violation, value, prefix) for violation in error.errors]
+        return [_violation_line(violation, value, prefix) for violation in error.errors]
     return []
 
 
-def _line(error: voluptuous.Invalid, value: object, prefix: str) -> str:
+def _violation_line(error: voluptuous.Invalid, value: object, prefix: str) -> str:
     found = value
-    for step in error.path:
-        found = found.get(str(step)) if isinstance(found, Mapping) else None
+    for key_part in error.path:
+        found = found.get(str(key_part)) if isinstance(found, Mapping) else None
     key = ".".join(filter(None, [prefix, *map(str, error.path)]))
     return fault_line(key, found, error.msg)
 
 
 def join_faults(faults: Iterable[str]) -> str:
-    """The faults as one text, a line each; beyond MAX_SHOWN_FAULTS only their number is given."""
+    """The faults as one text, a line each; those beyond MAX_SHOWN_FAULTS are only counted."""
     lines = list(faults)
-    omitted = len(lines) - MAX_SHOWN_FAULTS
-    if omitted > 0:
-        return "\n".join([*lines[:MAX_SHOWN_FAULTS], f"... and {omitted} more"])
+    omitted_count = len(lines) - MAX_SHOWN_FAULTS
+    if omitted_count > 0:
+        return "\n".join([*lines[:MAX_SHOWN_FAULTS], f"... and {omitted_count} more"])
     return "\n".join(lines)
--- a/plumline/configuration/service_rollouts.py
+++ b/plumline/configuration/service_rollouts.py
@@ -1,8 +1,9 @@
-"""The records of roll-outs of service versions: one a service, replicated with the configuration.
+"""The records of roll-outs of service versions: one per service, replicated with the configuration.
 
-An operator orders that a service's traffic move to endpoints of a target version (`StartRollout`). The
-controller of the roll-out records each stage before it acts on it (`AdvanceRollout`). Stages only go forward,
-and the two last ones are final. Every replica applies the same changes in the same order.
+An operator requests that a service's traffic move to endpoints of a target version (`StartRollout`). The
+controller of the roll-out records each stage before it acts on it (`AdvanceRollout`).
+
+Stages only go forward, and the last two are final. Every replica applies the same changes in the same order.
 """
 
 import math
@@ -15,12 +16,13 @@
 from plumline.configuration.rules import NAME, Rule, fault_line, join_faults
 from plumline.errors import PlumlineError
 
-ROLLOUT_KEY = "Rollout"  # of the body of a change
-NO_MODEL = {"Model": "", "Version": 0}  # the rest of that body
+ROLLOUT_KEY = "Rollout"  # key in the body of a change
+# The other fields of that body: releases without roll-outs ignore version 0.
+NO_MODEL = {"Model": "", "Version": 0}
 START_KIND = "start"  # ["start", service, target, duration_s]
 ADVANCE_KIND = "advance"  # ["advance", service, target, stage, term, elapsed_ms]
 MAX_DURATION_S = 7 * 24 * 3600.0
-MAX_REVERTED_VERSIONS = 64  # remembered for each service, the newest
+MAX_REVERTED_VERSIONS = 64  # newest reverted versions that are remembered per service
 
 DURATION = Rule(
     f"a number of seconds above 0 and up to {MAX_DURATION_S:.0f}",
@@ -29,30 +31,30 @@
 
 
 class RolloutInvalidError(PlumlineError):
-    """An order that can't be read, or that names a service that is not configured."""
+    """A request that is malformed, or that names a service that is not configured."""
 
     code, status = "rollout-invalid", 400
 
 
 class RolloutConflictError(PlumlineError):
-    """Another roll-out of the service is under way, or the record has moved on."""
+    """Another roll-out of the service is in progress, or a decision no longer applies to the record."""
 
     code, status = "rollout-conflict", 409
 
 
 class RolloutNotFoundError(PlumlineError):
-    """No roll-out of the service was ever ordered."""
+    """No roll-out of the service was ever requested."""
 
     code, status = "rollout-not-found", 404
 
 
 class RolloutStage(StrEnum):
-    """How far a roll-out is."""
+    """The stages of a roll-out, in order."""
 
-    ANNOUNCED = "announced"  # ordered; nothing is sent to the target version
-    CANARY = "canary"  # a bounded share of the requests, to few endpoints
-    GROWING = "growing"  # a rising share, to all endpoints of the target version
-    HOLDING = "holding"  # all new requests; those that still run at other versions come to their end
+    ANNOUNCED = "announced"  # requested; nothing is sent to the target version
+    CANARY = "canary"  # a limited share of the requests is sent to few endpoints of the target version
+    GROWING = "growing"  # a rising share is sent to all endpoints of the target version
+    HOLDING = "holding"  # all new requests are sent to it; those running at other versions finish
     COMPLETED = "completed"
     REVERTED = "reverted"
 
@@ -67,21 +69,21 @@
         return "running" if self.running else self.value
 
     def may_follow(self, earlier: "RolloutStage") -> bool:
-        """Whether a roll-out may go from the earlier stage to this one: forward, and from no final one."""
+        """Whether a roll-out may go from the earlier stage to this one: forward, and not from a final one."""
         stages = list(RolloutStage)
         return earlier.running and stages.index(self) > stages.index(earlier)
 
 
 class StartRollout(NamedTuple):
-    """An operator's order."""
+    """An operator's request to start a roll-out."""
 
     service: str
-    target: str  # the version that the service's traffic is to move to
-    duration_s: float  # from the order to the deadline
+    target: str  # the version that the service's traffic moves to
+    duration_s: float  # from the request to the deadline
 
     @classmethod
     def from_body(cls, body: Document) -> "StartRollout":
-        """The order of a request's body. Raises RolloutInvalidError, with a line for each wrong field."""
+        """Parse the body of a request. Raises RolloutInvalidError, with a line for each invalid field."""
         rules = {"Service": NAME, "TargetVersion": NAME, "DurationS": DURATION}
         faults = [
             fault_line(key, body.get(key), rule.allowed)
@@ -93,21 +95,21 @@
         return cls(body["Service"], body["TargetVersion"], float(body["DurationS"]))
 
     def to_change(self) -> list[Any]:
-        """The change, as the log holds it."""
+        """The change in the form of the log."""
         return _change([START_KIND, *self])
 
 
 class AdvanceRollout(NamedTuple):
-    """A controller's decision."""
+    """A controller's decision to enter a stage."""
 
     service: str
     target: str
     stage: RolloutStage
     term: int  # of the controller's lease: the fencing token
-    elapsed_ms: int  # since the order, as far as the controllers know
+    elapsed_ms: int  # since the request, as far as the controllers know
 
     def to_change(self) -> list[Any]:
-        """The change, as the log holds it."""
+        """The change in the form of the log."""
         stage = self.stage.value
         return _change([ADVANCE_KIND, self.service, self.target, stage, self.term, self.elapsed_ms])
 
@@ -117,7 +119,7 @@
 
 
 def is_rollout_change(change: Sequence[Any]) -> bool:
-    """Whether the change, as the log holds it, is one of a roll-out."""
+    """Whether the change, in the form of the log, concerns a roll-out."""
     match change:
         case ["weights", {"Rollout": _}]:
             return True
@@ -125,9 +127,9 @@
 
 
 def rollout_change(body: Document) -> StartRollout | AdvanceRollout | None:
-    """The change of a roll-out that the body of a change of model versions holds; None if it holds none.
+    """The roll-out change in the body of a change of model versions; None if there is none.
 
-    Raises RolloutInvalidError for one that is malformed.
+    Raises RolloutInvalidError if it is malformed.
     """
     if ROLLOUT_KEY not in body:
         return None
@@ -142,18 +144,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutRecord:
-    """What is recorded of one service's newest roll-out."""
+    """The state of one service's newest roll-out."""
 
     service: str
     target: str
     duration_s: float
     stage: RolloutStage = RolloutStage.ANNOUNCED
-    term: int = 0  # the highest that has recorded a stage
-    elapsed_ms: int = 0  # since the order, when the newest stage was recorded
-    reverted: tuple[str, ...] = ()  # versions of the service that were taken back, oldest first
+    term: int = 0  # the highest term that has recorded a stage
+    elapsed_ms: int = 0  # from the request until the newest stage was recorded
+    reverted: tuple[str, ...] = ()  # versions of the service that were rolled back, oldest first
 
     def advanced(self, decision: AdvanceRollout) -> "RolloutRecord | None":
-        """The record after a decision; None where the decision is not for it, or is over."""
+        """The record after a decision; None if the decision is for another target or is outdated."""
         if decision.target != self.target or decision.term < self.term:
             return None
         if not decision.stage.may_follow(self.stage):
@@ -170,7 +172,7 @@
         )
 
     def public_state(self) -> Document:
-        """What operators read of it."""
+        """The part of the record that operators can read."""
         return {"State": self.stage.public_name, "TargetVersion": self.target}
 
     def to_wire(self) -> list[Any]:
@@ -180,47 +182,51 @@
 
     @classmethod
     def from_wire(cls, service: str, wire: list[Any]) -> "RolloutRecord":
-        """The record that `to_wire` gave. Raises ValueError, TypeError."""
+        """The inverse of `to_wire`. Raises ValueError, TypeError."""
         target, duration_s, stage, term, elapsed_ms, reverted = wire
         return cls(service, target, duration_s, RolloutStage(stage), term, elapsed_ms, tuple(reverted))
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceRollouts:
-    """The newest roll-out of each service. Never changed in place."""
+    """The newest roll-out of each service. Immutable."""
 
     records: dict[str, RolloutRecord] = field(default_factory=dict)  # by service
 
-    def check_start(self, order: StartRollout, services: frozenset[str]) -> bool:
-        """True if this very order was taken already, False if it can be.
+    def check_start(self, request: StartRollout, services: frozenset[str]) -> bool:
+        """True if exactly this request was recorded already, False if it can be recorded.
 
-        `services`: those that the configuration names. Raises RolloutInvalidError, RolloutConflictError.
+        `services`: those that the configuration lists. Raises RolloutInvalidError, RolloutConflictError.
         """
-        if order.service not in services:
-            raise RolloutInvalidError(f"Service: the configuration names no service {order.service!r}")
-        record = self.records.get(order.service)
+        if request.service not in services:
+            raise RolloutInvalidError(f"Service: the configuration names no service {request.service!r}")
+        record = self.records.get(request.service)
         if record is None:
             return False
-        if record.target == order.target:
-            if record.duration_s == order.duration_s:
+        if record.target == request.target:
+            if record.duration_s == request.duration_s:
                 return True
-            raise RolloutConflictError(f"a roll-out of {order.service} to {order.target} was ordered before")
+            raise RolloutConflictError(
+                f"a roll-out of {request.service} to {request.target} was ordered before"
+            )
         if record.stage.running:
-            raise RolloutConflictError(f"a roll-out of {order.service} to {record.target} is under way")
+            raise RolloutConflictError(f"a roll-out of {request.service} to {record.target} is under way")
         return False
 
-    def with_start(self, order: StartRollout) -> "ServiceRollouts":
-        """After an order for which `check_start` gave False."""
-        earlier = self.records.get(order.service)
-        # A version that was taken back before may be tried again by an order of its own.
-        reverted = tuple(each for each in earlier.reverted if each != order.target) if earlier else ()
-        record = RolloutRecord(order.service, order.target, order.duration_s, reverted=reverted)
-        return ServiceRollouts({**self.records, order.service: record})
+    def with_start(self, request: StartRollout) -> "ServiceRollouts":
+        """The roll-outs after a request for which `check_start` returned False."""
+        earlier = self.records.get(request.service)
+        # A version that was rolled back before may be requested again.
+        reverted = (
+            tuple(version for version in earlier.reverted if version != request.target) if earlier else ()
+        )
+        record = RolloutRecord(request.service, request.target, request.duration_s, reverted=reverted)
+        return ServiceRollouts({**self.records, request.service: record})
 
     def check_advance(self, decision: AdvanceRollout) -> bool:
         """True if the record shows this stage already, False if it can be recorded.
 
-        Raises RolloutConflictError where the record has moved on.
+        Raises RolloutConflictError if the decision no longer applies to the record.
         """
         record = self.records.get(decision.service)
         if record is not None and record.target == decision.target and record.stage is decision.stage:
@@ -230,7 +236,7 @@
         return False
 
     def with_advance(self, decision: AdvanceRollout) -> "ServiceRollouts":
-        """After a decision; the same where it is not for the record any more."""
+        """The roll-outs after a decision; unchanged if the decision doesn't apply to the record any more."""
         record = self.records.get(decision.service)
         advanced = record.advanced(decision) if record else None
         if advanced is None:
@@ -243,5 +249,5 @@
 
     @classmethod
     def from_wire(cls, wire: dict[str, Any]) -> "ServiceRollouts":
-        """The records that `to_wire` gave. Raises ValueError, TypeError."""
-        return cls({service: RolloutRecord.from_wire(service, each) for service, each in wire.items()})
+        """The inverse of `to_wire`. Raises ValueError, TypeError."""
+        return cls({service: RolloutRecord.from_wire(service, record) for service, record in wire.items()})
--- a/plumline/configuration/validation.py
+++ b/plumline/configuration/validation.py
@@ -1,6 +1,6 @@
-"""Validation of a whole configuration: each object by its schema, then the objects against each other.
+"""Validation of a whole configuration: each object by its schema, then the references between objects.
 
-Every fault of a document is found at once; the operator gets them as one text, a line each.
+All faults of a document are reported together, as one text with a line each.
 """
 
 import math
@@ -18,11 +18,11 @@
 )
 from plumline.errors import ConfigurationInvalidError
 
-SHARE_SUM_TOLERANCE = 1e-9  # tenths don't add up exactly
+SHARE_SUM_TOLERANCE = 1e-9  # decimal fractions don't add up exactly in binary floating point
 
 
 def validate(document: Document) -> None:
-    """Raises ConfigurationInvalidError, with every fault in its text, unless the whole document is valid."""
+    """Raises ConfigurationInvalidError, whose text lists every fault, unless the document is valid."""
     raise_faults(document_faults(document))
 
 
@@ -35,21 +35,21 @@
 def document_faults(document: Document, changed: dict[str, list[Any]] | None = None) -> list[str]:
     """The faults of a document, a line each: first those of single objects, then those between valid ones.
 
-    `changed`: the items, by section, that have to be checked by their schema, where all others are known to
-    be valid; None for all of them.
+    `changed`: the items by section to check by their schema, if all others are known to be valid; None for
+    all items.
     """
     if changed is None:
         changed = {section: section_items(document, section) for section in SECTIONS}
     faults = DOCUMENT_SCHEMA.faults(document)
     if isinstance(document.get("Limits"), dict):
         faults += LIMITS_SCHEMA.faults(document["Limits"], "Limits")
-    invalid: set[int] = set()  # ids of the items that are invalid by themselves
+    invalid: set[int] = set()  # ids of the items that violate their schema
     for section, schema in SECTION_SCHEMAS.items():
         for index, item in enumerate(changed.get(section, [])):
-            found = _item_faults(section, schema, item, index)
-            if found:
+            item_faults = _item_faults(section, schema, item, index)
+            if item_faults:
                 invalid.add(id(item))
-                faults += found
+                faults += item_faults
     routes = [item for item in section_items(document, "Routes") if id(item) not in invalid]
     tenants = [item for item in section_items(document, "Tenants") if id(item) not in invalid]
     return (
@@ -62,9 +62,9 @@
 
 
 def repeated_name_faults(key: str, names: Iterable[str]) -> list[str]:
-    """A line for each name that stands more than once in the list under the key."""
+    """A line for each name that occurs more than once in the list under the key."""
     seen: set[str] = set()
-    repeated: dict[str, None] = {}  # in order
+    repeated: dict[str, None] = {}  # as an ordered set
     for name in names:
         if name in seen:
             repeated[name] = None
@@ -75,16 +75,16 @@
 def _item_faults(section: str, schema: ObjectSchema, item: object, index: int) -> list[str]:
     if not isinstance(item, dict):
         return [fault_line(f"{section}[{index}]", item, OBJECT.allowed)]
-    engine, splits = item.get("Engine"), item.get("TrafficSplit")
-    if not engine and not splits and schema.accepts(item):
+    engine, traffic_splits = item.get("Engine"), item.get("TrafficSplit")
+    if not engine and not traffic_splits and schema.accepts(item):
         return []
     name = item.get("Name")
     key = f"{section}[{name if isinstance(name, str) and name else index}]"
     faults = schema.faults(item, key)
     if section == "Services" and isinstance(engine, dict):
         faults += ENGINE_SCHEMA.faults(engine, f"{key}.Engine")
-    if section == "Routes" and isinstance(splits, list):
-        for split_index, split in enumerate(splits):
+    if section == "Routes" and isinstance(traffic_splits, list):
+        for split_index, split in enumerate(traffic_splits):
             faults += TRAFFIC_SPLIT_SCHEMA.faults(split, f"{key}.TrafficSplit[{split_index}]")
     return faults
 
@@ -121,10 +121,10 @@
 
 
 def _route_service_faults(key: str, route: Document, services: dict[str, Document]) -> list[str]:
-    """Faults of the services that a route names, and of their weights."""
+    """Faults of the services that a route refers to, and of their weights."""
     faults: list[str] = []
-    splits = route.get("TrafficSplit") or ()
-    names = [split["Service"] for split in splits]
+    traffic_splits = route.get("TrafficSplit") or ()
+    names = [split["Service"] for split in traffic_splits]
     if route.get("Service") is not None:
         names.append(route["Service"])
     for name in dict.fromkeys(names):
@@ -133,8 +133,8 @@
             faults.append(fault_line(f"{key}.Service", name, "the name of a service in Services"))
         elif service.get("CacheStoreAddress") is not None:
             faults.append(fault_line(f"{key}.Service", name, "a service that is no store"))
-    weight = sum(split["Weight"] for split in splits)
-    if splits and not 0 < weight <= MAX_INTEGER:
+    weight = sum(split["Weight"] for split in traffic_splits)
+    if traffic_splits and not 0 < weight <= MAX_INTEGER:
         faults.append(fault_line(f"{key}.TrafficSplit", weight, "weights that add up to more than 0"))
     elif not names:
         allowed = "a service, or a TrafficSplit with weights above 0"
@@ -143,20 +143,20 @@
 
 
 def _api_key_faults(tenants: list[Document]) -> list[str]:
-    """Two tenants with one key. The key itself is a secret and stays out of the text."""
+    """Faults of tenants that share an API key. The key is a secret, so the text doesn't contain it."""
     faults: list[str] = []
-    owners: dict[str, str] = {}  # tenant by key
+    tenant_by_key: dict[str, str] = {}  # tenant name by API key
     for tenant in tenants:
         for index, api_key in enumerate(tenant.get("ApiKeys") or ()):
-            owner = owners.setdefault(api_key, tenant["Name"])
-            if owner != tenant["Name"]:
+            key_tenant = tenant_by_key.setdefault(api_key, tenant["Name"])
+            if key_tenant != tenant["Name"]:
                 where = f"Tenants[{tenant['Name']}].ApiKeys[{index}]"
-                faults.append(fault_line(where, "(a key)", f"a key that tenant {owner} has not"))
+                faults.append(fault_line(where, "(a key)", f"a key that tenant {key_tenant} has not"))
     return faults
 
 
 def _reserved_share_faults(tenants: list[Document]) -> list[str]:
-    """More than the whole is reserved."""
+    """The fault that the reserved shares add up to more than 1."""
     total = math.fsum(tenant.get("ReservedShare") or 0 for tenant in tenants)
     if total <= 1 + SHARE_SUM_TOLERANCE:
         return []
--- a/plumline/store/__init__.py
+++ b/plumline/store/__init__.py
@@ -1,1 +1,1 @@
-"""Durable state of a process: a write-ahead log of checksummed records, and the writers in front of it."""
+"""Durable state of a process: a write-ahead log of checksummed records, and its writers."""
--- a/plumline/store/log_writers.py
+++ b/plumline/store/log_writers.py
@@ -1,6 +1,6 @@
-"""Writers of a WriteAheadLog: with group commit in a thread, synchronously, or to nowhere.
+"""Writers of a WriteAheadLog: with group commit in a thread, synchronous, or without storage.
 
-The owner changes its memory first and submits the records after, so that a snapshot of the memory contains
+The owner updates its state in memory before it submits the records, so that a snapshot of the state contains
 everything submitted so far.
 """
 
@@ -16,29 +16,29 @@
 from plumline.store.write_ahead_log import Record, WriteAheadLog
 
 RETRY_INTERVAL_S = 0.3  # between attempts to compact a failed log
-CLOSE_TIMEOUT_S = 1.0  # that a stalled disk may hold up the end of the process
+CLOSE_TIMEOUT_S = 1.0  # bounds how long a stalled disk delays the exit of the process
 
 SyncedCallback = Callable[[], None]
 TakeSnapshot = Callable[[], list[Record]]
 
 
 class LogWriter(Protocol):
-    """What the owner of durable state needs of a writer."""
+    """The interface of a writer for the owner of durable state."""
 
-    failure: StoreError | None  # why nothing can be written now; None while the disk works
+    failure: StoreError | None  # the current write failure; None while the disk works
 
     def submit(self, records: list[Record], on_synced: SyncedCallback) -> None:
         """Queue the records; `on_synced` is called once they are durable, in the order of submits."""
 
     def oldest_pending_age_s(self, now: float) -> float:
-        """Seconds that the oldest submit not yet durable has waited by `now` (steady clock); 0 if none."""
+        """Seconds that the oldest submit not yet durable has waited by `now` (monotonic clock); 0 if none."""
 
     def close(self) -> None:
-        """Write what is queued, if the disk lets it, and stop."""
+        """Write what is queued, if the disk works, and stop."""
 
 
 class _Pending(NamedTuple):
-    submitted_at: float  # steady seconds
+    submitted_at: float  # monotonic seconds
     on_synced: SyncedCallback
 
 
@@ -52,11 +52,11 @@
         return len(self._queue)
 
     def append(self, now: float, on_synced: SyncedCallback) -> None:
-        """Add a submit made at `now`, in steady seconds."""
+        """Add a submit made at `now`, in monotonic seconds."""
         self._queue.append(_Pending(now, on_synced))
 
     def take(self) -> SyncedCallback:
-        """The callback of the oldest, which leaves the queue."""
+        """Remove the oldest submit and return its callback."""
         return self._queue.popleft().on_synced
 
     def oldest_age_s(self, now: float) -> float:
@@ -65,29 +65,30 @@
 
 
 class _Snapshot(NamedTuple):
-    """What the loop's thread answers to the request for a snapshot."""
+    """The event loop thread's answer to a request for a snapshot."""
 
     records: list[Record] | StoreError
-    covered: int  # pending submits whose records the snapshot contains
+    covered_count: int  # number of pending submits whose records the snapshot contains
 
 
 class GroupCommitWriter:
-    """One thread makes the blocking calls: all that was submitted during a sync goes into the next one.
+    """Group commit: all records that are submitted during a sync are written with the next one.
 
-    Everything else belongs to the thread of the event loop. After a failure the log is compacted from a
-    snapshot, again and again until it works; what was submitted meanwhile is covered by the snapshot.
+    One thread makes the blocking calls; everything else runs in the event loop's thread. After a failure
+    compaction from a snapshot is retried until it succeeds; the snapshot contains what was submitted in the
+    meantime.
     """
 
     def __init__(
         self, log: WriteAheadLog, loop: asyncio.AbstractEventLoop, take_snapshot: TakeSnapshot
     ) -> None:
-        """`log` is open already. `take_snapshot` is called in the loop's thread."""
+        """`log` has to be open. `take_snapshot` is called in the loop's thread."""
         self.failure: StoreError | None = None
         self._log = log
         self._loop = loop
         self._take_snapshot = take_snapshot
-        self._pending = _PendingQueue()  # loop's thread only
-        self._changed = threading.Condition()  # guards all below
+        self._pending = _PendingQueue()  # used only in the loop's thread
+        self._changed = threading.Condition()  # guards the attributes below
         self._batches: list[list[Record]] = []
         self._snapshot: _Snapshot | None = None
         self._closing = False
@@ -111,7 +112,7 @@
         return self._pending.oldest_age_s(now)
 
     def close(self) -> None:
-        """Sync what is queued and stop, within CLOSE_TIMEOUT_S: a stalled disk doesn't hold up the end."""
+        """Sync what is queued and stop, within CLOSE_TIMEOUT_S even if the disk stalls."""
         with self._changed:
             self._closing = True
             self._changed.notify()
@@ -119,7 +120,7 @@
         if not self._thread.is_alive():
             self._log.close()
 
-    # In the loop's thread.
+    # Called in the loop's thread
 
     def _acknowledge(self, count: int) -> None:
         for _ in range(count):
@@ -127,7 +128,7 @@
             try:
                 on_synced()
             except Exception as error:
-                # One owner's fault may not keep the others from hearing of their own records.
+                # A failing callback must not prevent the others from being called.
                 self._loop.call_exception_handler(
                     {"message": "on_synced callback failed", "exception": error}
                 )
@@ -142,15 +143,15 @@
             self._snapshot = _Snapshot(records, len(self._pending))
             self._changed.notify()
 
-    # In the writer's thread.
+    # Called in the writer's thread
 
     def _call_in_loop(self, call: Callable[..., None], *args: int) -> None:
-        """Have it called in the loop's thread; nothing if the loop has ended."""
+        """Schedule a call in the loop's thread; does nothing if the loop is closed."""
         with contextlib.suppress(RuntimeError):
             self._loop.call_soon_threadsafe(call, *args)
 
     def _run(self) -> None:
-        block_signals()  # they are the main thread's, also where this one outlives its last work
+        block_signals()  # they are for the main thread, even if this thread outlives its work
         while True:
             with self._changed:
                 self._changed.wait_for(lambda: self._batches or self._closing)
@@ -185,7 +186,7 @@
             self._changed.wait_for(lambda: self._snapshot is not None or self._closing)
             if self._snapshot is None:
                 return False
-            records, covered = self._snapshot
+            records, covered_count = self._snapshot
         try:
             if isinstance(records, StoreError):
                 raise records
@@ -194,19 +195,19 @@
             self.failure = error
             return False
         self.failure = None
-        self._call_in_loop(self._acknowledge, covered)
+        self._call_in_loop(self._acknowledge, covered_count)
         return True
 
 
 class _OrderedCalls:
-    """Makes each call after the one before it has returned, also when one of them asks for another."""
+    """Makes calls one after the other; a call requested by a callback waits until that has returned."""
 
     def __init__(self) -> None:
         self._ready: deque[SyncedCallback] = deque()
         self._calling = False
 
     def call(self, callback: SyncedCallback) -> None:
-        """Call it now, or once the calls before it have returned."""
+        """Call it now, or after the calls before it have returned."""
         self._ready.append(callback)
         if self._calling:
             return
@@ -219,12 +220,12 @@
 
 
 class SynchronousWriter:
-    """Writes within `submit`. After a failure each submit, or `retry`, tries to compact the log."""
+    """Writes within `submit`. After a failure each `submit` or `retry` tries to compact the log."""
 
     def __init__(
         self, log: WriteAheadLog, take_snapshot: TakeSnapshot, clock: Callable[[], float] = lambda: 0.0
     ) -> None:
-        """`log` is open already; `clock` gives steady seconds."""
+        """`log` has to be open; `clock` returns monotonic seconds."""
         self.failure: StoreError | None = None
         self._log = log
         self._take_snapshot = take_snapshot
@@ -248,7 +249,7 @@
             self.retry()
 
     def retry(self) -> None:
-        """Compact with a snapshot; on success everything pending is durable."""
+        """Compact with a snapshot; after a success everything pending is durable."""
         try:
             self._log.compact(self._take_snapshot())
         except StoreError as error:
@@ -262,7 +263,7 @@
         return self._pending.oldest_age_s(now)
 
     def close(self) -> None:
-        """Close the log; nothing is queued but what a failed disk refused."""
+        """Close the log; only submits that failed on the disk are still pending."""
         self._log.close()
 
     def _acknowledge_all(self) -> None:
@@ -272,10 +273,10 @@
 
 
 class VolatileWriter:
-    """Stores nothing: for a process without a data directory. Everything counts as durable at once."""
+    """Stores nothing, for a process without a data directory. Records count as durable at once."""
 
     def __init__(self) -> None:
-        """Needs neither log nor loop."""
+        """Takes neither a log nor an event loop."""
         self.failure: StoreError | None = None
         self._calls = _OrderedCalls()
 
--- a/plumline/store/write_ahead_log.py
+++ b/plumline/store/write_ahead_log.py
@@ -1,18 +1,23 @@
 """A write-ahead log: an append-only file of checksummed records, with compaction.
 
-Layout, all numbers little-endian. Header: magic, format, salt, synced length, CRC32 of these. Then records:
-length of the value (u32), marker, CRC32 (u32, started from the salt, over what follows), sequence (u64,
-from 0 and without gaps), index and count within the batch (u32 each), the value in ormsgpack.
-
-The rule by which a torn tail is told from damage: each append is one batch, written only after the batch
-before it was synced, and never after a failure. So only the last batch can be torn by a loss of power, and
-any part of it may be missing. Reading stops at the first bad record; the batch that it belongs to is
-dropped as a whole (a batch is there completely or not at all). It is damage, and StoreCorruptedError, if
-- the bad record lies within the synced length of the header (what the last compaction wrote), or
-- after it a valid record of a later batch is found, which proves that the bad one had been synced.
-Damage in the very last batch can't be told from a torn one and counts as torn.
-
-A failed fsync may leave pages that count as written and aren't on the disk (Rebello et al., "Can
+Layout, all numbers little-endian:
+
+- Header: magic, format, salt, synced length, CRC32 of these.
+- Records: length of the value (u32), marker, CRC32 (u32, seeded with the salt, over what follows), sequence
+  (u64, from 0 without gaps), index and count within the batch (u32 each), the value in ormsgpack.
+
+Each append is one batch. It is written only after the previous batch was synced, and never after a failure.
+So only the last batch can be torn by a power loss, and any part of it may be missing.
+
+Replay stops at the first invalid record and drops its whole batch, so that a batch is either complete or
+absent. It is corruption (StoreCorruptedError) and not a torn tail if
+
+- the invalid record lies within the header's synced length (what the last compaction wrote), or
+- a valid record of a later batch follows, which proves that the invalid one had been synced.
+
+Corruption in the last batch can't be distinguished from a torn tail and is treated as one.
+
+After a failed fsync, pages may be marked as written without being on the disk (Rebello et al., "Can
 Applications Recover from fsync Failures?", USENIX ATC 2020). So after a failure only a compaction, which
 writes a new file, makes the log usable again.
 """
@@ -30,11 +35,11 @@
 
 from plumline.errors import StoreCorruptedError, StoreError, StoreFullError
 
-Record = Any  # any value that MessagePack can carry
+Record = Any  # any value that MessagePack can encode
 
 MAX_RECORD_BYTES = 16 * 1024 * 1024
-COMPACTION_MIN_BYTES = 1024 * 1024  # a shorter file is left alone
-COMPACTION_GROWTH_FACTOR = 4  # so many times as long as after the last compaction
+COMPACTION_MIN_BYTES = 1024 * 1024  # a shorter file isn't compacted
+COMPACTION_GROWTH_FACTOR = 4  # ratio of the file's length to its length after the last compaction
 
 _MAGIC = b"PLSTOR"
 _FORMAT_VERSION = 1
@@ -42,7 +47,7 @@
 _CHECKSUM = struct.Struct("<I")
 _FILE_HEADER_BYTES = _FILE_HEADER.size + _CHECKSUM.size
 _MARKER = b"\xa5Rc\x1e"
-_MARKER_OFFSET = 4  # of the marker in a record, after the length
+_MARKER_OFFSET = 4  # offset of the marker in a record, after the length
 _RECORD_HEADER = struct.Struct("<I4sI")  # length, marker, checksum
 _BATCH_POSITION = struct.Struct("<QII")  # sequence, index, count
 _PREFIX_BYTES = _RECORD_HEADER.size + _BATCH_POSITION.size
@@ -51,16 +56,16 @@
 
 
 class _ValidRecord(NamedTuple):
-    """What the prefix of a valid record says, and the offset of its end."""
+    """The fields in the prefix of a valid record, and the offset of its end."""
 
     sequence: int
-    index: int  # within its batch
-    count: int  # of records in the batch
+    index: int  # position in its batch
+    count: int  # number of records in the batch
     end: int
 
 
 class _Replayed(NamedTuple):
-    """The contents of a file: the records of all complete batches, and the offset where the last one ends."""
+    """The records of all complete batches of a file, and the offset at which the last batch ends."""
 
     records: list[Record]
     end: int
@@ -77,8 +82,8 @@
 
 
 def _encode_batch(records: list[Record], salt: int, sequence: int) -> bytes:
-    """One batch as bytes; StoreError for a value that can't be encoded or is too long."""
-    parts: list[bytes] = []
+    """Encode one batch. Raises StoreError for a value that can't be encoded or is too long."""
+    chunks: list[bytes] = []
     for index, record in enumerate(records):
         try:
             value = ormsgpack.packb(record)
@@ -87,12 +92,12 @@
         if len(value) > MAX_RECORD_BYTES:
             raise StoreError(f"a record of {len(value)} bytes is too long")
         body = _BATCH_POSITION.pack(sequence + index, index, len(records)) + value
-        parts += (_RECORD_HEADER.pack(len(value), _MARKER, zlib.crc32(body, salt)), body)
-    return b"".join(parts)
+        chunks += (_RECORD_HEADER.pack(len(value), _MARKER, zlib.crc32(body, salt)), body)
+    return b"".join(chunks)
 
 
 def _valid_record_at(data: bytes, offset: int, salt: int) -> _ValidRecord | None:
-    """The valid record that begins at this offset; None if there is none."""
+    """The valid record that starts at this offset; None if there is none."""
     if offset < 0 or offset + _PREFIX_BYTES > len(data):
         return None
     length, marker, checksum = _RECORD_HEADER.unpack_from(data, offset)
@@ -105,8 +110,8 @@
     return _ValidRecord(*_BATCH_POSITION.unpack_from(data, body_offset), end)
 
 
-def _valid_records_after(data: bytes, start: int, salt: int) -> Iterator[_ValidRecord]:
-    """Each valid record that begins at `start` or later, at whatever offset."""
+def _valid_records_from(data: bytes, start: int, salt: int) -> Iterator[_ValidRecord]:
+    """Each valid record that starts at offset `start` or at any later one."""
     marker = data.find(_MARKER, start)
     while marker >= 0:
         record = _valid_record_at(data, marker - _MARKER_OFFSET, salt)
@@ -116,32 +121,32 @@
 
 
 class WriteAheadLog:
-    """The file `name`.log in `folder`. All calls block; one thread at a time may use it.
+    """The file `name`.log in `folder`. All calls block; only one thread at a time may use it.
 
     `size` is the length of the file in bytes. `failed` is set from a failure until a compaction succeeds;
     nothing can be appended meanwhile.
     """
 
     def __init__(self, folder: Path, name: str = "state") -> None:
-        """Touches no disk; `open` does."""
-        self._folder = folder
+        """Doesn't access the disk; `open` does."""
+        self._directory = folder
         self._path = folder / f"{name}.log"
         self._replacement_path = folder / f"{name}.log.rewrite"
         self._fd = -1
         self._salt = 0
         self._next_sequence = 0
-        self._compacted_size = 0  # bytes that the last compaction left
+        self._compacted_size = 0  # length in bytes after the last compaction
         self.size = 0
         self.failed = False
 
     def open(self) -> list[Record]:
-        """Create the file, or replay it: the records in order, all of them durable when this returns.
+        """Create the file, or replay it: the records in order, all durable when this returns.
 
-        Raises StoreCorruptedError for a damaged file (see the module), StoreError where the disk doesn't let
-        it be read or created.
+        Raises StoreCorruptedError for a corrupted file (see the module), StoreError if the file can't be read
+        or created.
         """
         try:
-            self._folder.mkdir(parents=True, exist_ok=True)
+            self._directory.mkdir(parents=True, exist_ok=True)
             self._replacement_path.unlink(missing_ok=True)
             exists = self._path.exists()
         except OSError as error:
@@ -159,8 +164,8 @@
         data = self._path.read_bytes()
         records, end = self._replay(data)
         if end > self._compacted_size:
-            # A sync of an earlier incarnation may have failed: then what is read here may be in the page
-            # cache only, and no later sync of this file would write it.
+            # A sync of an earlier process may have failed: then the data read here may be only in the page
+            # cache, and no later sync of this file would write it.
             with contextlib.suppress(StoreError):
                 self.compact(records)
                 return records
@@ -170,9 +175,9 @@
         self._fd = os.open(self._path, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
         if end < len(data):
             os.ftruncate(self._fd, end)
-        # What a killed process had written but not synced is about to be relied upon.
+        # Makes durable what a killed process had written but not synced, before the owner relies on it.
         os.fsync(self._fd)
-        self._sync_folder()
+        self._sync_directory()
         self.size, self.failed = end, False
         return records
 
@@ -180,7 +185,7 @@
         """Write and sync one batch.
 
         Raises StoreFullError, StoreError: the batch may or may not be on the disk, and the log has failed.
-        A record that can't be encoded or is too long (StoreError) leaves the log as it was.
+        A record that can't be encoded or is too long (StoreError) leaves the log unchanged.
         """
         if self.failed or self._fd < 0:
             raise StoreError("the log has failed; it takes no records until it is compacted")
@@ -200,9 +205,9 @@
         self.size += len(data)
 
     def compact(self, snapshot: list[Record]) -> None:
-        """Put exactly these records in place of the whole contents, all or nothing; repairs a failed log.
+        """Atomically replace the whole contents by these records; repairs a failed log.
 
-        Raises StoreFullError, StoreError: the old contents, or all of the new ones, are on the disk.
+        Raises StoreFullError, StoreError: the disk has either the old contents or all of the new ones.
         """
         salt = int.from_bytes(os.urandom(4), "little")
         body = _encode_batch(snapshot, salt, 0)
@@ -220,10 +225,10 @@
                 if written != size:
                     raise StoreFullError(f"compact: {written} of {size} bytes written")
                 os.fsync(fd)
-                # From here on the old descriptor may be that of a file without a name.
+                # After the rename the old descriptor refers to an unlinked file.
                 self.failed = True
                 os.rename(self._replacement_path, self._path)
-                self._sync_folder()
+                self._sync_directory()
             except OSError as error:
                 raise _store_error(error, "compact") from error
             on_failure.pop_all()
@@ -234,11 +239,11 @@
 
     @property
     def needs_compaction(self) -> bool:
-        """Whether the file is long beside what the last compaction left."""
+        """Whether the file has grown much since the last compaction."""
         return self.size > max(COMPACTION_MIN_BYTES, COMPACTION_GROWTH_FACTOR * self._compacted_size)
 
     def close(self) -> None:
-        """Close the descriptor; appends are refused from then on."""
+        """Close the descriptor; later appends are refused."""
         if self._fd >= 0:
             os.close(self._fd)
             self._fd = -1
@@ -247,16 +252,16 @@
         with contextlib.suppress(OSError):
             self._replacement_path.unlink(missing_ok=True)
 
-    def _sync_folder(self) -> None:
-        """Make the name of the file durable."""
-        fd = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+    def _sync_directory(self) -> None:
+        """Make the file's directory entry durable."""
+        fd = os.open(self._directory, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
         finally:
             os.close(fd)
 
     def _replay(self, data: bytes) -> _Replayed:
-        """The complete batches of a file's contents; takes over its salt, sequence and compacted size."""
+        """Replay the complete batches of a file; adopt its salt, sequence and compacted size."""
         salt, synced = _read_file_header(data)
         records: list[Record] = []
         batch: list[Record] = []
@@ -270,7 +275,7 @@
             if record.index + 1 == record.count:
                 records += batch
                 batch, end = [], offset
-        _require_torn_tail(data, offset, salt, sequence)
+        _raise_if_not_torn_tail(data, offset, salt, sequence)
         if end < synced:
             raise StoreCorruptedError(f"record {sequence} at byte {offset} is bad and had been synced")
         self._salt, self._next_sequence, self._compacted_size = salt, sequence - len(batch), synced
@@ -278,7 +283,7 @@
 
 
 def _read_file_header(data: bytes) -> tuple[int, int]:
-    """Salt and synced length. Raises StoreCorruptedError."""
+    """Return the salt and the synced length. Raises StoreCorruptedError."""
     if len(data) < _FILE_HEADER_BYTES:
         raise StoreCorruptedError("the header is cut short")
     magic, version, salt, synced = _FILE_HEADER.unpack_from(data)
@@ -291,9 +296,9 @@
     return salt, synced
 
 
-def _require_torn_tail(data: bytes, offset: int, salt: int, sequence: int) -> None:
-    """Raises StoreCorruptedError if a later batch than that of the bad record at `offset` is in the file."""
-    for later in _valid_records_after(data, offset, salt):
+def _raise_if_not_torn_tail(data: bytes, offset: int, salt: int, sequence: int) -> None:
+    """Raises StoreCorruptedError if a batch after that of the invalid record at `offset` is in the file."""
+    for later in _valid_records_from(data, offset, salt):
         if later.sequence - later.index > sequence:
             raise StoreCorruptedError(
                 f"record {sequence} at byte {offset} is bad, record {later.sequence} is not"
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: reading, checking, changing; the replicated state; the routers' look-ups."""
+"""The operator's configuration: parsing, validation, changes; the replicated state; the routers' lookups."""
 
 import copy
 import json
@@ -204,7 +204,7 @@
     assert "secret" not in text
 
 
-def test_bare_documents_are_valid() -> None:
+def test_minimal_documents_are_valid() -> None:
     validate({"Version": 1})
     bare = {"Name": "r", "Host": "h", "PathPrefix": "/", "TimeoutMs": 0.5}
     validate({"Version": 1, "Routes": [bare | {"TrafficSplit": split(0, 2)}], "Services": [{"Name": "s1"}]})
@@ -357,7 +357,7 @@
     assert later.version == 8 and later.check(one) is True and later.apply(one) is later
 
 
-def test_a_repeat_of_a_change_too_old_to_remember_is_never_rejected() -> None:
+def test_a_repeat_older_than_the_history_is_never_rejected() -> None:
     state = ReplicatedConfiguration().apply(["replace", 0, {"Version": 1}])
     changes = [
         ["amend", version, {"Version": version + 1}]
@@ -375,8 +375,8 @@
             state.check(change)
 
 
-def test_a_change_on_a_version_that_may_still_come_is_not_rejected() -> None:
-    # A copy of it that arrives after that version would be taken.
+def test_a_change_on_a_future_version_is_not_rejected() -> None:
+    # A delayed duplicate that arrives after that version would be accepted.
     early = ["amend", 5, {"Version": 9}]
     state = ReplicatedConfiguration().apply(["replace", 0, {"Version": 3}])
     with pytest.raises(UnavailableError):
@@ -392,12 +392,12 @@
     )
     assert state.check(replaced_once) is True and state.check(amended_once) is True
     with pytest.raises(VersionConflictError):
-        state.check(["replace", 2, {"Version": 4}])  # the same body as another kind of change
+        state.check(["replace", 2, {"Version": 4}])  # the same body in a change of another kind
     with pytest.raises(VersionConflictError):
         state.check(["amend", 2, {"Version": 4.0}])
 
 
-def test_named_weight_versions() -> None:
+def test_model_versions_are_applied_in_rising_order_only() -> None:
     state = ReplicatedConfiguration()
     change = ["weights", {"Model": "m1", "Version": 3}]
     assert state.check(change) is False
@@ -410,7 +410,7 @@
 
 
 @pytest.mark.parametrize(
-    "named",
+    "body",
     [
         {},
         {"Model": "m1"},
@@ -423,13 +423,13 @@
         {"Model": "m1", "Version": 2**63},
     ],
 )
-def test_invalid_named_weight_versions(named: Document) -> None:
+def test_invalid_model_versions_are_rejected(body: Document) -> None:
     with pytest.raises(ConfigurationInvalidError, match="allowed"):
-        ReplicatedConfiguration().apply(["replace", 0, document()]).check(["weights", named])
+        ReplicatedConfiguration().apply(["replace", 0, document()]).check(["weights", body])
 
 
-def test_a_version_of_a_model_that_may_still_be_named_is_not_rejected() -> None:
-    # A copy of it that arrives after such a configuration would be taken.
+def test_a_version_of_a_model_that_may_be_listed_later_is_not_rejected() -> None:
+    # A delayed duplicate that arrives after a configuration with this model would be accepted.
     change = ["weights", {"Model": "later", "Version": 2}]
     state = ReplicatedConfiguration().apply(["replace", 0, document(1)])
     with pytest.raises(UnavailableError):
@@ -459,14 +459,14 @@
     generations = []
     for version, listed in enumerate(
         [
-            [tenant("a", False), tenant("b", True)],  # new ones, isolated or not: 0
-            [tenant("a", False), tenant("b", False)],  # into the pool: 0
-            [tenant("a", True), tenant("b", False)],  # a leaves it: 1
-            [tenant("a", True), tenant("b", False), tenant("c", True)],  # a new isolated one: 1
-            [tenant("a", True)],  # b is dropped, its parts stay: 1
-            [tenant("a", True), tenant("b", True)],  # b comes back, isolated: 2
+            [tenant("a", False), tenant("b", True)],  # new tenants, isolated or not: 0
+            [tenant("a", False), tenant("b", False)],  # b joins the shared cache: 0
+            [tenant("a", True), tenant("b", False)],  # a leaves the shared cache: 1
+            [tenant("a", True), tenant("b", False), tenant("c", True)],  # a new isolated tenant: 1
+            [tenant("a", True)],  # b is removed, its prompts remain in the shared cache: 1
+            [tenant("a", True), tenant("b", True)],  # b returns, isolated: 2
             [tenant("a", True)],
-            [tenant("a", True), tenant("b", True)],  # its parts were never in this pool: 2
+            [tenant("a", True), tenant("b", True)],  # b's prompts were never in this generation: 2
         ],
         1,
     ):
@@ -525,7 +525,7 @@
     old = {key: value for key, value in state.to_wire().items() if key != "history"} | {"taken": taken}
     again = ReplicatedConfiguration.from_wire(old)
     assert again.check(changes[1]) is True and again.check(changes[2]) is True
-    with pytest.raises(UnavailableError):  # what the oldest was based on isn't known
+    with pytest.raises(UnavailableError):  # the base of the oldest change is unknown
         again.check(changes[0])
     assert ReplicatedConfiguration.from_wire(old | {"taken": {}}).history == History()
 
--- a/tests/test_difference.py
+++ b/tests/test_difference.py
@@ -1,4 +1,4 @@
-"""A Replace sent to subscribers as an Amend, and the route table made from the one before it."""
+"""A Replace sent to subscribers as an Amend, and the route table built from the previous one."""
 
 from typing import Any
 
@@ -77,7 +77,7 @@
 
 
 @given(documents(1), documents(2))
-def test_an_amended_table_equals_one_made_anew(first: Document, second: Document) -> None:
+def test_an_amended_table_equals_a_rebuilt_one(first: Document, second: Document) -> None:
     earlier = RouteTable(first)
     before = lookups(earlier)
     change = replace_as_amend(first, ["replace", 1, second])
@@ -111,7 +111,7 @@
     assert same == 2999
 
 
-def test_what_an_amend_can_not_express_stays_a_replace() -> None:
+def test_a_change_that_an_amend_can_not_express_remains_a_replace() -> None:
     first = {"Version": 1, "Routes": [], "Services": [{"Name": "s"}], "Limits": {}}
     without = ["replace", 1, {"Version": 2, "Routes": [], "Services": [{"Name": "s"}]}]
     assert replace_as_amend(first, without) is without
@@ -123,7 +123,7 @@
 
 
 def section_item(section: str) -> Document:
-    """An item by which a look-up in the table shows whether its section is in force."""
+    """An item whose effect a lookup in the route table shows."""
     items = {
         "Routes": route("a", 1, 1),
         "Services": {"Name": "s"},
@@ -134,7 +134,7 @@
 
 # Guards against routes that are acknowledged and read back while every router answers 404 (review/2).
 @pytest.mark.parametrize("section", SECTIONS)
-def test_a_section_that_the_document_before_lacks_is_in_force_at_the_router(section: str) -> None:
+def test_a_section_that_the_previous_document_lacks_takes_effect_at_the_router(section: str) -> None:
     second = {"Version": 2} | {each: [section_item(each)] for each in SECTIONS}
     first = {key: value for key, value in second.items() if key != section} | {"Version": 1}
     change = replace_as_amend(first, ["replace", 1, second])
@@ -145,9 +145,9 @@
     assert lookups(table) == lookups(RouteTable(second))
 
 
-# Guards against an Amend that only the publisher's own merge understands: operators could not send it.
+# Guards against an Amend in a form that only the publisher's merge accepts and operators can't send.
 @pytest.mark.parametrize("section", SECTIONS)
-def test_a_section_that_the_document_before_lacks_is_sent_as_its_items(section: str) -> None:
+def test_a_section_that_the_previous_document_lacks_is_sent_as_upserts(section: str) -> None:
     first = {"Version": 1, "Services": [section_item("Services")]}
     second = {**first, "Version": 2, section: [section_item(section)]}
     _, based_on, body = replace_as_amend(first, ["replace", 1, second])
@@ -155,8 +155,8 @@
     assert amend_document(first, based_on, body) == second
 
 
-# Guards against a registrar of an earlier release, which sends such a section whole beside Upserts.
-def test_routes_that_an_amendment_gives_whole_replace_those_of_the_table() -> None:
+# Guards against a registrar of an earlier release, which sends the complete section besides Upserts.
+def test_a_complete_list_of_routes_in_an_amendment_replaces_those_of_the_table() -> None:
     first = {"Version": 1, "Routes": [route("a", 1, 1), route("b", 2, 1)], "Services": [{"Name": "s"}]}
     second = {**first, "Version": 2, "Routes": [route("b", 2, 1), route("c", 3, 1)]}
     earlier = RouteTable(first)
--- a/tests/test_service_rollouts.py
+++ b/tests/test_service_rollouts.py
@@ -1,4 +1,4 @@
-"""The records of roll-outs: what orders and stages make of them, and what is read of them."""
+"""The records of roll-outs: how requests and stages change them, and what operators read."""
 
 import itertools
 from typing import Any
@@ -21,14 +21,14 @@
 
 DOCUMENT = {"Version": 1, "Services": [{"Name": "s"}, {"Name": "t"}]}
 CONFIGURED = ReplicatedConfiguration().apply(["replace", 0, DOCUMENT])
-ORDER = StartRollout("s", "v2", 12.0)
+START = StartRollout("s", "v2", 12.0)
 
 
 def advance(stage: RolloutStage, term: int = 1, target: str = "v2", elapsed_ms: int = 0) -> AdvanceRollout:
     return AdvanceRollout("s", target, stage, term, elapsed_ms)
 
 
-def after(*changes: StartRollout | AdvanceRollout) -> ReplicatedConfiguration:
+def state_after(*changes: StartRollout | AdvanceRollout) -> ReplicatedConfiguration:
     state = CONFIGURED
     for change in changes:
         assert state.check(change.to_change()) is False
@@ -36,31 +36,31 @@
     return state
 
 
-def read(state: ReplicatedConfiguration, service: str = "s") -> dict[str, Any]:
+def public_state_of(state: ReplicatedConfiguration, service: str = "s") -> dict[str, Any]:
     return state.rollouts.records[service].public_state()
 
 
-def test_an_order_is_recorded_and_read_as_running() -> None:
-    state = after(ORDER)
-    assert read(state) == {"State": "running", "TargetVersion": "v2"}
+def test_a_request_is_recorded_and_read_as_running() -> None:
+    state = state_after(START)
+    assert public_state_of(state) == {"State": "running", "TargetVersion": "v2"}
     assert state.rollouts.records["s"].stage is RolloutStage.ANNOUNCED
 
 
-def test_an_order_sent_again_has_no_effect_in_any_stage() -> None:
-    state = after(ORDER)
+def test_a_repeated_request_has_no_effect_in_any_stage() -> None:
+    state = state_after(START)
     for stage in (RolloutStage.CANARY, RolloutStage.REVERTED):
         state = state.apply(advance(stage).to_change())
-        assert state.check(ORDER.to_change()) is True
-    assert read(state)["State"] == "reverted"
+        assert state.check(START.to_change()) is True
+    assert public_state_of(state)["State"] == "reverted"
 
 
-def test_another_order_for_the_service_waits_for_the_end_of_the_first() -> None:
+def test_another_request_for_the_service_conflicts_until_the_first_has_ended() -> None:
     other = StartRollout("s", "v3", 12.0)
-    running = after(ORDER)
+    running = state_after(START)
     with pytest.raises(RolloutConflictError):
         running.check(other.to_change())
-    with pytest.raises(RolloutConflictError):  # the same version in another time
-        running.check(ORDER._replace(duration_s=20.0).to_change())
+    with pytest.raises(RolloutConflictError):  # the same version with another duration
+        running.check(START._replace(duration_s=20.0).to_change())
     assert running.check(StartRollout("t", "v3", 12.0).to_change()) is False
     ended = running.apply(advance(RolloutStage.REVERTED).to_change())
     assert ended.check(other.to_change()) is False
@@ -80,7 +80,9 @@
         ({"Service": "s", "TargetVersion": "v2", "DurationS": float("nan")}, ["DurationS"]),
     ],
 )
-def test_a_wrong_order_names_its_fields_and_what_they_may_hold(body: dict[str, Any], keys: list[str]) -> None:
+def test_an_invalid_request_is_rejected_with_the_fields_and_their_allowed_values(
+    body: dict[str, Any], keys: list[str]
+) -> None:
     with pytest.raises(RolloutInvalidError) as caught:
         StartRollout.from_body(body)
     lines = caught.value.text.splitlines()
@@ -88,7 +90,7 @@
     assert all("allowed" in line for line in lines)
 
 
-def test_a_service_that_is_not_configured_is_refused_and_one_before_any_configuration_waits() -> None:
+def test_an_unknown_service_is_rejected_and_one_before_any_configuration_is_unavailable() -> None:
     order = StartRollout("unknown", "v2", 12.0).to_change()
     with pytest.raises(RolloutInvalidError):
         CONFIGURED.check(order)
@@ -100,7 +102,7 @@
 def test_stages_only_go_forward_and_the_last_ones_are_final(
     earlier: RolloutStage, later: RolloutStage
 ) -> None:
-    state = after(ORDER)
+    state = state_after(START)
     if earlier is not RolloutStage.ANNOUNCED:
         state = state.apply(advance(earlier).to_change())
     order = list(RolloutStage)
@@ -118,29 +120,31 @@
 
 
 def test_a_decision_of_an_earlier_term_or_for_another_target_changes_nothing() -> None:
-    state = after(ORDER, advance(RolloutStage.CANARY, term=5))
+    state = state_after(START, advance(RolloutStage.CANARY, term=5))
     for late in (advance(RolloutStage.GROWING, term=4), advance(RolloutStage.COMPLETED, 9, target="v1")):
         with pytest.raises(RolloutConflictError):
             state.check(late.to_change())
         assert state.apply(late.to_change()).rollouts == state.rollouts
 
 
-def test_a_state_with_roll_outs_keeps_its_form_and_one_without_is_stored_as_before() -> None:
-    state = after(ORDER, advance(RolloutStage.REVERTED, 3, elapsed_ms=1500), StartRollout("s", "v3", 9.5))
+def test_a_state_with_roll_outs_survives_serialization_and_one_without_has_the_earlier_form() -> None:
+    state = state_after(
+        START, advance(RolloutStage.REVERTED, 3, elapsed_ms=1500), StartRollout("s", "v3", 9.5)
+    )
     assert ReplicatedConfiguration.from_wire(state.to_wire()) == state
     assert "rollouts" not in CONFIGURED.to_wire()
     assert ReplicatedConfiguration.from_wire(CONFIGURED.to_wire()).rollouts == ServiceRollouts()
 
 
-def test_a_release_without_roll_outs_finds_no_effect_in_their_changes() -> None:
-    """It applies a change of model versions by model and version alone, and version 0 is never newer."""
-    for change in (ORDER, advance(RolloutStage.CANARY)):
+def test_a_release_without_roll_outs_ignores_their_changes() -> None:
+    """Such a release applies only Model and Version of the change, and version 0 is never newer."""
+    for change in (START, advance(RolloutStage.CANARY)):
         kind, body = change.to_change()
         assert (kind, body["Model"], body["Version"]) == ("weights", "", 0)
         assert rollout_change(body) == change
 
 
-def test_a_malformed_change_of_a_roll_out_is_refused() -> None:
+def test_a_malformed_change_of_a_roll_out_is_rejected() -> None:
     for wrong in (["start"], ["start", "s", "v2", "12"], ["advance", "s", "v2", "no stage", 1, 0], 5):
         with pytest.raises(RolloutInvalidError):
             CONFIGURED.check(["weights", {"Model": "", "Version": 0, "Rollout": wrong}])
@@ -160,7 +164,7 @@
 
 
 @given(st.lists(CHANGES, max_size=30))
-def test_whatever_comes_in_what_order_an_end_stays_until_the_next_order(
+def test_a_final_stage_remains_until_the_next_request(
     changes: list[StartRollout | AdvanceRollout],
 ) -> None:
     state = CONFIGURED
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The write-ahead log against torn tails, damage and failing disks; the writers' order and recovery."""
+"""The write-ahead log with torn tails, corruption and failing disks; the writers' order and recovery."""
 
 import asyncio
 import errno
@@ -19,10 +19,10 @@
 from plumline.store.write_ahead_log import WriteAheadLog
 
 BATCHES: list[list[Any]] = [[["a", 1], {"k": [1.5, None]}], ["x" * 300], [b"\x00" * 50, "y", 7]]
-FLAT = [record for batch in BATCHES for record in batch]
+ALL_RECORDS = [record for batch in BATCHES for record in batch]
 
 
-def written(folder: Path) -> tuple[Path, list[int]]:
+def write_batches(folder: Path) -> tuple[Path, list[int]]:
     """A file with BATCHES appended: its path and the size before and after each batch."""
     file = WriteAheadLog(folder)
     assert file.open() == []
@@ -36,7 +36,7 @@
     return path, sizes
 
 
-def reopened(folder: Path) -> list[Any]:
+def read_records(folder: Path) -> list[Any]:
     file = WriteAheadLog(folder)
     try:
         return file.open()
@@ -45,17 +45,17 @@
 
 
 def test_replay_then_append(tmp_path: Path) -> None:
-    written(tmp_path)
+    write_batches(tmp_path)
     file = WriteAheadLog(tmp_path)
-    assert file.open() == FLAT
+    assert file.open() == ALL_RECORDS
     file.append(["more"])
     file.append([])
     file.close()
-    assert reopened(tmp_path) == [*FLAT, "more"]
+    assert read_records(tmp_path) == [*ALL_RECORDS, "more"]
 
 
 def test_every_truncation_drops_the_torn_batch_and_can_be_appended_to(tmp_path: Path) -> None:
-    path, sizes = written(tmp_path)
+    path, sizes = write_batches(tmp_path)
     data = path.read_bytes()
     for length in range(sizes[0], sizes[-1]):
         path.write_bytes(data[:length])
@@ -65,76 +65,76 @@
         assert file.open() == left, length
         file.append(["after"])
         file.close()
-        assert reopened(tmp_path) == [*left, "after"], length
+        assert read_records(tmp_path) == [*left, "after"], length
 
 
 def test_any_bad_byte_of_the_last_batch_is_a_torn_tail(tmp_path: Path) -> None:
-    path, sizes = written(tmp_path)
+    path, sizes = write_batches(tmp_path)
     data = bytearray(path.read_bytes())
     for offset in range(sizes[-2], sizes[-1]):
         bad = data.copy()
         bad[offset] ^= 0x40
         path.write_bytes(bad)
-        assert reopened(tmp_path) == FLAT[:3], offset
+        assert read_records(tmp_path) == ALL_RECORDS[:3], offset
 
 
-def test_any_bad_byte_before_the_last_batch_is_damage(tmp_path: Path) -> None:
-    path, sizes = written(tmp_path)
+def test_any_bad_byte_before_the_last_batch_is_corruption(tmp_path: Path) -> None:
+    path, sizes = write_batches(tmp_path)
     data = path.read_bytes()
     for offset in range(sizes[-2]):
         bad = bytearray(data)
         bad[offset] ^= 0x01
         path.write_bytes(bad)
         with pytest.raises(StoreCorruptedError):
-            reopened(tmp_path)
+            read_records(tmp_path)
         assert path.read_bytes() == bad
 
 
-def test_damage_in_what_a_compaction_left_is_never_a_torn_tail(tmp_path: Path) -> None:
+def test_corruption_of_a_compacted_file_is_never_a_torn_tail(tmp_path: Path) -> None:
     file = WriteAheadLog(tmp_path)
     file.open()
-    file.compact(FLAT)
+    file.compact(ALL_RECORDS)
     file.close()
     path = tmp_path / "state.log"
     data = path.read_bytes()
     for bad in (data[:-1], data[:40], data[:-1] + b"\xff", b""):
         path.write_bytes(bad)
         with pytest.raises(StoreCorruptedError):
-            reopened(tmp_path)
+            read_records(tmp_path)
 
 
 @settings(max_examples=60, deadline=None, suppress_health_check=[HealthCheck.function_scoped_fixture])
 @given(st.binary(max_size=200), st.integers(0, 2**32 - 1))
-def test_garbage_behind_the_log_is_dropped(tmp_path: Path, garbage: bytes, length: int) -> None:
+def test_garbage_after_the_last_record_is_dropped(tmp_path: Path, garbage: bytes, length: int) -> None:
     path = tmp_path / "state.log"
     path.unlink(missing_ok=True)
-    written(tmp_path)
+    write_batches(tmp_path)
     with path.open("ab") as stream:
         stream.write(length.to_bytes(4, "little") + b"\xa5Rc\x1e" + garbage)
-    assert reopened(tmp_path) == FLAT
-    assert reopened(tmp_path) == FLAT
+    assert read_records(tmp_path) == ALL_RECORDS
+    assert read_records(tmp_path) == ALL_RECORDS
 
 
 def test_records_of_an_older_file_are_not_read_as_later_ones(tmp_path: Path) -> None:
-    """Blocks that a file had before a compaction may turn up behind the new one."""
-    path, _ = written(tmp_path)
+    """Blocks of the file from before a compaction may appear after the end of the new file."""
+    path, _ = write_batches(tmp_path)
     older = path.read_bytes()
     file = WriteAheadLog(tmp_path)
     file.open()
     file.compact(["new"])
     file.close()
     path.write_bytes(path.read_bytes() + older[-200:])
-    assert reopened(tmp_path) == ["new"]
+    assert read_records(tmp_path) == ["new"]
 
 
-def test_leftover_of_a_compaction_is_removed(tmp_path: Path) -> None:
-    written(tmp_path)
+def test_the_file_of_an_interrupted_compaction_is_removed(tmp_path: Path) -> None:
+    write_batches(tmp_path)
     (tmp_path / "state.log.rewrite").write_bytes(b"half")
-    assert reopened(tmp_path) == FLAT
+    assert read_records(tmp_path) == ALL_RECORDS
     assert [path.name for path in tmp_path.iterdir()] == ["state.log"]
 
 
-def test_too_long_and_not_encodable_values_break_nothing(
+def test_values_that_can_not_be_stored_leave_the_log_usable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(log_module, "MAX_RECORD_BYTES", 100)
@@ -145,7 +145,7 @@
             file.append([bad])
     file.append(["good"])
     file.close()
-    assert reopened(tmp_path) == ["good"]
+    assert read_records(tmp_path) == ["good"]
 
 
 def test_needs_compaction(tmp_path: Path) -> None:
@@ -166,14 +166,14 @@
 
 
 class Disk:
-    """Takes the place of the os calls in plumline.store.write_ahead_log; each may be made to fail."""
+    """Replaces the os calls of plumline.store.write_ahead_log and lets tests make them fail or stall."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.fail: dict[str, int] = {}
         self.short = False
-        self.stalled = threading.Event()  # a call has come while `go` is unset
-        self.go = threading.Event()
-        self.go.set()
+        self.stalled = threading.Event()  # a call was made while `resumed` is unset
+        self.resumed = threading.Event()
+        self.resumed.set()
         self.calls: list[str] = []
         for name in ("write", "fdatasync", "fsync", "rename"):
             monkeypatch.setattr(log_module.os, name, self._wrapped(name, getattr(os, name)))
@@ -181,9 +181,9 @@
     def _wrapped(self, name: str, real: Callable[..., Any]) -> Callable[..., Any]:
         def call(*args: Any) -> Any:  # noqa: ANN401
             self.calls.append(name)
-            if not self.go.is_set():
+            if not self.resumed.is_set():
                 self.stalled.set()
-                assert self.go.wait(10)
+                assert self.resumed.wait(10)
             if name in self.fail:
                 raise OSError(self.fail[name], os.strerror(self.fail[name]))
             if name == "write" and self.short:
@@ -208,7 +208,7 @@
         ("short", 0, StoreFullError),
     ],
 )
-def test_after_a_failure_only_a_compaction_helps(
+def test_after_a_failure_only_a_compaction_makes_the_log_usable(
     tmp_path: Path, disk: Disk, call: str, number: int, kind: type[StoreError]
 ) -> None:
     file = WriteAheadLog(tmp_path)
@@ -233,12 +233,12 @@
     file.compact(["kept", "healed"])
     file.append(["again"])
     file.close()
-    assert reopened(tmp_path) == ["kept", "healed", "again"]
+    assert read_records(tmp_path) == ["kept", "healed", "again"]
 
 
 @pytest.mark.parametrize("call", ["write", "fsync", "rename"])
 def test_a_failed_compaction_leaves_the_old_contents(tmp_path: Path, disk: Disk, call: str) -> None:
-    written(tmp_path)
+    write_batches(tmp_path)
     file = WriteAheadLog(tmp_path)
     file.open()
     disk.fail[call] = errno.EIO
@@ -246,17 +246,17 @@
         file.compact(["new"])
     disk.fail.clear()
     file.close()
-    assert reopened(tmp_path) == FLAT
+    assert read_records(tmp_path) == ALL_RECORDS
 
 
 class PageCache:
-    """What a loss of power leaves of a file whose sync failed: the pages count as written from then on, also
-    for later syncs, and are not on the disk."""
+    """Simulates a failed sync and a power loss: after the failure the pages count as written, also for later
+    syncs, but are not on the disk."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.failing = False
-        self.durable: dict[int, bytes] = {}  # by inode; what the last good sync covered
-        self.lost: set[int] = set()  # inodes of which a sync failed
+        self.durable: dict[int, bytes] = {}  # by inode; the contents at the last successful sync
+        self.lost: set[int] = set()  # inodes with a failed sync
         for name in ("fdatasync", "fsync"):
             monkeypatch.setattr(log_module.os, name, self._sync)
 
@@ -273,7 +273,7 @@
         path.write_bytes(self.durable[path.stat().st_ino])
 
 
-def test_what_is_read_after_a_failed_sync_outlasts_a_loss_of_power(
+def test_records_replayed_after_a_failed_sync_survive_a_power_loss(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     cache = PageCache(monkeypatch)
@@ -285,37 +285,37 @@
         file.append(["in the page cache only"])
     file.close()
     cache.failing = False
-    replayed = reopened(tmp_path)
+    replayed = read_records(tmp_path)
     assert replayed[0] == "kept"
     cache.lose_power(tmp_path / "state.log")
-    assert reopened(tmp_path) == replayed
+    assert read_records(tmp_path) == replayed
 
 
 @pytest.mark.parametrize("call", ["write", "rename"])
-def test_a_file_that_can_not_be_compacted_on_opening_is_read_as_it_is(
+def test_a_file_that_can_not_be_compacted_on_opening_is_replayed(
     tmp_path: Path, disk: Disk, call: str
 ) -> None:
-    written(tmp_path)
+    write_batches(tmp_path)
     disk.fail[call] = errno.ENOSPC
     file = WriteAheadLog(tmp_path)
-    assert file.open() == FLAT
+    assert file.open() == ALL_RECORDS
     disk.fail.clear()
     file.append(["more"])
     file.close()
-    assert reopened(tmp_path) == [*FLAT, "more"]
+    assert read_records(tmp_path) == [*ALL_RECORDS, "more"]
 
 
 def test_a_batch_is_one_write_and_one_sync(tmp_path: Path, disk: Disk) -> None:
     file = WriteAheadLog(tmp_path)
     file.open()
     disk.calls.clear()
-    file.append(FLAT)
+    file.append(ALL_RECORDS)
     assert disk.calls == ["write", "fdatasync"]
     file.close()
 
 
 class Owner:
-    """Puts values in memory, then submits them; hears what is synced."""
+    """Adds values to its memory, submits them, and records which are synced."""
 
     def __init__(self) -> None:
         self.memory: list[Any] = []
@@ -326,7 +326,7 @@
     def snapshot(self) -> list[Any]:
         return list(self.memory)
 
-    def put(self, value: Any) -> None:  # noqa: ANN401
+    def add(self, value: Any) -> None:  # noqa: ANN401
         self.memory.append(value)
         self.writer.submit([value], lambda: self._on_synced(value))
 
@@ -336,8 +336,8 @@
             if len(self.synced) >= count:
                 event.set()
 
-    async def until(self, count: int) -> None:
-        """Until so many are synced."""
+    async def wait_for_synced(self, count: int) -> None:
+        """Wait until `count` values are synced."""
         event = self.waiting[count] = asyncio.Event()
         if len(self.synced) >= count:
             event.set()
@@ -352,29 +352,29 @@
     return owner, file
 
 
-def test_a_stalled_disk_stops_neither_loop_nor_order(tmp_path: Path, disk: Disk) -> None:
+def test_a_stalled_disk_neither_blocks_the_loop_nor_changes_the_order(tmp_path: Path, disk: Disk) -> None:
     async def main() -> None:
         owner, _ = await start(tmp_path)
         loop = asyncio.get_running_loop()
         assert owner.writer.oldest_pending_age_s(loop.time()) == 0.0
-        disk.go.clear()
-        owner.put(0)
+        disk.resumed.clear()
+        owner.add(0)
         assert await asyncio.to_thread(disk.stalled.wait, 10)
         disk.calls.clear()
         for value in range(1, 50):
-            owner.put(value)
+            owner.add(value)
         assert owner.synced == []
         assert owner.writer.oldest_pending_age_s(loop.time() + 5.0) >= 5.0
-        disk.go.set()
-        await owner.until(50)
+        disk.resumed.set()
+        await owner.wait_for_synced(50)
         assert owner.synced == list(range(50))
-        assert disk.calls.count("fdatasync") == 2  # the stalled one, then all others in one batch
+        assert disk.calls.count("fdatasync") == 2  # the stalled submit, then all others in one batch
         assert owner.writer.oldest_pending_age_s(loop.time() + 5.0) == 0.0
         owner.writer.close()
 
     asyncio.run(main())
-    disk.go.set()
-    assert reopened(tmp_path) == list(range(50))
+    disk.resumed.set()
+    assert read_records(tmp_path) == list(range(50))
 
 
 def test_nothing_is_acknowledged_before_the_sync(tmp_path: Path, disk: Disk) -> None:
@@ -389,10 +389,10 @@
 
         log_module.os.fdatasync = sync
         try:
-            owner.put("one")
-            await owner.until(1)
-            owner.put("two")
-            await owner.until(2)
+            owner.add("one")
+            await owner.wait_for_synced(1)
+            owner.add("two")
+            await owner.wait_for_synced(2)
         finally:
             log_module.os.fdatasync = real
         assert at_sync == [[], ["one"]]
@@ -408,8 +408,8 @@
 
     async def main() -> None:
         owner, file = await start(tmp_path)
-        owner.put("before")
-        await owner.until(1)
+        owner.add("before")
+        await owner.wait_for_synced(1)
         snapshots = 0
         tried = asyncio.Event()
         real = owner.snapshot
@@ -418,28 +418,28 @@
             nonlocal snapshots
             snapshots += 1
             if snapshots == 3:
-                owner.put("during")
+                owner.add("during")
                 tried.set()
             return real()
 
         owner.writer._take_snapshot = snapshot
         disk.fail = {"fdatasync": errno.ENOSPC, "fsync": errno.ENOSPC}
-        owner.put("failed")
-        owner.put("queued")
+        owner.add("failed")
+        owner.add("queued")
         await asyncio.wait_for(tried.wait(), 10)
         assert owner.synced == ["before"]
         assert isinstance(owner.writer.failure, StoreFullError)
         disk.fail = {}
-        await owner.until(4)
+        await owner.wait_for_synced(4)
         assert owner.writer.failure is None
-        owner.put("after")
-        await owner.until(5)
+        owner.add("after")
+        await owner.wait_for_synced(5)
         assert owner.synced == ["before", "failed", "queued", "during", "after"]
         assert not file.failed
         owner.writer.close()
 
     asyncio.run(main())
-    assert reopened(tmp_path) == ["before", "failed", "queued", "during", "after"]
+    assert read_records(tmp_path) == ["before", "failed", "queued", "during", "after"]
 
 
 def test_compaction(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -450,27 +450,27 @@
         for value in range(200):
             owner.memory = [value]
             owner.writer.submit(["x" * 100, value], lambda value=value: owner._on_synced(value))
-            await owner.until(value + 1)
+            await owner.wait_for_synced(value + 1)
         assert owner.synced == list(range(200))
         owner.writer.close()
         assert file.size < 5000
 
     asyncio.run(main())
-    assert reopened(tmp_path)[-1] == 199
+    assert read_records(tmp_path)[-1] == 199
 
 
 def test_close_syncs_what_is_queued(tmp_path: Path) -> None:
     async def main() -> None:
         owner, _ = await start(tmp_path)
         for value in range(5):
-            owner.put(value)
+            owner.add(value)
         owner.writer.close()
         with pytest.raises(StoreError):
-            owner.put("late")
-        await owner.until(5)
+            owner.add("late")
+        await owner.wait_for_synced(5)
 
     asyncio.run(main())
-    assert reopened(tmp_path) == list(range(5))
+    assert read_records(tmp_path) == list(range(5))
 
 
 def test_close_does_not_wait_for_a_stalled_disk(
@@ -480,8 +480,8 @@
 
     async def main() -> None:
         owner, _ = await start(tmp_path)
-        disk.go.clear()
-        owner.put(1)
+        disk.resumed.clear()
+        owner.add(1)
         assert await asyncio.to_thread(disk.stalled.wait, 10)
         owner.writer.close()
         assert owner.synced == []
@@ -489,17 +489,17 @@
     try:
         asyncio.run(main())
     finally:
-        disk.go.set()
+        disk.resumed.set()
 
 
-def test_a_failing_callback_does_not_keep_the_others_from_theirs(tmp_path: Path) -> None:
+def test_a_failing_callback_does_not_prevent_later_callbacks(tmp_path: Path) -> None:
     async def main() -> None:
         owner, _ = await start(tmp_path)
         faults: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: faults.append(context))
         owner.writer.submit(["bad"], lambda: [][0])
-        owner.put("good")
-        await owner.until(1)
+        owner.add("good")
+        await owner.wait_for_synced(1)
         assert len(faults) == 1
         owner.writer.close()
 
@@ -511,11 +511,11 @@
     file.open()
     owner = Owner()
     owner.writer = SynchronousWriter(file, owner.snapshot, lambda: 5.0)
-    owner.put("one")
+    owner.add("one")
     assert owner.synced == ["one"]
     disk.fail = {"fdatasync": errno.EIO, "fsync": errno.EIO}
-    owner.put("two")
-    owner.put("three")
+    owner.add("two")
+    owner.add("three")
     assert owner.synced == ["one"]
     assert isinstance(owner.writer.failure, StoreError)
     assert owner.writer.oldest_pending_age_s(7.0) == 2.0
@@ -524,10 +524,10 @@
     assert owner.synced == ["one", "two", "three"]
     assert owner.writer.failure is None
     owner.writer.close()
-    assert reopened(tmp_path) == ["one", "two", "three"]
+    assert read_records(tmp_path) == ["one", "two", "three"]
 
 
-def test_volatile_writer_calls_in_order_also_from_within() -> None:
+def test_volatile_writer_calls_nested_submits_in_order() -> None:
     writer = VolatileWriter()
     calls: list[str] = []
 
