--- a/plumline/coordination/lease/actions.py
+++ b/plumline/coordination/lease/actions.py
@@ -9,7 +9,7 @@
 
 
 class Send(NamedTuple):
-    """Send `message` to the node `to`. The protocol bears its loss, its delay and its repetition."""
+    """Send `message` to the node `to`. The protocol tolerates loss, delay and duplication."""
 
     to: str
     message: WireMessage
@@ -38,7 +38,7 @@
         self._actions: list[Action] = []
 
     def send(self, now: float, to: str, message: LeaseMessage) -> None:
-        """Send a message that needs nothing on disk first."""
+        """Send a message that doesn't depend on a durable record."""
         if to == self._node:
             self._deliver_locally(now, to, message)
         else:
@@ -47,7 +47,7 @@
     def broadcast(self, now: float, electorate: Electorate, message: LeaseMessage) -> None:
         """Send a message to all voters, to this node last.
 
-        Its own refusal may make it withdraw the request, and the withdrawal must follow the requests.
+        A refusal by this node may make it withdraw the request, and the withdrawal must follow the requests.
         """
         for voter in electorate.voters:
             if voter != self._node:
--- a/plumline/coordination/lease/candidate.py
+++ b/plumline/coordination/lease/candidate.py
@@ -1,11 +1,11 @@
-"""The candidate of a node: it requests leases, renews those that it holds and gives them back.
+"""The candidate of a node: it requests leases, renews those that it holds and releases them.
 
 For each lease a candidate is in one of the states of `CandidateState`:
 
     IDLE --campaign--> WAITING --its turn has come--> REQUESTING --majority of grants--> HOLDING
-    REQUESTING --time-out, too many refusals, another view--> WAITING
+    REQUESTING --timeout, too many refusals, another view--> WAITING
     HOLDING --renewed--> HOLDING
-    HOLDING --the lease has run out--> WAITING
+    HOLDING --the lease has expired--> WAITING
     any state --release--> IDLE
 """
 
@@ -26,9 +26,9 @@
 from plumline.coordination.lease.records import first_term_of
 from plumline.coordination.lease.voter import Voter
 
-BACKOFF_S = (0.1, 0.4)  # between two attempts: lower and upper bound of a random time
-CANDIDATE_SPACING_S = 0.08  # between the first attempts of two candidates, so that they seldom compete
-MAX_PENDING_REQUESTS = 4  # requests whose answers still count; older ones are forgotten
+BACKOFF_S = (0.1, 0.4)  # between two attempts: bounds of a uniformly random delay
+CANDIDATE_SPACING_S = 0.08  # between the first attempts of successive candidates, to avoid contention
+MAX_PENDING_REQUESTS = 4  # requests whose answers still count; older ones are discarded
 INCARNATION_BITS = 48
 REQUEST_ID_BITS = 62
 
@@ -48,21 +48,21 @@
 
     requested_at: float
     granted: set[str] = field(default_factory=set)
-    refused: dict[str, float] = field(default_factory=dict)  # voter -> seconds that it said to wait
+    refused: dict[str, float] = field(default_factory=dict)  # voter -> seconds until it may grant
 
 
 @dataclass(slots=True)
 class _Candidacy:
     state: CandidateState = CandidateState.IDLE
-    term: int = 0  # requested or held; 0 in IDLE and WAITING
+    term: int = 0  # the term requested or held; 0 in IDLE and WAITING
     lease_expires_at: float = 0.0
-    requested_at: float = 0.0  # the last request, renewals included
+    requested_at: float = 0.0  # time of the last request, renewals included
     next_attempt_at: float = 0.0
-    highest_term: int = 0  # that voters of this node's views have named, or that was requested
+    highest_term: int = 0  # reported by voters of this node's views, or requested
     pending: dict[int, _PendingRequest] = field(default_factory=dict)  # by request id
 
-    def leave_term(self, state: CandidateState) -> None:
-        """Forget the term and all requests for it."""
+    def clear_term(self, state: CandidateState) -> None:
+        """Discard the term and all requests for it."""
         self.state = state
         self.term = 0
         self.lease_expires_at = 0.0
@@ -85,14 +85,14 @@
         self._electorate = Electorate()
         self._candidacies = {lease: _Candidacy() for lease in durations}
 
-    # What the owner calls
+    # Called by the owner
 
     def set_view(self, now: float, electorate: Electorate) -> None:
-        """Request from these voters from now on. A lease that is held stays so until it runs out."""
+        """Request from these voters from now on. A lease that is held remains so until it expires."""
         for lease, candidacy in self._candidacies.items():
             candidacy.pending.clear()
             if candidacy.state is CandidateState.REQUESTING:
-                self._withdraw(now, lease)  # from the voters that were asked
+                self._withdraw(now, lease)  # sent to the voters of the earlier view
         self._electorate = electorate
         for candidacy in self._candidacies.values():
             if candidacy.state is not CandidateState.HOLDING:
@@ -112,21 +112,21 @@
         return candidacy.term if may_act else None
 
     def release(self, now: float, lease: str) -> None:
-        """Stop acting and campaigning; the voters need only the lock delay before they elect another."""
+        """Stop acting and campaigning; voters can elect another candidate after the lock delay."""
         candidacy = self._candidacies[lease]
         held_term = self.fencing_token(now, lease)
         if candidacy.state is CandidateState.REQUESTING:
             self._withdraw(now, lease)
-        candidacy.leave_term(CandidateState.IDLE)
+        candidacy.clear_term(CandidateState.IDLE)
         if held_term is not None:
             self._broadcast(now, LeaseRelease(lease, held_term, self._incarnation))
 
     def tick(self, now: float) -> None:
-        """Request, renew and give up what is due."""
+        """Send requests and renewals that are due; abandon attempts and leases that have timed out."""
         for lease, candidacy in self._candidacies.items():
             durations = self._durations[lease]
             if candidacy.state is CandidateState.HOLDING and now >= candidacy.lease_expires_at:
-                candidacy.leave_term(CandidateState.WAITING)
+                candidacy.clear_term(CandidateState.WAITING)
                 self._back_off(now, candidacy)
             if not self._electorate.voters:
                 continue
@@ -153,7 +153,7 @@
         if len(request.granted) < self._electorate.majority:
             return
         if candidacy.state is CandidateState.HOLDING and now >= candidacy.lease_expires_at:
-            return  # the lease has run out: only a new term may follow
+            return  # the lease has expired: only a new term may follow
         expires_at = self._lease_start(request.requested_at, now) + self._durations[grant.lease].lease_s
         if now < expires_at:
             candidacy.state = CandidateState.HOLDING
@@ -161,7 +161,7 @@
             self._forget_requests_before(candidacy, request.requested_at)
 
     def on_refusal(self, now: float, sender: str, refusal: LeaseRefusal) -> None:
-        """Count a refusal; an attempt that can't get a majority any more is given up."""
+        """Count a refusal; abandon an attempt that can no longer reach a majority."""
         candidacy = self._candidacies[refusal.lease]
         request = candidacy.pending.get(refusal.request_id)
         if refusal.view == self._electorate.view:
@@ -169,17 +169,17 @@
         if request is None or sender not in self._electorate.voters:
             return
         request.refused[sender] = refusal.wait_s
-        not_refused = len(self._electorate.voters) - len(request.refused)
-        needed = self._electorate.majority
-        if candidacy.state is CandidateState.HOLDING or not_refused >= needed:
+        not_refused_count = len(self._electorate.voters) - len(request.refused)
+        needed_count = self._electorate.majority
+        if candidacy.state is CandidateState.HOLDING or not_refused_count >= needed_count:
             return
-        # By when a majority may be free: voters not yet heard of count as free now.
-        waits = sorted([0.0] * not_refused + list(request.refused.values()))
+        # Time until a majority may be free; voters that haven't refused count as free now.
+        waits = sorted([0.0] * not_refused_count + list(request.refused.values()))
         self._withdraw(now, refusal.lease)
-        self._back_off(now, candidacy, waits[needed - 1])
+        self._back_off(now, candidacy, waits[needed_count - 1])
 
     def on_release(self, now: float, sender: str, release: LeaseRelease) -> None:
-        """Another node has released the lease: candidates take turns once the lock delay is over."""
+        """Another node has released the lease: schedule an attempt for after the lock delay."""
         candidacy = self._candidacies[release.lease]
         if sender != self._node and candidacy.state is CandidateState.WAITING:
             self._wait_for_turn(now + self._durations[release.lease].lock_delay_s, candidacy)
@@ -187,7 +187,7 @@
     # Attempts
 
     def _wait_for_turn(self, now: float, candidacy: _Candidacy) -> None:
-        """Candidates come one by one, in the order of their names."""
+        """Schedule an attempt; candidates follow each other in the order of their names."""
         rank = sum(voter < self._node for voter in self._electorate.voters)
         candidacy.next_attempt_at = now + CANDIDATE_SPACING_S * (rank + self._random.random())
 
@@ -195,10 +195,10 @@
         candidacy.next_attempt_at = now + wait_s + self._random.uniform(*BACKOFF_S)
 
     def _next_term(self, lease: str) -> int:
-        """A number above all that are known.
+        """A number above all known terms.
 
-        Each is requested once in an incarnation: were one used again, a late withdrawal could end what was
-        granted anew.
+        An incarnation requests each term once. If a term were reused, a delayed withdrawal could end a newer
+        grant of it.
         """
         candidacy = self._candidacies[lease]
         known = max(
@@ -232,13 +232,13 @@
         )
 
     def _next_request_id(self) -> int:
-        """Unlike all others, also of other incarnations, so that an answer fits one request only."""
+        """An id that is unique across incarnations, so that an answer matches one request only."""
         self._request_count += 1
         request_id = self._request_count << INCARNATION_BITS | self._incarnation >> 1
         return request_id & ((1 << REQUEST_ID_BITS) - 1)
 
     def _lease_start(self, requested_at: float, now: float) -> float:
-        """A lease counts from its request: each voter counts its grant from a later moment."""
+        """A lease starts with its request: each voter counts its grant from a later moment."""
         return requested_at
 
     def _forget_requests_before(self, candidacy: _Candidacy, requested_at: float) -> None:
@@ -249,10 +249,10 @@
         }
 
     def _withdraw(self, now: float, lease: str) -> None:
-        """Give up a term that was requested and never held."""
+        """Abandon a term that was requested and never held."""
         candidacy = self._candidacies[lease]
         term = candidacy.term
-        candidacy.leave_term(CandidateState.WAITING)
+        candidacy.clear_term(CandidateState.WAITING)
         self._broadcast(now, LeaseWithdrawal(lease, term, self._incarnation))
 
     def _broadcast(self, now: float, message: LeaseRequest | LeaseRelease | LeaseWithdrawal) -> None:
--- a/plumline/coordination/lease/durations.py
+++ b/plumline/coordination/lease/durations.py
@@ -2,16 +2,17 @@
 
 from typing import NamedTuple
 
-REQUEST_TIMEOUT_S = 1.0  # at most: a request for a vacant lease that has no majority by then is given up
+REQUEST_TIMEOUT_S = 1.0  # upper bound of `LeaseDurations.request_timeout_s`
 
 
 class LeaseDurations(NamedTuple):
     """The durations of one lease, in seconds.
 
-    `lock_delay_s` is the time for which nobody holds the lease between two holders on different nodes, as
-    the lock-delay of Chubby (Burrows, OSDI 2006). It lets commands of the earlier holder that are still on
-    their way arrive before those of the next one. Clocks are taken to run at the same rate: whoever can't
-    rely on that lengthens this delay.
+    `lock_delay_s` is the time for which nobody holds the lease between two holders on different nodes, like
+    the lock-delay of Chubby (Burrows, OSDI 2006). It lets commands of the earlier holder that are still in
+    transit arrive before those of the next one.
+
+    Clocks are assumed to run at the same rate; where they may drift, the lock delay has to be longer.
     """
 
     lease_s: float
@@ -24,7 +25,7 @@
 
     @property
     def renew_within_s(self) -> float:
-        """A holder renews once no more than this is left of its lease."""
+        """A holder renews when the rest of its lease is no longer than this."""
         return self.lease_s * 2 / 3
 
     @property
@@ -34,5 +35,5 @@
 
     @property
     def request_timeout_s(self) -> float:
-        """How long a candidate waits for a majority before it gives its request up."""
+        """How long a candidate for a vacant lease waits for a majority before it abandons its request."""
         return min(REQUEST_TIMEOUT_S, self.lease_s / 3)
--- a/plumline/coordination/lease/election.py
+++ b/plumline/coordination/lease/election.py
@@ -1,4 +1,4 @@
-"""The elections of leases as one node takes part in them: its voter, its candidate and what joins them."""
+"""Lease elections on one node: its voter, its candidate and the dispatch of messages to them."""
 
 from collections.abc import Iterable
 from random import Random
@@ -24,13 +24,13 @@
 class LeaseElection:
     """One node's part, as voter and as candidate, in the elections of each lease in `durations`.
 
-    Without clock, sockets or disk: `now` is the node's monotonic time in seconds, messages and records come
-    and go in their wire and stored forms, and `take_actions` says what is to be done. The actions are to be
-    taken and carried out after each call.
+    It uses no clock, sockets or disk: `now` is the node's monotonic time in seconds, messages and records
+    are passed in their wire and stored forms. After each call the owner has to take the actions from
+    `take_actions` and carry them out.
     """
 
     def __init__(self, node: str, durations: dict[str, LeaseDurations], random: Random) -> None:
-        """`node` is the address of this node; `random` gives its incarnation and its jitter."""
+        """`node` is the address of this node; `random` generates its incarnation and its jitter."""
         self._durations = durations
         self._view = 0
         self._outbox = Outbox(node, self._deliver)
@@ -44,13 +44,13 @@
         )
 
     def records(self) -> list[StoredRecord]:
-        """The whole durable state, for a rewrite of the file."""
+        """The whole durable state, for a compaction of the log."""
         return [record.to_stored() for record in self.voter.records()]
 
     def set_view(self, now: float, number: int, voters: Iterable[str], *, formed_now: bool = False) -> None:
-        """Take part in the view of that number from now on; one that isn't newer is ignored.
+        """Take part in view `number` from now on; a view that isn't newer is ignored.
 
-        `voters` leaves out a node whose incarnation is not the one that the view names, this node included.
+        `voters` omits each node, including this one, whose incarnation differs from the one in the view.
         `formed_now`: this process has itself just taken part in forming the first view.
         """
         if number <= self._view:
@@ -65,11 +65,11 @@
         self.voter.stop_granting(view)
 
     def campaign(self, now: float, lease: str) -> None:
-        """Stand for the lease from now on, until it is released."""
+        """Campaign for the lease from now on, until it is released."""
         self.candidate.campaign(now, lease)
 
     def release(self, now: float, lease: str) -> None:
-        """Stop acting and standing for the lease, and give it back."""
+        """Stop acting and campaigning for the lease, and release it."""
         self.candidate.release(now, lease)
 
     def fencing_token(self, now: float, lease: str) -> int | None:
@@ -77,24 +77,24 @@
         return self.candidate.fencing_token(now, lease)
 
     def tick(self, now: float) -> None:
-        """Renew, request and give up what is due. To be called about ten times a second."""
+        """Do what is due, see `Candidate.tick`. To be called about ten times a second."""
         self.candidate.tick(now)
 
     def on_message(self, now: float, sender: str, wire: WireMessage) -> None:
-        """Take a message in; one about an unknown lease is ignored.
+        """Handle a message; one about an unknown lease is ignored.
 
-        Raises LeaseMessageError if it is none of this protocol.
+        Raises LeaseMessageError if it is not a message of this protocol.
         """
         message = message_from_wire(wire, self._durations)
         if message is not None:
             self._deliver(now, sender, message)
 
     def on_synced(self, record: StoredRecord) -> None:
-        """The record of a `Persist` is on disk. If this isn't called, each renewal is persisted again."""
+        """The record of a `Persist` is durable. If this isn't called, each renewal is persisted again."""
         self.voter.on_synced(TermRecord.from_stored(record))
 
     def take_actions(self) -> list[Action]:
-        """What is to be done since the last call, in order."""
+        """The actions since the last call, in order."""
         return self._outbox.take()
 
     def _deliver(self, now: float, sender: str, message: LeaseMessage) -> None:
--- a/plumline/coordination/lease/messages.py
+++ b/plumline/coordination/lease/messages.py
@@ -1,7 +1,7 @@
 """The messages between candidates and voters, and their form on the wire.
 
-On the wire each is a list: its kind, the name of the lease, then the fields in the order of the type. A term
-is sent as its number alone; the sender and its incarnation say whose term it is.
+On the wire each message is a list: its kind, the name of the lease, then the fields in the order of the type.
+A term is sent as its number alone; the sender and its incarnation identify the owner of the term.
 """
 
 from collections.abc import Container
@@ -15,7 +15,7 @@
 
 
 class LeaseMessageError(PlumlineError):
-    """A message that is none of this protocol; nothing of it was applied."""
+    """A message that is not of this protocol; nothing of it was applied."""
 
     code, status = "ballot-message-invalid", 400
 
@@ -27,7 +27,7 @@
     view: int
     term: int
     incarnation: int  # of the candidate's process
-    request_id: int  # repeated in the answer
+    request_id: int  # echoed in the answer
     renewal: bool
 
     def to_wire(self) -> WireMessage:
@@ -36,7 +36,7 @@
 
 
 class LeaseGrant(NamedTuple):
-    """A voter grants what was requested. It is sent once the term is on the voter's disk."""
+    """A voter grants a request. It is sent once the term is durable at the voter."""
 
     lease: str
     view: int  # of the request
@@ -49,13 +49,13 @@
 
 
 class LeaseRefusal(NamedTuple):
-    """A voter refuses what was requested."""
+    """A voter refuses a request."""
 
     lease: str
     view: int  # of the voter
     term: int  # the highest that the voter has granted
     request_id: int
-    wait_s: float  # until the voter may grant the lease; 0.0 if something else than time is in the way
+    wait_s: float  # until the voter may grant the lease; 0.0 if waiting alone doesn't help
 
     def to_wire(self) -> WireMessage:
         """The list that is sent."""
@@ -75,7 +75,7 @@
 
 
 class LeaseWithdrawal(NamedTuple):
-    """A candidate has given up a term under which it never held the lease, so that no grant of it binds."""
+    """A candidate has abandoned a term under which it never held the lease, so no grant of it binds."""
 
     lease: str
     term: int
@@ -90,9 +90,9 @@
 
 
 def message_from_wire(wire: WireMessage, leases: Container[str]) -> LeaseMessage | None:
-    """The message that `wire` holds, or None if it is about none of these `leases`.
+    """The message encoded in `wire`, or None if it is about none of these `leases`.
 
-    Raises LeaseMessageError if its form is none of the five.
+    Raises LeaseMessageError if it has the form of no message type.
     """
     try:
         kind, lease, *fields = wire
--- a/plumline/coordination/lease/quorum.py
+++ b/plumline/coordination/lease/quorum.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Electorate:
-    """The voters of one view. View 0 stands for none, before this node has learned any."""
+    """The voters of one view. View 0, without voters, is used until this node learns of a view."""
 
     view: int = 0
     voters: tuple[str, ...] = ()  # addresses, sorted
@@ -21,11 +21,11 @@
         return majority(len(self.voters))
 
 
-def old_majorities_intersect(earlier: Electorate, present: Electorate) -> bool:
-    """Whether each majority of `present` made up of voters of `earlier` shares one with each of `earlier`.
+def earlier_majorities_intersect(earlier: Electorate, current: Electorate) -> bool:
+    """Whether majorities of `current` that consist of voters of `earlier` intersect all its majorities.
 
-    Majorities of `present` with a newcomer in them are left out, since newcomers abstain.
+    Majorities of `current` that include a new voter aren't considered, since new voters abstain.
     """
-    needed = present.majority
-    common = len(set(earlier.voters) & set(present.voters))
+    needed = current.majority
+    common = len(set(earlier.voters) & set(current.voters))
     return common < needed or needed + earlier.majority > len(earlier.voters)
--- a/plumline/coordination/lease/records.py
+++ b/plumline/coordination/lease/records.py
@@ -1,22 +1,22 @@
-"""Terms, and the record by which a voter keeps the highest one that it has granted."""
+"""Terms, and the record that stores the highest term that a voter has granted."""
 
 from typing import Any, NamedTuple, Self
 
 TERM_RECORD_KIND = "ballot"  # the first field of a stored record
-TERM_BITS = 20  # terms of one view: more than a million
+TERM_BITS = 20  # low bits of a term's number: over a million terms in a view
 
 StoredRecord = list[Any]
 
 
 class Term(NamedTuple):
-    """A number, which is the fencing token, and the one process that may hold the lease under it."""
+    """The number, which is the fencing token, and the only process that may hold the lease under it."""
 
     number: int
     candidate: str  # "address/incarnation", the incarnation in hexadecimal digits
 
     @classmethod
     def of(cls, number: int, address: str, incarnation: int) -> Self:
-        """The term of that number of the process at `address`."""
+        """Term `number` of the process at `address`."""
         return cls(number, f"{address}/{incarnation:x}")
 
 
@@ -24,7 +24,7 @@
 
 
 def first_term_of(view: int) -> int:
-    """The number below all terms of a view, and above all of earlier views."""
+    """The number just below all terms of a view and above those of earlier views."""
     return view << TERM_BITS
 
 
@@ -43,6 +43,6 @@
 
     @classmethod
     def from_stored(cls, record: StoredRecord) -> Self:
-        """The record that a stored list of this kind holds."""
+        """The record in a stored list of this kind."""
         _, lease, number, candidate = record
         return cls(lease, Term(number, candidate))
--- a/plumline/coordination/lease/view_history.py
+++ b/plumline/coordination/lease/view_history.py
@@ -1,8 +1,8 @@
-"""The views that came before the present one, and until when grants made in them may bind."""
+"""The views before the current one, and until when grants made in them may bind."""
 
 from typing import NamedTuple
 
-from plumline.coordination.lease.quorum import Electorate, old_majorities_intersect
+from plumline.coordination.lease.quorum import Electorate, earlier_majorities_intersect
 
 
 class _EarlierView(NamedTuple):
@@ -17,26 +17,26 @@
         self._views: list[_EarlierView] = []
 
     def add(self, now: float, electorate: Electorate) -> None:
-        """This node learns the successor of that view."""
+        """This node learns of the successor of the view of `electorate`."""
         self._views.append(_EarlierView(electorate, now))
 
     def prune(self, now: float, longest_grant_s: float) -> None:
-        """Forget views whose grants are over for certain, whatever the lease."""
+        """Discard views whose grants have certainly expired, for every lease."""
         while len(self._views) > 2 and self._views[1].successor_learned_at + longest_grant_s <= now:
             del self._views[0]
 
-    def last_grant_ends_at(self, present: Electorate, grant_s: float) -> float:
-        """Until when a grant may bind that a majority of the present voters need not know of.
+    def last_grant_ends_at(self, current: Electorate, grant_s: float) -> float:
+        """Until when a grant may bind that a majority of the current voters need not know of.
 
-        0.0: no such grant can exist.
+        0.0 if no such grant can exist.
         """
         latest = 0.0
         last_index = len(self._views) - 1
         for index, earlier in enumerate(self._views):
-            if not earlier.electorate.view or old_majorities_intersect(earlier.electorate, present):
+            if not earlier.electorate.view or earlier_majorities_intersect(earlier.electorate, current):
                 continue
-            # A majority of that view could grant until its successor was decided, and no longer than until
-            # this node learned of that. The bound taken here is later: when it learned of the one after.
+            # A majority of that view could grant until its successor was decided, which was before this node
+            # learned of it. The bound used here is more conservative: when it learned of the view after that.
             ended_at = self._views[min(index + 1, last_index)].successor_learned_at
             latest = max(latest, ended_at + grant_s)
         return latest
--- a/plumline/coordination/lease/voter.py
+++ b/plumline/coordination/lease/voter.py
@@ -1,16 +1,16 @@
-"""The voter of a node: it grants leases to candidates and keeps what it has granted.
+"""The voter of a node: it grants leases to candidates and stores the terms that it has granted.
 
 For each lease a voter is in one of three states:
 
-- ABSTAINING, until `abstains_until`: it may have made, or may not know of, grants that still bind. It grants
-  renewals alone: a renewal shows that its sender was elected by a majority, and nobody else was.
+- ABSTAINING, until `abstains_until`: it may have made grants that still bind, or may not know of some. It
+  grants only renewals: a renewal shows that a majority elected its sender and nobody else.
 - BOUND, until `grant_expires_at`: it has granted the lease to `grantee` and grants it to nobody else.
-- FREE: it grants the lease to the first candidate that asks under a high enough term.
+- FREE: it grants the lease to the first candidate that requests it under a high enough term.
 
     ABSTAINING --time--> FREE --request granted--> BOUND --time, release, withdrawal--> FREE
-    any state --a view that it can't connect with the one before--> ABSTAINING
+    any state --a view with unknown grants before it--> ABSTAINING
 
-In any state a request is granted in the present view alone, and not once this voter has accepted the view's
+In any state a request is granted only in the current view, and only until this voter accepts the view's
 successor.
 """
 
@@ -35,11 +35,11 @@
 class _Vote:
     """What this voter has granted for one lease."""
 
-    term: Term = NO_TERM  # the highest granted
-    synced_term: int = 0  # the highest known to be on disk
+    term: Term = NO_TERM  # the highest term granted
+    synced_term: int = 0  # the highest term known to be durable
     grantee: str = ""  # the node that the grant was made to
     grant_expires_at: float = 0.0
-    earlier_grant_expires_at: float = 0.0  # of the grantee's earlier terms, which it may have held
+    earlier_grant_expires_at: float = 0.0  # of the grantee's earlier terms, which may have been held
     abstains_until: float = 0.0
 
 
@@ -58,7 +58,7 @@
     # Durable state
 
     def restore(self, records: Iterable[TermRecord]) -> None:
-        """Replay what is on disk, before anything else is called. Records of unknown leases are ignored."""
+        """Replay durable records, before any other call. Records of unknown leases are ignored."""
         for record in records:
             vote = self._votes.get(record.lease)
             if vote is not None and record.term.number > vote.term.number:
@@ -69,7 +69,7 @@
         return [TermRecord(lease, vote.term) for lease, vote in self._votes.items() if vote.term.number]
 
     def on_synced(self, record: TermRecord) -> None:
-        """The record is on disk: further grants of its term need no other."""
+        """The record is durable: further grants of its term need no record."""
         vote = self._votes[record.lease]
         vote.synced_term = max(vote.synced_term, record.term.number)
 
@@ -80,16 +80,15 @@
     # Views
 
     def set_view(self, now: float, electorate: Electorate, *, formed_now: bool) -> None:
-        """Vote in this view from now on; abstain as long as grants that are unknown here may bind.
+        """Vote in this view from now on; abstain as long as grants unknown to this node may bind.
 
-        `formed_now`: this process has itself just taken part in forming the first view, so that there was
-        none before.
+        `formed_now`: this process has just taken part in forming the first view, so there was no earlier one.
         """
         previous = self._electorate
         nothing_granted = not any(vote.term.number for vote in self._votes.values())
         is_first_view = formed_now and electorate.view == 1 and nothing_granted
-        # No majority of a view before the previous one could be had since this node learned the previous one.
-        # What they granted until then it has taken into account, or abstained for.
+        # Views before the previous one could reach no majority after this node learned of the previous one.
+        # Their earlier grants it has taken into account, or has abstained for.
         voted_in_previous = self._node in previous.voters and previous.view == electorate.view - 1
         self._history.add(now, previous)
         for lease, durations in self._durations.items():
@@ -108,8 +107,8 @@
     def stop_granting(self, view: int) -> None:
         """Grant nothing more in `view`, renewals included: this node has accepted its successor.
 
-        The successor may be decided without this node learning so. To be called before the acceptance is
-        sent, and after a restart.
+        The successor may be decided without this node learning of the decision. To be called before the
+        acceptance is sent, and after a restart.
         """
         self._superseded_view = max(self._superseded_view, view)
 
@@ -120,8 +119,8 @@
         vote = self._votes[request.lease]
         term = Term.of(request.term, sender, request.incarnation)
         wait_s = self._wait_s(now, vote, sender, renewal=request.renewal)
-        in_turn = term.number > vote.term.number or term == vote.term
-        if not self._may_grant_in(request.view) or wait_s > 0.0 or not in_turn:
+        is_rising_or_same = term.number > vote.term.number or term == vote.term
+        if not self._may_grant_in(request.view) or wait_s > 0.0 or not is_rising_or_same:
             refusal = LeaseRefusal(
                 request.lease, self._electorate.view, vote.term.number, request.request_id, wait_s
             )
@@ -132,11 +131,11 @@
         if vote.synced_term >= term.number:
             self._outbox.send(now, sender, grant)
         else:
-            # A voter that forgot its term in a crash could grant a lower one, and tokens would not rise.
+            # A voter that lost its term in a crash could grant a lower one, and tokens would not rise.
             self._outbox.persist(TermRecord(request.lease, term), sender, grant)
 
     def on_release(self, now: float, sender: str, release: LeaseRelease) -> None:
-        """The holder acts no more under this term: only the lock delay is left of the grant."""
+        """The holder has stopped acting under this term: the grant ends after the lock delay."""
         vote = self._votes[release.lease]
         if vote.term == Term.of(release.term, sender, release.incarnation):
             delay_ends_at = now + self._durations[release.lease].lock_delay_s
@@ -159,8 +158,8 @@
         return self._history.last_grant_ends_at(electorate, grant_s)
 
     def _may_grant_in(self, view: int) -> bool:
-        is_present = view == self._electorate.view and view > self._superseded_view
-        return is_present and self._node in self._electorate.voters
+        is_current = view == self._electorate.view and view > self._superseded_view
+        return is_current and self._node in self._electorate.voters
 
     def _is_free_for(self, now: float, vote: _Vote, candidate: str) -> bool:
         return vote.grantee in ("", candidate) or now >= vote.grant_expires_at
@@ -169,7 +168,7 @@
         return now < vote.abstains_until
 
     def _wait_s(self, now: float, vote: _Vote, candidate: str, *, renewal: bool) -> float:
-        """How long the candidate has to wait for a grant, as far as time alone is in the way."""
+        """How long an earlier grant or abstaining prevents a grant to the candidate; 0.0 if neither."""
         wait_s = 0.0
         if not self._is_free_for(now, vote, candidate):
             wait_s = vote.grant_expires_at - now
--- a/tests/core_leases.py
+++ b/tests/core_leases.py
@@ -1,4 +1,4 @@
-"""What must hold of leases, whatever happens to their holders: observed from outside, at each step."""
+"""Invariants of leases, checked at each step of a simulation by an observer of all nodes."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 from plumline.coordination.lease import LeaseDurations
 from tests.core_register import ViolationError
 
-TOLERANCE_S = 1e-6  # of sums of floats
+TOLERANCE_S = 1e-6  # for rounding errors of float sums
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
 class Tenure:
     holder: Holder
     fencing_token: int
-    last_act: float  # the last moment at which the holder might have acted
+    last_act: float  # the last moment at which the holder was allowed to act
 
 
 class LeaseObserver:
@@ -34,14 +34,14 @@
         self.holder_changes = 0  # changes of the holding machine
 
     def observe(self, now: float, holders: Iterable[tuple[Holder, int]]) -> None:
-        """`holders`: each process that might act now, with its fencing token."""
+        """`holders`: each process that may act now, with its fencing token."""
         present = list(holders)
         if len(present) > 1:
             raise ViolationError(f"two holders of {self.name}: {present}")
         if present:
-            self.holds(now, *present[0])
+            self.record_holder(now, *present[0])
 
-    def holds(self, now: float, holder: Holder, token: int) -> None:
+    def record_holder(self, now: float, holder: Holder, token: int) -> None:
         if self.holder_of_token.setdefault(token, holder) != holder:
             raise ViolationError(f"token {token} of {self.name}: {self.holder_of_token[token]} and {holder}")
         previous = self.tenure
--- a/tests/test_lease_election.py
+++ b/tests/test_lease_election.py
@@ -1,4 +1,4 @@
-"""Leases by election: by hand, and by a seeded explorer that must find every guard that is taken out."""
+"""Lease elections: single cases, and seeded random schedules that must detect each disabled guard."""
 
 import heapq
 from collections import Counter
@@ -40,40 +40,40 @@
 
 
 def lease_election(kind: Kind, name: str, random: Random) -> LeaseElection:
-    """A node's part in the elections; `kind` takes the place of its voter's or its candidate's class."""
+    """A node's part in the elections; `kind` replaces the class of its voter or its candidate."""
     election = LeaseElection(name, DURATIONS, random)
     if kind is not None:
         overridden = {name for name in vars(kind) if not name.startswith("__")}
-        assert overridden <= set(dir(kind.__base__))  # what is overridden is still there
+        assert overridden <= set(dir(kind.__base__))  # the overridden methods still exist
         part = election.voter if issubclass(kind, Voter) else election.candidate
         part.__class__ = kind
     return election
 
 
 class ViolationError(Exception):
-    """An invariant is broken."""
+    """An invariant is violated."""
 
 
-# The explorer
+# Random schedules
 
 
 @dataclass
 class Node:
-    """A machine: its process (None while it is down), its disk, and what it has learned of the views."""
+    """A machine: its process (None while it is down), its disk, and the views that it knows of."""
 
     name: str
     election: LeaseElection | None = None
     incarnation: int = 0
     disk: list[list[Any]] = field(default_factory=list)
-    view: int = 0  # synced at once
+    view: int = 0  # the newest view that it knows of; durable at once
     resumes_at: float = 0.0
     deferred_calls: list[Callable[[], None]] = field(default_factory=list)
-    accepted: int = 0  # view whose successor it has accepted, synced at once
-    in_views: bool = True  # its incarnation is the one that the views name
+    accepted: int = 0  # the view whose successor it has accepted; durable at once
+    in_views: bool = True  # the views contain its current incarnation
 
 
-class World:
-    """One random schedule. `run` raises ViolationError; `holder_changes` counts the changes of holder."""
+class Simulation:
+    """One random schedule. `run` raises ViolationError; `holder_changes` counts changes of the holder."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         reconfigure: bool = True,
         exchanges: bool = False,
     ) -> None:
-        """`exchanges`: a voter may take another's place in one view."""
+        """`exchanges`: a single view change may replace a voter by another node."""
         self.exchanges = exchanges
         self.random = Random(seed)
         self.kind = kind
@@ -103,7 +103,7 @@
         )
         self.incarnation_of_term: dict[int, tuple[str, int]] = {}
         self.loss = self.random.choice([0.0, 0.05, 0.3])
-        self.slow = 0.1  # part of the messages that take up to 2 s
+        self.slow = 0.1  # fraction of the messages that take up to 2 s
         self.syncs = self.random.choice([(0.001, 0.01), (0.001, 0.01, 0.2), (0.001, 0.3, 1.5)])
         self.faults_per_s = self.random.choice([0.5, 1.0, 2.0])
         for node in self.nodes.values():
@@ -133,8 +133,8 @@
         voters = self.views[number - 1]
         return voters if node.in_views else [name for name in voters if name != node.name]
 
-    def alive(self, node: Node, incarnation: int, call: Callable[[], None]) -> bool:
-        """Whether the call may be made now; a paused node gets it when it resumes."""
+    def can_call_now(self, node: Node, incarnation: int, call: Callable[[], None]) -> bool:
+        """Whether the call may be made now; calls to a paused node are deferred until it resumes."""
         if node.election is None or node.incarnation != incarnation:
             return False
         if self.now < node.resumes_at:
@@ -151,18 +151,18 @@
             call()
 
     def tick(self, node: Node, incarnation: int) -> None:
-        if self.alive(node, incarnation, lambda: self.tick(node, incarnation)):
+        if self.can_call_now(node, incarnation, lambda: self.tick(node, incarnation)):
             node.election.tick(self.now)
-            self.step(node)
+            self.run_actions(node)
             self.after(TICK_S, lambda: self.tick(node, incarnation))
 
-    def step(self, node: Node) -> None:
+    def run_actions(self, node: Node) -> None:
         for action in node.election.take_actions():
             if isinstance(action, Send):
                 self.send(node, action.to, action.message)
             else:
                 self.persist(node, action)
-        self.watch()
+        self.check_invariants()
 
     def persist(self, node: Node, action: Persist) -> None:
         incarnation = node.incarnation
@@ -173,10 +173,10 @@
         def synced() -> None:
             if node.election is None or node.incarnation != incarnation:
                 if node.in_views and self.random.random() < 0.2:
-                    node.disk.append(action.record)  # unsynced, yet there after the crash
+                    node.disk.append(action.record)  # not synced, but on the disk after the crash
                 return
             node.disk.append(action.record)
-            if self.alive(node, incarnation, on_synced):
+            if self.can_call_now(node, incarnation, on_synced):
                 on_synced()
 
         def on_synced() -> None:
@@ -203,9 +203,9 @@
 
     def deliver(self, sender: str, to: str, message: list[Any]) -> None:
         node = self.nodes[to]
-        if self.alive(node, node.incarnation, lambda: self.deliver(sender, to, message)):
+        if self.can_call_now(node, node.incarnation, lambda: self.deliver(sender, to, message)):
             node.election.on_message(self.now, sender, message)
-            self.step(node)
+            self.run_actions(node)
 
     # Faults and views
 
@@ -234,7 +234,7 @@
                 self.change_view()
             case "release" if node.election and self.now >= node.resumes_at:
                 node.election.release(self.now, LEASE)
-                self.step(node)
+                self.run_actions(node)
                 node.election.campaign(self.now, LEASE)
 
     def crash(self, node: Node) -> None:
@@ -249,7 +249,7 @@
         self.after(self.random.choice([0.01, 0.3, 1.0]), restart)
 
     def change_view(self) -> None:
-        """The next view, decided by a majority of the present one that has taken the present one in."""
+        """Decide the next view by a majority of the current one's voters, after these have entered it."""
         number = len(self.views)
         voters = self.views[-1]
         able = [
@@ -296,15 +296,15 @@
     def learn(self, node: Node, number: int) -> None:
         if node.election is None or self.now < node.resumes_at:
             return
-        step = self.random.random() < 0.7
+        one_by_one = self.random.random() < 0.7
         while node.view < number:
-            node.view = node.view + 1 if step else number
+            node.view = node.view + 1 if one_by_one else number
             node.election.set_view(self.now, node.view, self.voters(node, node.view))
-        self.step(node)
+        self.run_actions(node)
 
     # Invariants
 
-    def watch(self) -> None:
+    def check_invariants(self) -> None:
         held = [
             ((node.name, node.incarnation), term)
             for node in self.nodes.values()
@@ -337,24 +337,26 @@
 def explore(
     seeds: range, size: int, kind: Kind = None, *, until: float = 7.0, **kwargs: bool
 ) -> Counter[str]:
-    """Run a schedule for each seed: how many were run, and how many changes of holder there were."""
+    """Run a schedule for each seed and count schedules, changes of holder, and views."""
     counts: Counter[str] = Counter()
     for seed in seeds:
-        world = World(seed, size, kind, **kwargs)
-        world.run(until)
+        simulation = Simulation(seed, size, kind, **kwargs)
+        simulation.run(until)
         counts["schedules"] += 1
-        counts["holder_changes"] += world.holder_changes
-        counts["views"] += len(world.views)
+        counts["holder_changes"] += simulation.holder_changes
+        counts["views"] += len(simulation.views)
     return counts
 
 
 @pytest.mark.parametrize(("size", "seeds"), [(3, 800), (5, 250)])
 @pytest.mark.parametrize(("reconfigure", "exchanges"), [(False, False), (True, False), (True, True)])
-def test_explorer_finds_nothing(size: int, seeds: int, reconfigure: bool, exchanges: bool) -> None:
+def test_random_schedules_violate_no_invariant(
+    size: int, seeds: int, reconfigure: bool, exchanges: bool
+) -> None:
     counts = explore(range(seeds), size, reconfigure=reconfigure, exchanges=exchanges)
     print(size, reconfigure, exchanges, dict(counts))
     assert counts["schedules"] == seeds
-    assert counts["holder_changes"] > seeds / 8  # else it explored nothing
+    assert counts["holder_changes"] > seeds / 8  # otherwise the schedules exercise nothing
     assert (counts["views"] > 3 * seeds / 2) == reconfigure
 
 
@@ -373,12 +375,12 @@
         return True
 
 
-class CountsFromAnswer(Candidate):
+class StartsLeaseAtAnswer(Candidate):
     def _lease_start(self, requested_at: float, now: float) -> float:
         return now
 
 
-class ForgetsEarlierViews(Voter):
+class IgnoresEarlierViews(Voter):
     def _earlier_grants_end_at(self, electorate: Electorate, grant_s: float) -> float:
         return 0.0
 
@@ -388,7 +390,7 @@
         pass
 
 
-class GivesTermsTwice(Candidate):
+class ReusesTerms(Candidate):
     def _next_term(self, lease: str) -> int:
         highest_term = self._candidacies[lease].highest_term
         term = super()._next_term(lease)
@@ -401,7 +403,7 @@
         pass
 
 
-class WithdrawalFreesAll(Voter):
+class WithdrawalEndsAllGrants(Voter):
     def on_withdrawal(self, sender: str, withdrawal: LeaseWithdrawal) -> None:
         vote = self._votes[withdrawal.lease]
         if vote.grantee == sender:
@@ -416,188 +418,195 @@
         (NoLockDelay, True, 3, 0),
         (NoLockDelay, True, 5, 0),
         (GrantsToSeveral, True, 3, 0),
-        (CountsFromAnswer, True, 5, 200),
+        (StartsLeaseAtAnswer, True, 5, 200),
         (RestoresNothing, True, 3, 0),
-        (GivesTermsTwice, True, 4, 6400),
-        (WithdrawalFreesAll, True, 5, 0),
-        (ForgetsEarlierViews, True, 5, 500),
+        (ReusesTerms, True, 4, 6400),
+        (WithdrawalEndsAllGrants, True, 5, 0),
+        (IgnoresEarlierViews, True, 5, 500),
         (None, False, 4, 800),
     ],
 )
-def test_explorer_finds_what_a_guard_is_for(kind: Kind, sync_first: bool, size: int, first: int) -> None:
-    """`first`: the seed to begin with, where it would take long from 0."""
+def test_random_schedules_detect_a_disabled_guard(
+    kind: Kind, sync_first: bool, size: int, first: int
+) -> None:
+    """`first`: the first seed; a later one than 0 where the search from 0 takes long."""
     with pytest.raises(ViolationError) as caught:
         explore(range(first, first + 5000), size, kind, sync_first=sync_first, until=10.0)
     print(caught.value)
 
 
-# By hand
+# Single cases
 
 
-def calm(size: int = 3) -> World:
-    """A world without loss or fault, its disks fast."""
-    world = World(1, size)
-    world.loss, world.slow, world.syncs = 0.0, 0.0, (0.001,)
-    return world
+def faultless_simulation(size: int = 3) -> Simulation:
+    """A simulation without message loss or faults and with fast disks."""
+    simulation = Simulation(1, size)
+    simulation.loss, simulation.slow, simulation.syncs = 0.0, 0.0, (0.001,)
+    return simulation
 
 
-def run_until(world: World, until: float) -> None:
-    """Step on without faults."""
-    while world.events and world.events[0][0] < until:
-        world.now, _, call = heapq.heappop(world.events)
+def run_until(simulation: Simulation, until: float) -> None:
+    """Run the events up to `until` without injecting faults."""
+    while simulation.events and simulation.events[0][0] < until:
+        simulation.now, _, call = heapq.heappop(simulation.events)
         call()
-    world.now = until
+    simulation.now = until
 
 
-def holder(world: World) -> str | None:
-    held = [n.name for n in world.nodes.values() if n.election and n.election.fencing_token(world.now, LEASE)]
+def holder(simulation: Simulation) -> str | None:
+    held = [
+        n.name
+        for n in simulation.nodes.values()
+        if n.election and n.election.fencing_token(simulation.now, LEASE)
+    ]
     return held[0] if held else None
 
 
 @pytest.mark.parametrize("size", [1, 2, 3, 5])
-def test_a_fresh_system_has_a_holder_soon_and_keeps_it(size: int) -> None:
-    world = calm(size)
-    run_until(world, 1.5)
-    first, term = holder(world), world.last_act[1]
+def test_a_new_system_elects_a_holder_and_keeps_it(size: int) -> None:
+    simulation = faultless_simulation(size)
+    run_until(simulation, 1.5)
+    first, term = holder(simulation), simulation.last_act[1]
     assert first
-    records = sum(len(node.disk) for node in world.nodes.values())
+    records = sum(len(node.disk) for node in simulation.nodes.values())
     for second in range(2, 30):
-        run_until(world, float(second))
-        assert holder(world) == first
-        assert world.last_act[1] == term
-    assert sum(len(node.disk) for node in world.nodes.values()) == records
+        run_until(simulation, float(second))
+        assert holder(simulation) == first
+        assert simulation.last_act[1] == term
+    assert sum(len(node.disk) for node in simulation.nodes.values()) == records
 
 
 @pytest.mark.parametrize("size", [3, 5])
-def test_another_takes_over_after_lease_and_lock_delay(size: int) -> None:
-    world = calm(size)
-    run_until(world, 5.0)
-    gone = world.nodes[holder(world)]
-    gone.election = None
-    last_act = world.last_act[2]
-    run_until(world, 5.0 + sum(DURATIONS[LEASE]) + 3.0)
-    assert holder(world) not in (None, gone.name)
-    assert world.last_act[1] > 1 << 20
-    assert world.holder_changes == 1
+def test_another_node_takes_over_after_lease_and_lock_delay(size: int) -> None:
+    simulation = faultless_simulation(size)
+    run_until(simulation, 5.0)
+    crashed = simulation.nodes[holder(simulation)]
+    crashed.election = None
+    last_act = simulation.last_act[2]
+    run_until(simulation, 5.0 + sum(DURATIONS[LEASE]) + 3.0)
+    assert holder(simulation) not in (None, crashed.name)
+    assert simulation.last_act[1] > 1 << 20
+    assert simulation.holder_changes == 1
     assert last_act <= 5.0
 
 
 def test_after_a_release_only_the_lock_delay_passes() -> None:
-    world = calm()
-    run_until(world, 5.0)
-    node = world.nodes[holder(world)]
-    node.election.release(world.now, LEASE)
-    world.step(node)
-    assert node.election.fencing_token(world.now, LEASE) is None
-    run_until(world, 5.0 + DURATIONS[LEASE].lock_delay_s)
-    assert holder(world) is None
-    run_until(world, 5.0 + DURATIONS[LEASE].lock_delay_s + 1.0)
-    assert holder(world) not in (None, node.name)
+    simulation = faultless_simulation()
+    run_until(simulation, 5.0)
+    node = simulation.nodes[holder(simulation)]
+    node.election.release(simulation.now, LEASE)
+    simulation.run_actions(node)
+    assert node.election.fencing_token(simulation.now, LEASE) is None
+    run_until(simulation, 5.0 + DURATIONS[LEASE].lock_delay_s)
+    assert holder(simulation) is None
+    run_until(simulation, 5.0 + DURATIONS[LEASE].lock_delay_s + 1.0)
+    assert holder(simulation) not in (None, node.name)
 
 
 @pytest.mark.parametrize(("kind", "size", "first"), [(GrantsAfterAccepting, 4, 0), (NoAbstention, 4, 0)])
-def test_explorer_finds_what_a_guard_of_exchanges_is_for(kind: Kind, size: int, first: int) -> None:
+def test_random_schedules_with_exchanges_detect_a_disabled_guard(kind: Kind, size: int, first: int) -> None:
     with pytest.raises(ViolationError) as caught:
         explore(range(first, first + 5000), size, kind, until=10.0, exchanges=True)
     print(caught.value)
 
 
-def voter(*, formed_now: bool = True) -> LeaseElection:
+def new_voter(*, formed_now: bool = True) -> LeaseElection:
     election = LeaseElection("v", DURATIONS, Random(1))
     election.set_view(0.0, 1, ["c", "d", "v"], formed_now=formed_now)
     return election
 
 
-def ask(term: int, *, view: int = 1, incarnation: int = 1, renewal: bool = False) -> list[Any]:
+def request_message(term: int, *, view: int = 1, incarnation: int = 1, renewal: bool = False) -> list[Any]:
     return ["ask", LEASE, view, term, incarnation, 9, renewal]
 
 
 def test_a_grant_waits_for_the_sync_and_a_renewal_needs_none() -> None:
-    election = voter()
-    election.on_message(0.0, "c", ask(5))
+    election = new_voter()
+    election.on_message(0.0, "c", request_message(5))
     [action] = election.take_actions()
     assert action == Persist(["ballot", LEASE, 5, "c/1"], [("c", ["grant", LEASE, 1, 5, 9])])
-    election.on_message(0.1, "c", ask(5, renewal=True))
+    election.on_message(0.1, "c", request_message(5, renewal=True))
     assert isinstance(election.take_actions()[0], Persist)  # not known to be synced yet
     election.on_synced(action.record)
-    election.on_message(0.2, "c", ask(5, renewal=True))
+    election.on_message(0.2, "c", request_message(5, renewal=True))
     assert election.take_actions() == [Send("c", ["grant", LEASE, 1, 5, 9])]
     assert election.records() == [["ballot", LEASE, 5, "c/1"]]
 
 
-def test_a_voter_refuses() -> None:
-    election = voter()
-    election.on_message(0.0, "c", ask(5))
+def test_a_voter_refuses_conflicting_or_outdated_requests() -> None:
+    election = new_voter()
+    election.on_message(0.0, "c", request_message(5))
     election.take_actions()
     for message, sender, wait_s in [
-        (ask(6), "d", 1.5),  # promised to another
-        (ask(6, view=2), "c", 0.0),
-        (ask(4), "c", 0.0),
-        (ask(5, incarnation=2), "c", 0.0),  # another incarnation, the same term
+        (request_message(6), "d", 1.5),  # granted to another node
+        (request_message(6, view=2), "c", 0.0),
+        (request_message(4), "c", 0.0),
+        (request_message(5, incarnation=2), "c", 0.0),  # another incarnation, the same term
     ]:
         election.on_message(0.0, sender, message)
         assert election.take_actions() == [Send(sender, ["refuse", LEASE, 1, 5, 9, wait_s])]
-    election.on_message(1.5, "d", ask(5))
+    election.on_message(1.5, "d", request_message(5))
     assert election.take_actions() == [Send("d", ["refuse", LEASE, 1, 5, 9, 0.0])]
-    election.on_message(1.5, "d", ask(6))
+    election.on_message(1.5, "d", request_message(6))
     assert isinstance(election.take_actions()[0], Persist)
 
 
-def test_a_restarted_voter_abstains_and_knows_its_durations() -> None:
+def test_a_restarted_voter_abstains_and_grants_renewals() -> None:
     election = LeaseElection("v", DURATIONS, Random(1))
     election.restore([["ballot", LEASE, 7, "c/1"], ["entry", 3], ["ballot", LEASE, 6, "d/1"]])
-    election.set_view(0.0, 1, ["c", "d", "v"], formed_now=True)  # it has voted before: not fresh
-    election.on_message(1.0, "d", ask(8))
+    # Its records show that it voted before, so it abstains.
+    election.set_view(0.0, 1, ["c", "d", "v"], formed_now=True)
+    election.on_message(1.0, "d", request_message(8))
     assert election.take_actions() == [Send("d", ["refuse", LEASE, 1, 7, 9, 0.5])]
-    election.on_message(1.0, "c", ask(7, renewal=True))
+    election.on_message(1.0, "c", request_message(7, renewal=True))
     assert election.take_actions() == [Send("c", ["grant", LEASE, 1, 7, 9])]
     assert election.records() == [["ballot", LEASE, 7, "c/1"]]
 
 
-def test_a_voter_that_has_abstained_once_does_not_so_again_with_the_next_view() -> None:
+def test_a_voter_does_not_abstain_again_when_the_next_view_follows() -> None:
     election = LeaseElection("v", DURATIONS, Random(1))
     election.restore([["ballot", LEASE, 7, "c/1"]])
     election.set_view(0.0, 4, ["c", "d", "v"])
     election.set_view(2.0, 5, ["c", "d", "v"])
-    election.on_message(2.0, "d", ask(8, view=5))
+    election.on_message(2.0, "d", request_message(8, view=5))
     assert isinstance(election.take_actions()[0], Persist)
 
 
 def test_a_voter_that_has_missed_a_view_abstains() -> None:
-    election = voter()
+    election = new_voter()
     election.set_view(2.0, 3, ["c", "d", "v"])
-    election.on_message(3.0, "d", ask(8, view=3))
+    election.on_message(3.0, "d", request_message(8, view=3))
     assert election.take_actions() == [Send("d", ["refuse", LEASE, 3, 0, 9, 0.5])]
 
 
-def test_who_has_accepted_the_next_view_grants_nothing_in_the_present_one() -> None:
-    election = voter()
-    election.on_message(0.0, "c", ask(5))
+def test_a_voter_that_accepted_the_next_view_grants_nothing_in_the_current_one() -> None:
+    election = new_voter()
+    election.on_message(0.0, "c", request_message(5))
     election.take_actions()
     election.stop_granting(1)
-    for message in (ask(5, renewal=True), ask(6)):
+    for message in (request_message(5, renewal=True), request_message(6)):
         election.on_message(0.1, "c", message)
         assert election.take_actions() == [Send("c", ["refuse", LEASE, 1, 5, 9, 0.0])]
     election.set_view(0.2, 2, ["c", "v", "w"])
-    election.on_message(0.2, "c", ask(5, view=2, renewal=True))
+    election.on_message(0.2, "c", request_message(5, view=2, renewal=True))
     assert isinstance(election.take_actions()[0], Persist)
 
 
-def test_only_the_newcomer_abstains_after_an_exchange() -> None:
-    election = voter()
+def test_only_the_new_voter_abstains_after_an_exchange() -> None:
+    election = new_voter()
     election.set_view(5.0, 2, ["d", "v", "w"])
-    election.on_message(5.0, "d", ask(9 << 20, view=2))
+    election.on_message(5.0, "d", request_message(9 << 20, view=2))
     assert isinstance(election.take_actions()[0], Persist)
-    newcomer = LeaseElection("w", DURATIONS, Random(1))
-    newcomer.set_view(5.0, 2, ["d", "v", "w"])
-    newcomer.on_message(6.0, "d", ask(9 << 20, view=2))
-    assert newcomer.take_actions() == [Send("d", ["refuse", LEASE, 2, 0, 9, 0.5])]
+    new_node = LeaseElection("w", DURATIONS, Random(1))
+    new_node.set_view(5.0, 2, ["d", "v", "w"])
+    new_node.on_message(6.0, "d", request_message(9 << 20, view=2))
+    assert new_node.take_actions() == [Send("d", ["refuse", LEASE, 2, 0, 9, 0.5])]
 
 
-def test_no_voter_grants_nothing() -> None:
+def test_a_node_that_is_no_voter_refuses() -> None:
     election = LeaseElection("v", DURATIONS, Random(1))
     election.set_view(0.0, 1, ["c", "d"])
-    election.on_message(9.0, "c", ask(5))
+    election.on_message(9.0, "c", request_message(5))
     assert election.take_actions() == [Send("c", ["refuse", LEASE, 1, 0, 9, 0.0])]
 
 
@@ -605,11 +614,11 @@
     election = LeaseElection("v", DURATIONS, Random(1))
     election.set_view(0.0, 1, list("vwxyz"), formed_now=True)
     election.set_view(5.0, 2, list("vwxy"))
-    election.on_message(5.0, "w", ask(9 << 20, view=2))
+    election.on_message(5.0, "w", request_message(9 << 20, view=2))
     assert isinstance(election.take_actions()[0], Persist)
     election.on_message(5.0, "w", ["withdraw", LEASE, 9 << 20, 1])
     election.set_view(6.0, 3, list("vwx"))  # v, w are a majority, and so were x, y, z
-    election.on_message(7.0, "w", ask(10 << 20, view=3))
+    election.on_message(7.0, "w", request_message(10 << 20, view=3))
     assert election.take_actions() == [Send("w", ["refuse", LEASE, 3, 9 << 20, 9, 0.5])]
 
 
@@ -617,15 +626,15 @@
     "message",
     [[], ["ask"], ["ask", LEASE], ["ask", LEASE, 1, "5", 1, 9, False], ["grant", LEASE, 1], ["no", LEASE], 5],
 )
-def test_a_bad_message_is_a_typed_error(message: Any) -> None:  # noqa: ANN401
-    election = voter()
+def test_a_malformed_message_raises_lease_message_error(message: Any) -> None:  # noqa: ANN401
+    election = new_voter()
     with pytest.raises(LeaseMessageError):
         election.on_message(0.0, "c", message)
     assert election.take_actions() == []
 
 
-def test_messages_of_unknown_leases_are_passed_over() -> None:
-    election = voter()
+def test_messages_about_unknown_leases_are_ignored() -> None:
+    election = new_voter()
     election.on_message(0.0, "c", ["ask", "other", 1, 5, 1, 9, False])
     assert election.take_actions() == []
 
