--- a/plumline/store/log_writers.py
+++ b/plumline/store/log_writers.py
@@ -162,14 +162,14 @@
                 self._log.append([record for batch in batches for record in batch])
             except StoreError as error:
                 self.failure = error
-                if not self._compact_until_it_works():
+                if not self._compact_with_retries():
                     return
             else:
                 self._call_in_loop(self._acknowledge, len(batches))
-                if self._log.needs_compaction and not self._compact() and not self._compact_until_it_works():
+                if self._log.needs_compaction and not self._compact() and not self._compact_with_retries():
                     return
 
-    def _compact_until_it_works(self) -> bool:
+    def _compact_with_retries(self) -> bool:
         """True once a compaction has succeeded, False once the writer is closing."""
         while True:
             with self._changed:
