--- a/plumline/coordination/acceptor_planner.py
+++ b/plumline/coordination/acceptor_planner.py
@@ -1,26 +1,26 @@
-"""Which members vote in the next view: the smallest set that tolerates the losses, repaired by exchange.
+"""Plans the acceptors of the next view: the smallest set that tolerates the losses, changed one at a time.
 
-docs/control-safety/membership.md and docs/control-safety/zones.md have the reasons.
+The reasons are in docs/control-safety/membership.md and docs/control-safety/zones.md.
 """
 
 from plumline.coordination.environment import Member
-from plumline.coordination.loss_tolerance import LossTolerance, spread
+from plumline.coordination.loss_tolerance import LossTolerance, select_spread_domains
 from plumline.coordination.member_health import MemberAssessor, MemberHealth
 from plumline.coordination.view import View
 
 
 class AcceptorPlanner:
-    """Plans the acceptors of the view that follows the present one."""
+    """Plans the acceptors of the view that follows the current one."""
 
     def __init__(self, members: MemberAssessor, tolerance: LossTolerance) -> None:
-        """`tolerance`: what may be lost at once."""
+        """`tolerance`: the losses to survive at once."""
         self.members = members
         self.tolerance = tolerance
 
     def target_acceptor_count(self, view: View) -> int:
-        """The smallest odd number of acceptors of which every loss leaves a majority, if well placed.
+        """The smallest odd number of acceptors that can be placed so that every loss leaves a majority.
 
-        Where none does, the number that the loss of single machines needs.
+        If there is none, the number that the loss of single machines requires.
         """
         smallest = 2 * self.tolerance.machines + 1
         tolerance = self.members.attainable_tolerance(view, self.tolerance)
@@ -29,17 +29,16 @@
         known = {member.address for member in (*view.chain, *view.acceptors)}
         domains = [self.members.failure_detector.domain_of(address) for address in known]
         for count in range(smallest, len(domains) + 1, 2):
-            if tolerance.leaves_a_majority(spread(domains, count)):
+            if tolerance.leaves_a_majority(select_spread_domains(domains, count)):
                 return count
         return smallest
 
     def desired_acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
-        """The acceptors of the next view, of which at most one is another than in the present one.
+        """The acceptors of the next view, which differ in at most one member from the current ones.
 
-        An acceptor that no longer votes is replaced within one view. Adding the new one first would make a
-        view that needs the votes of all that are left, and one more loss in it would stop the core. Where no
-        acceptor is replaceable and there are enough, nobody is added for the same reason: a further member
-        serves in the chain without a vote.
+        An acceptor that no longer votes is replaced in a single view change. Adding the new one first would
+        need the votes of all remaining acceptors, and one more loss would stop the core. For the same reason
+        no acceptor is added if there are enough: a further member serves in the chain without a vote.
         """
         candidate = self.next_acceptor(now, view, chain)
         if candidate is not None:
@@ -50,32 +49,32 @@
             stopped = self._stopped_acceptors(now, view, chain)
             if stopped:
                 return tuple(member for member in view.acceptors if member != stopped[0])
-        return self._spread_further(now, view, chain)
+        return self._improve_spread(now, view, chain)
 
-    def _spread_further(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
-        """The acceptors with one exchanged for a member of the chain, if the worst loss then takes fewer.
+    def _improve_spread(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
+        """The acceptors with one replaced by a chain member, if the worst loss then takes fewer of them.
 
-        All who vote go on to vote in the meantime, so the step costs no tolerance.
+        All of them vote during the change, so it costs no tolerance.
         """
         tolerance = self.members.attainable_tolerance(view, self.tolerance)
         if not tolerance.zones and not tolerance.regions:
             return view.acceptors
-        best, least = view.acceptors, self._worst_loss(tolerance, view.acceptors)
+        best, smallest_loss = view.acceptors, self._worst_loss(tolerance, view.acceptors)
         for candidate in self._candidates(now, view, chain):
             for replaced in view.acceptors:
                 exchanged = (*(member for member in view.acceptors if member != replaced), candidate)
-                if self._worst_loss(tolerance, exchanged) < least:
-                    best, least = exchanged, self._worst_loss(tolerance, exchanged)
+                if self._worst_loss(tolerance, exchanged) < smallest_loss:
+                    best, smallest_loss = exchanged, self._worst_loss(tolerance, exchanged)
         return best
 
     def _worst_loss(self, tolerance: LossTolerance, members: tuple[Member, ...]) -> int:
         return tolerance.worst_loss(self.members.domains(members))
 
     def next_acceptor(self, now: float, view: View, chain: tuple[Member, ...]) -> Member | None:
-        """The healthy member of the chain that becomes an acceptor next, once one is replaceable.
+        """The healthy chain member that becomes an acceptor next, once one is replaceable.
 
-        First comes one whose earlier incarnation is an acceptor, as it lost that one's disk; then one with
-        which a loss takes the fewest of those that vote; then the chain's order counts.
+        Prefers a member whose earlier incarnation, with its disk lost, is an acceptor. Then the one with
+        which the worst loss takes the fewest voting acceptors; ties go by order in the chain.
         """
         candidates = self._candidates(now, view, chain)
         acceptor_addresses = {address for address, _ in view.acceptors}
@@ -93,7 +92,7 @@
         )
 
     def _candidates(self, now: float, view: View, chain: tuple[Member, ...]) -> list[Member]:
-        """The healthy members of the chain that are no acceptors, in its order."""
+        """The healthy chain members that are not acceptors, in chain order."""
         return [
             member
             for member in chain
@@ -107,7 +106,7 @@
     ) -> Member | None:
         """The acceptor that the candidate replaces; None if all others still vote.
 
-        That is its own earlier incarnation, else the longest silent of those that no longer vote.
+        That is its own earlier incarnation, else the non-voting one with the longest time since contact.
         """
         for member in view.acceptors:
             if member.address == candidate.address:
@@ -120,7 +119,7 @@
         )
 
     def _stopped_acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> list[Member]:
-        """Acceptors other than this registrar that are out of the chain and no longer vote."""
+        """Acceptors other than this registrar that are not in the chain and no longer vote."""
         return [
             member
             for member in view.acceptors
@@ -130,11 +129,11 @@
         ]
 
     def may_stop_voting(self, now: float, view: View) -> bool:
-        """Whether this acceptor may end.
+        """Whether this acceptor may exit.
 
-        The others must be a majority without it. If there are more acceptors than needed, or a member of the
-        chain could replace it, it waits for that. Otherwise it stays an acceptor by what its disk holds: a
-        smaller set would tolerate no more losses.
+        The others must form a majority without it. If there are more acceptors than needed, or a chain member
+        could replace it, it waits for that view change. Otherwise it stays an acceptor, down but with its
+        disk kept: a smaller set would tolerate no more losses.
         """
         if self.next_acceptor(now, view, view.chain) is not None:
             return False
--- a/plumline/coordination/bootstrap.py
+++ b/plumline/coordination/bootstrap.py
@@ -1,11 +1,11 @@
-"""First bootstrap: view 1, created once from the seeds.
+"""Initial bootstrap: view 1, created once from the seeds.
 
-The lowest seed is the founder. It queries all seeds; only if each of them answers, and none knows a view,
-does it create view 1. Whoever takes part in a chain has that view on its disk, so as long as no more disks
-were lost than the settings allow, a seed that knows a view says so.
+The seed with the lowest address is the founder. It queries all seeds, and creates view 1 only if each of them
+answers and none knows a view. Every chain member has its view on its disk, so if no more disks are lost than
+the settings allow, a seed that knows a view answers with it.
 
-An answer holds for the query that it names. A seed answers one query at a time, and never again one that it
-has given up for another, so nothing that an earlier life of the founder sent can create a second view 1.
+An answer is valid only for the query that it names. A seed answers one query at a time, and never returns to
+one that it has superseded. So no message of an earlier run of the founder can create a second view 1.
 """
 
 import secrets
@@ -18,9 +18,9 @@
 from plumline.coordination.view_messages import Decided
 
 QUERY_INTERVAL_S = 0.1  # between queries at the first start of the system
-LATER_QUERY_INTERVALS = 3  # of these between queries at a later start
-#: At a later start all seeds must have been without a view for so long, in seconds: somebody who knows more
-#: may still come.
+LATER_QUERY_INTERVALS = 3  # QUERY_INTERVAL_S between queries at a later start
+#: Seconds for which, at a later start, all seeds must have reported no view: a registrar that knows one may
+#: still start.
 LATER_START_WAIT_S = 4.0
 
 
@@ -36,24 +36,24 @@
         view_agreement: ViewAgreement,
         is_configuration_known: Callable[[], bool],
     ) -> None:
-        """`seeds`: addresses, the local one may be among them. `first_start`: the system never ran before.
-        `is_configuration_known`: whether a router has reported a configuration that this core should know, so
-        that there was a view and no second first one may be created."""
+        """`seeds`: addresses, possibly including the local one. `first_start`: the system never ran before.
+        `is_configuration_known`: whether a router has reported a configuration that this core should know,
+        so that a view existed and no second view 1 may be created."""
         self.local_member, self.seeds, self.first_start = local_member, sorted(seeds), first_start
         self.environment, self.view_agreement = environment, view_agreement
         self.is_configuration_known = is_configuration_known
-        self.took_part = False  # this life of the process installed a view 1 created now
-        # As the founder.
+        self.installed_first_view = False  # this process run installed a newly created view 1
+        # State as the founder.
         self.query_id = ""
         self.queried_at = -QUERY_INTERVAL_S
         self.incarnations: dict[str, str] = {}  # address of a seed that answered -> its incarnation
         self.all_answered_since: float | None = None
-        # As a seed that is queried.
-        self.last_answered: tuple[str, str] | None = None  # founder and id of the query answered last
-        self.superseded_queries: set[str] = set()  # given up for another one, never to be answered again
+        # State as a queried seed.
+        self.last_answered: tuple[str, str] | None = None  # sender and id of the query answered last
+        self.superseded_queries: set[str] = set()  # replaced by a later one, and never answered again
 
     def tick(self, now: float) -> None:
-        """As the founder: creates the view if all seeds have answered the query, else queries them anew."""
+        """As the founder: creates the view if all seeds have answered, and queries them again."""
         if not self._is_founder() or now < self.queried_at + self._query_interval_s():
             return
         if len(self.incarnations) < len(self.seeds):
@@ -65,13 +65,13 @@
         self._query_seeds(now)
 
     def may_create_view(self, now: float) -> bool:
-        """Whether no view can exist, as far as all seeds and the routers show."""
+        """Whether the answers of all seeds and the routers show that no view exists."""
         if self.all_answered_since is None or self.is_configuration_known():
             return False
         return self.first_start or now - self.all_answered_since >= LATER_START_WAIT_S
 
     def on_message(self, sender: str, message: Message) -> bool:
-        """Whether the message was one of the bootstrap, and is dealt with."""
+        """Handles a message of the bootstrap; returns False for any other."""
         match message:
             case ["found-ask", str(query_id)]:
                 self._on_query(sender, query_id)
@@ -117,5 +117,5 @@
             return
         view = View.from_wire(wire)
         if self.local_member in view.acceptors:
-            self.took_part = True
+            self.installed_first_view = True
             self.view_agreement.on_decided(view)
--- a/plumline/coordination/chain_planner.py
+++ b/plumline/coordination/chain_planner.py
@@ -1,7 +1,7 @@
-"""Which replicas form the chain of the next view, and which of them hold all that was committed.
+"""Plans the chain of the next view, and determines which replicas hold all committed entries.
 
-Members of a view that is activated, or known to be complete, all do. In one that is not, the sources of its
-base do, and whoever has caught up since.
+All chain members of a view that is activated or known to be complete hold them. In any other view, the
+sources of its base do (the chain of the last activated view), and members that have caught up since.
 """
 
 from typing import NamedTuple
@@ -17,31 +17,31 @@
 
 
 class LocalReplica(NamedTuple):
-    """The state of this registrar's own replica. Entries are counted from the first ever committed."""
+    """The state of this registrar's own replica. Entries are numbered from the first one ever committed."""
 
-    synced: int  # entries on the disk
+    synced: int  # entries synced to the disk
     committed: int  # entries known to be committed
-    caught_up: bool  # holds all that the previous view had committed
-    activated: bool = True  # the view is known to be, or needs not be
-    known_complete: bool = False  # some acceptor or the tail has told that the chain holds all committed
-    activation_refused: bool = False  # an acceptor has told this registrar, the tail, that it takes no part
+    caught_up: bool  # holds all entries that earlier views committed
+    activated: bool = True  # the view is known to be activated, or needs no activation
+    known_complete: bool = False  # an acceptor reported that the chain holds all committed entries
+    activation_refused: bool = False  # this registrar is the tail, and an acceptor refused to activate
 
 
 class ChainPlanner:
-    """Plans chains from what this registrar knows of the others."""
+    """Plans chains from what this registrar knows about the others."""
 
     def __init__(self, members: MemberAssessor, tolerance: LossTolerance) -> None:
-        """`tolerance`: what may be lost at once."""
+        """`tolerance`: the losses to survive at once."""
         self.members = members
         self.local_member = members.local_member
         self.tolerance = tolerance
-        #: Hold each acknowledged entry, if single machines are lost.
+        #: Replicas of each acknowledged entry that the loss of single machines requires.
         self.replicas_needed = tolerance.machines + 1
 
-    # Who holds all that was committed.
+    # Complete replicas
 
     def is_known_complete(self, view: View, replica: LocalReplica) -> bool:
-        """Whether every member of the chain holds all that was committed before, as its tail does."""
+        """Whether every chain member is known to hold all entries committed before, as the tail does."""
         if view.number == 1 or not view.chain:
             return True  # nothing was committed before
         if view.base is not None and (replica.activated or replica.known_complete):
@@ -52,10 +52,10 @@
         return self.members.has_reported_caught_up(view, tail)
 
     def is_caught_up(self, view: View, member: Member, replica: LocalReplica) -> bool:
-        """Whether a member of the chain is known to hold every entry that was ever committed.
+        """Whether a chain member is known to hold all committed entries.
 
-        The head does. So does every member ahead of a caught-up one, as a log holds all that its successor's
-        does; others must have reported it in this view.
+        The head does. So does every member ahead of a caught-up one, as each log contains that of its
+        successor in the chain. Others must have reported it in this view.
         """
         position = view.position(member)
         if position is None:
@@ -68,28 +68,28 @@
         return self.members.has_reported_caught_up(view, member)
 
     def base_of_successor(self, view: View, replica: LocalReplica) -> ActivatedView:
-        """The base of a successor that does not abandon the view: its members that hold all committed."""
+        """The base of a successor that does not abandon the view: the complete members of its chain."""
         chain = tuple(member for member in view.chain if self.is_caught_up(view, member, replica))
         return ActivatedView(view.number, chain)
 
-    # The chain that follows an activated view.
+    # The chain after an activated view
 
     def next_chain(self, now: float, view: View, replica: LocalReplica) -> tuple[Member, ...] | None:
-        """The chain after this view's; None if no successor would be safe now."""
+        """The chain of the next view; None if no successor would be safe now."""
         chain = self.reachable_chain(now, view)
         if not chain or not self.is_caught_up(view, chain[0], replica):
-            return None  # no complete replica could be the head: wait until one is back
+            return None  # no complete replica can become the head: wait until one is back
         if chain[-1] == self.local_member:
             chain = self._with_learners(now, view, chain, replica)
-            if not replica.activated:  # nothing is sent to learners yet, so none of them has caught up
+            if not replica.activated:  # learners get no entries yet, so none can catch up
                 chain = self._with_available_members(now, view, chain, ())
         return chain if self.has_quorum_of_replicas(now, view, chain, replica) else None
 
     def reachable_chain(self, now: float, view: View) -> tuple[Member, ...]:
         """The chain without unfit members, and without this registrar's unreachable neighbours.
 
-        A neighbour that is left out makes the next member the neighbour. Other members that can't be reached
-        from here stay: whether they replicate is for their own neighbours to judge.
+        Removing a neighbour makes the member behind it the new neighbour. Other members that are unreachable
+        from this registrar stay: only their own neighbours can tell whether they replicate.
         """
         health = {member: self.members.health(now, member) for member in view.chain}
         chain = [member for member in view.chain if health[member] is not MemberHealth.UNFIT]
@@ -107,10 +107,10 @@
     def has_quorum_of_replicas(
         self, now: float, view: View, chain: tuple[Member, ...], replica: LocalReplica
     ) -> bool:
-        """Whether this chain could commit, and enough of it are caught up that nothing committed is at risk.
+        """Whether this chain can commit, and has enough caught-up members to keep committed entries safe.
 
-        The latter is waived if all members that are left out have been absent for long: then only a chain
-        without them lets the others catch up.
+        The second condition is waived if all removed members are presumed lost: the others can then catch up
+        only in a chain without them.
         """
         if not self._is_long_enough(view, chain):
             return False
@@ -122,7 +122,7 @@
         return bool(removed) and all(self.members.is_presumed_lost(now, member) for member in removed)
 
     def _is_live_replica(self, now: float, view: View, member: Member, replica: LocalReplica) -> bool:
-        """Whether a member answers and holds all that is committed, as far as this registrar can know."""
+        """Whether a member answers and is known to hold all committed entries."""
         if not self.members.answered_recently(now, member):
             return False
         address, incarnation = member
@@ -135,7 +135,7 @@
     def _with_learners(
         self, now: float, view: View, chain: tuple[Member, ...], replica: LocalReplica
     ) -> tuple[Member, ...]:
-        """The chain with the next learner, and with as many as it needs to be long enough to commit."""
+        """The chain with the next learner, and with further ones until it is long enough to commit."""
         while (learner := self._next_learner(now, view, chain, replica)) is not None:
             chain = (*chain, learner)
             if self._is_long_enough(view, chain):
@@ -145,7 +145,7 @@
     def _next_learner(
         self, now: float, view: View, chain: tuple[Member, ...], replica: LocalReplica
     ) -> Member | None:
-        """The learner to admit: the first by address that is healthy and stable, and has nearly caught up."""
+        """The learner to admit: the first by address that is healthy, stable and nearly caught up."""
         addresses = {address for address, _ in chain}
         for address, peer in sorted(self.members.failure_detector.peers.items()):
             if address in addresses or not peer.incarnation or peer.disk_unhealthy or peer.draining:
@@ -159,15 +159,14 @@
                 return Member(address, peer.incarnation)
         return None
 
-    # The chain that follows a view which is not activated.
+    # The chain after a view that is not activated
 
     def chain_from_base(self, now: float, view: View, replica: LocalReplica) -> tuple[Member, ...] | None:
-        """The chain of a view that abandons this one; None if there can be none now.
+        """The chain of a view that abandons this one; None if no such chain is possible now.
 
-        It is this view's as long as nobody in it is lost. Otherwise it begins with the sources of the base,
-        in their order, as each one's log has all that those of later ones have. Only where none of them
-        answers, a member of the abandoned chain that has caught up begins it. Others follow as far as it
-        needs them.
+        The chain stays the same while no member is lost. Otherwise it starts with the sources of the base, in
+        their order, as each log contains those of later sources. If none of them answers, it starts with a
+        caught-up member of the abandoned chain. Other members are added until it can commit.
         """
         assert view.base is not None
         reachable = self.reachable_chain(now, view)
@@ -182,7 +181,7 @@
         return chain if self._is_long_enough(view, chain) else None
 
     def _available_sources(self, now: float, base: ActivatedView) -> tuple[Member, ...]:
-        """The sources of the base that answer; those that are about to end only where there are no others."""
+        """The sources of the base that answer; draining ones only if there are no others."""
         answering = tuple(member for member in base.chain if self.members.is_answering(now, member))
         return tuple(member for member in answering if self.members.is_available(now, member)) or answering
 
@@ -196,26 +195,26 @@
         )
 
     def survives_losses(self, view: View, chain: tuple[Member, ...]) -> bool:
-        """Whether a replica of what this chain commits is left after every loss that can be borne at all."""
+        """Whether every loss within the attainable tolerance leaves a replica of this chain."""
         tolerance = self.members.attainable_tolerance(view, self.tolerance)
         return tolerance.leaves_a_replica(self.members.domains(chain))
 
     def _is_long_enough(self, view: View, chain: tuple[Member, ...]) -> bool:
-        """Whether the chain could commit, or at least bears as much as the present one."""
+        """Whether the chain has enough members, and survives the losses if the current one does."""
         if len(chain) < self._shortest_chain(view):
             return False
         return self.survives_losses(view, chain) or not self.survives_losses(view, view.chain)
 
     def _shortest_chain(self, view: View) -> int:
-        """How many members the next chain must have at least."""
+        """Minimum number of members of the next chain."""
         return min(self.replicas_needed, len(view.chain))
 
     def _with_available_members(
         self, now: float, view: View, chain: tuple[Member, ...], preferred: tuple[Member, ...]
     ) -> tuple[Member, ...]:
-        """The chain with as many other registrars, the preferred ones first, as it needs to commit.
+        """The chain with other registrars added, the preferred ones first, until it is long enough to commit.
 
-        What they lack they get from their predecessors before the view is activated.
+        They get the entries that they lack from their predecessors before the view is activated.
         """
         for member in (*preferred, *self.members.known_registrars()):
             if self._is_long_enough(view, chain):
--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -1,8 +1,8 @@
 """The core of a registrar: its part in views, bootstrap, replication, failure detection and leases.
 
-`Core` owns one state machine for each of these protocols, hands each message and record to the one that it
-is for, steps them all together, and tells one protocol what it must know of another. It has no sockets,
-clocks or files: a registrar's process drives it, or a test by hand.
+`Core` owns one state machine for each of these protocols. It dispatches messages and records to them, steps
+them together, and passes state between them. It has no sockets, clocks or files: a registrar's process drives
+it, or a test.
 """
 
 from collections.abc import Callable
@@ -42,34 +42,34 @@
 
 @dataclass(frozen=True, slots=True)
 class CoreConfig:
-    """What a core is told at its start, and never changes."""
+    """The configuration of a core, fixed at its start."""
 
     local_member: Member
-    seeds: list[str]  # addresses of the registrars that create the first view
-    replicas_needed: int  # of each committed entry: one more than the machines that may be lost
+    seeds: list[str]  # addresses of the registrars that create view 1
+    replicas_needed: int  # per committed entry: one more than the machines that may be lost
     first_start: bool  # the system never ran before
     leases: dict[str, LeaseDurations]  # by name
     domain: FailureDomain = UNKNOWN_DOMAIN  # where this registrar runs
-    zone_losses: int = 0  # that may be lost at once in place of machines
-    region_losses: int = 0
+    zone_losses: int = 0  # zones that may be lost at once, instead of machines
+    region_losses: int = 0  # likewise, regions
 
     @property
     def tolerance(self) -> LossTolerance:
-        """What may be lost at once."""
+        """The losses that the core must survive."""
         return LossTolerance(self.replicas_needed - 1, self.zone_losses, self.region_losses)
 
 
 class CoreObserver(Protocol):
-    """What a core reports to its owner, and asks of it."""
+    """Callbacks from a core to its owner."""
 
     def on_entry_committed(self, index: int, change: Change | None) -> None:
-        """Called for each committed entry in order; without a change where a snapshot replaced the state."""
+        """Called for each committed entry in order; `change` is None if a snapshot replaced the state."""
 
     def on_view_installed(self, view: View) -> None:
-        """Called for each view that this registrar has learned, once it is on the disk."""
+        """Called for each view that this registrar has learned, once it is synced to the disk."""
 
     def is_configuration_known(self) -> bool:
-        """Whether a router has reported a configuration, so that no first view may be created any more."""
+        """Whether a router has reported a configuration, so that view 1 must no longer be created."""
 
 
 class Core(Generic[State]):
@@ -84,13 +84,13 @@
         observer: CoreObserver,
         random: Random,
     ) -> None:
-        """`initial_state`: before the first entry; `load_state` makes one from its wire form. `random`
-        spreads the timing of proposals and candidacies."""
+        """`initial_state`: before the first entry. `load_state` decodes a state from its wire form. `random`
+        adds jitter to the timing of proposals and candidacies."""
         member = config.local_member
         self.local_member, self.seeds, self.environment = member, config.seeds, environment
-        self.disk_unhealthy = False  # set by the owner while the disk takes no writes
+        self.disk_unhealthy = False  # set by the owner while the disk accepts no writes
         self._observer, self._lease_names = observer, tuple(config.leases)
-        self._now = 0.0  # of the newest step
+        self._now = 0.0  # time of the latest step
         self.view_agreement = ViewAgreement(member, environment, self._on_view_installed)
         self.view_activation = ViewActivation(environment)
         self.chain = ChainReplica(
@@ -117,14 +117,14 @@
         self.lease_election = LeaseElection(member.address, config.leases, random)
 
     def set_seeds(self, seeds: list[str]) -> None:
-        """Changes whom to ping. The first view is created by the seeds of this process's start, or never: if
-        machines were replaced, all of the present ones may be empty."""
+        """Changes the addresses to ping. Only the seeds given at the start of this process can create view 1:
+        if machines were replaced, all of the new seeds may have empty disks."""
         self.seeds = seeds
 
     # Durable state
 
     def restore(self, now: float, records: list[Record]) -> None:
-        """Replays the durable records, before the first step. May report entries as committed."""
+        """Replays the durable records before the first step. May report entries as committed."""
         self._now = now
         lease_records = []
         for record in records:
@@ -140,13 +140,13 @@
             self._stop_granting_superseded_leases()
 
     def records(self) -> list[Record]:
-        """The whole durable state: what `restore` needs to come to it."""
+        """The records from which `restore` rebuilds the entire durable state."""
         return [*self.view_agreement.records(), *self.chain.records(), *self.lease_election.records()]
 
     # Steps
 
     def tick(self, now: float) -> None:
-        """Steps all protocols; to be called every few tens of milliseconds."""
+        """Steps all protocols; call it every few tens of milliseconds."""
         self._now = now
         for address in self.seeds:
             self.failure_detector.add_peer(now, address)
@@ -182,7 +182,7 @@
 
     def _local_status(self, view: View | None) -> LocalStatus:
         synced = self.chain.synced_index
-        if self.chain.role.is_learner():  # what is beyond that may be discarded
+        if self.chain.role.is_learner():  # later entries may be discarded
             synced = min(synced, self.chain.committed_index)
         return LocalStatus(
             incarnation=self.local_member.incarnation,
@@ -201,12 +201,12 @@
         voters: list[str] = []
         if self.local_member in view.acceptors:
             voters = [member.address for member in view.acceptors]
-        created_now = view.number == 1 and self.bootstrap.took_part
+        created_now = view.number == 1 and self.bootstrap.installed_first_view
         self.lease_election.set_view(self._now, view.number, voters, formed_now=created_now)
         self._observer.on_view_installed(view)
 
     def on_message(self, now: float, sender: str, message: Message) -> bool:
-        """Hands the message to its protocol; whether there is one for its kind."""
+        """Dispatches the message to its protocol; returns False if there is none for its kind."""
         self._now = now
         if self.failure_detector.on_message(now, sender, message):
             if message[0] == PING_KIND:
@@ -230,7 +230,7 @@
         return False
 
     def _on_view_check(self, sender: str, message: Message) -> None:
-        """The read barrier's question: whether the view of this number is still the newest."""
+        """Answers a read barrier that asks whether the view of this number is still the newest."""
         check = ViewCheck.from_wire(message)
         if self.view_agreement.knows_no_successor(check.view_number) and self.view_agreement.is_acceptor():
             self.environment.send(sender, check.confirmed().to_wire())
@@ -238,7 +238,7 @@
     # Leases
 
     def _stop_granting_superseded_leases(self) -> None:
-        """An acceptor that has accepted the next view grants no lease in the present one."""
+        """Grants no more leases in the current view once this acceptor has accepted the next one."""
         if self.view_agreement.view is not None and self.view_agreement.accepted is not None:
             self.lease_election.stop_granting(self.view_agreement.view.number)
 
@@ -257,29 +257,29 @@
             self.environment.send(to, [LEASE_MESSAGE_KIND, *message])
 
     def campaign(self, now: float, lease: str) -> None:
-        """Makes this registrar a candidate for the lease, until it drains."""
+        """Makes this registrar a candidate for the lease until it drains."""
         self.lease_election.campaign(now, lease)
         self._perform_lease_actions()
 
     # Shutdown
 
     def begin_draining(self, now: float) -> None:
-        """Releases all leases and asks the others to take this registrar out of the view."""
+        """Releases all leases and asks the others to remove this registrar from the view."""
         self.membership.draining = True
         for name in self._lease_names:
             self.lease_election.release(now, name)
         self._perform_lease_actions()
 
     def pending_handover(self, now: float) -> PendingHandover | None:
-        """What must still be handed over before this registrar may end; None: nothing."""
+        """The role still to be handed over before this registrar may exit; None if there is none."""
         if any(self.lease_election.fencing_token(now, name) is not None for name in self._lease_names):
             return PendingHandover.LEASE
         return self.membership.pending_handover(now)
 
-    # What the owner asks
+    # Queries by the owner
 
     def is_up_to_date(self, now: float) -> bool:
-        """Whether this registrar holds what is committed now, as far as the views show that a majority of the
+        """Whether this registrar holds the committed entries, judged by the views that a majority of the
         acceptors reports."""
         view = self.view_agreement.view
         if view is None or self.chain.role.is_learner():
@@ -293,21 +293,21 @@
         return self.chain.caught_up and not newer_view_reported
 
     def has_quorum_contact(self, now: float) -> bool:
-        """Whether a majority of the acceptors answered this registrar lately."""
+        """Whether a majority of the acceptors echoed this registrar's pings recently."""
         view = self.view_agreement.view
         return view is not None and self.failure_detector.has_quorum_contact(now, view.acceptors)
 
     def check_tolerance(self) -> None:
-        """Raises ToleranceUnattainableError where the known registrars run in too few zones or regions."""
+        """Raises ToleranceUnattainableError if the known registrars run in too few zones or regions."""
         if self.view_agreement.view is not None:
             self.membership.check_tolerance(self.view_agreement.view)
 
     def head_address(self) -> str | None:
-        """Where changes are submitted, as far as known: the address of the chain's first member."""
+        """The address of the chain's head, to which changes are submitted; None if unknown."""
         view = self.view_agreement.view
         return view.chain[0].address if view and view.chain else None
 
     def tail_address(self) -> str | None:
-        """Where reads are answered, as far as known: the address of the chain's last member."""
+        """The address of the chain's tail, which answers reads; None if unknown."""
         view = self.view_agreement.view
         return view.chain[-1].address if view and view.chain else None
--- a/plumline/coordination/environment.py
+++ b/plumline/coordination/environment.py
@@ -1,11 +1,11 @@
-"""What the coordination protocols need from the process that runs them.
+"""The interface between the coordination protocols and the process that runs them.
 
-The protocols are state machines without sockets, clocks or files: times and messages come in as arguments,
-and what they send or store goes out through `Environment`. A registrar's process implements it over TCP and a
-record file, a test by hand.
+The protocols are state machines without sockets, clocks or files. Times and messages are passed in as
+arguments; messages to send and records to store go out through `Environment`. A registrar's process
+implements it with TCP and a record file, tests in memory.
 
-A message is a list that begins with its kind and holds only what ormsgpack can carry. Messages may be lost,
-duplicated or reordered; every protocol is written for that.
+A message is a list that starts with its kind and holds only types that ormsgpack can encode. Messages may be
+lost, duplicated or reordered; every protocol tolerates that.
 """
 
 from collections.abc import Callable
@@ -16,20 +16,20 @@
 
 
 class Member(NamedTuple):
-    """A registrar with one disk: it becomes another member when it loses what it has stored."""
+    """A registrar with its disk: after losing its stored data it is a different member."""
 
     address: str  # "ip:port" of its internal listener
     incarnation: str  # of its disk
 
 
 class Environment(Protocol):
-    """What a protocol may ask of its surroundings."""
+    """The operations that a protocol may use."""
 
     def send(self, to: str, message: Message) -> None:
-        """Sends the message to the registrar at this address, once and without a promise that it arrives.
+        """Sends the message once to the registrar at this address; delivery is not guaranteed.
 
-        Messages to the registrar itself are delivered too, but never within the call.
+        A message to the local registrar is delivered too, but never within the call.
         """
 
     def persist(self, record: Record, done: Callable[[], None]) -> None:
-        """Appends the record to the disk and calls `done` once it is synced, in the order of the calls."""
+        """Appends the record to the disk and calls `done` once it is synced; both in the order of calls."""
--- a/plumline/coordination/failure_detector.py
+++ b/plumline/coordination/failure_detector.py
@@ -1,8 +1,8 @@
-"""Failure detector: which registrars are alive, by the echoes of periodic pings.
+"""Failure detector: decides from the echoes of periodic pings which registrars are alive.
 
-A peer counts as alive by the time at which the newest ping that it echoed was *sent* from here. Hearing
-from a peer is not enough, so that a partition in one direction is noticed on both of its sides. Pings also
-carry what a registrar reports of itself (`LocalStatus`).
+A peer is alive if the newest ping that it echoed was *sent* recently. Messages received from a peer don't
+count, so that both sides detect a one-way partition. Pings also carry the registrar's own status
+(`LocalStatus`).
 
 All times are seconds on the local steady clock.
 """
@@ -17,70 +17,71 @@
 
 PING_KIND = "ping"  # of the messages that carry a registrar's status
 PING_INTERVAL_S = 0.15
-FEATURES_KIND = "features"  # of the messages that name what a registrar's release can do, and where it runs
-#: Views with a base are understood, and activated.
+FEATURES_KIND = "features"  # of the messages with a registrar's features and failure domain
+#: Feature: views with a base are supported and activated.
 VIEW_ACTIVATION = "view-activation"
-#: Records of roll-outs of service versions are understood and kept.
+#: Feature: records of service version roll-outs are supported and kept.
 SERVICE_ROLLOUTS = "service-rollouts"
 LOCAL_FEATURES = (VIEW_ACTIVATION, SERVICE_ROLLOUTS)
-FEATURES_INTERVAL_PINGS = 6  # between two messages that name them
-#: A peer that has sent so many pings without naming its features is of a release that has none.
+FEATURES_INTERVAL_PINGS = 6  # pings between two messages that name the features
+#: A peer that has sent more pings than this since it named its features runs a release without them.
 MAX_PINGS_WITHOUT_FEATURES = 24
-#: Without an echo for so long a peer is suspected: above the pauses of a busy machine, well under any
+#: A peer without an echo for this long is suspected. Longer than pauses of a busy machine, and well below any
 #: AcknowledgeMs.
 SUSPECT_TIMEOUT_S = 0.8
-STABLE_AFTER_S = 0.4  # a peer that was silent must answer for so long before it may join the chain
-#: A peer that no view and no setting names is dropped after so long a silence; machines come back sooner.
+STABLE_AFTER_S = 0.4  # a suspected peer must answer for this long before it may join the chain
+#: A peer that no view and no setting names is removed after this long without contact. Machines come back
+#: sooner.
 FORGET_TIMEOUT_S = 12.0
-RETAINED_PINGS = 200  # whose echoes are still recognised: half a minute of them
+RETAINED_PINGS = 200  # whose echoes are still accepted: 30 s at PING_INTERVAL_S
 
-_NEVER = -1e9  # s; before any reading of the steady clock
+_NEVER = -1e9  # seconds; earlier than any reading of the steady clock
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another registrar: what it last reported of itself, and how it answers."""
+    """Another registrar: its last reported status, and the times of its echoes."""
 
     address: str
-    incarnation: str = ""  # of its disk; empty until it has reported anything
-    view_number: int = 0  # of its view; 0: it knows none, or has not reported yet
+    incarnation: str = ""  # of its disk; empty until its first ping
+    view_number: int = 0  # 0: it knows no view, or has not reported yet
     last_synced: int = 0  # number of its newest synced entry
-    disk_unhealthy: bool = False  # its disk takes no writes
-    draining: bool = False  # it is about to end
+    disk_unhealthy: bool = False  # its disk accepts no writes
+    draining: bool = False  # it is shutting down
     status: ReplicaStatus = ReplicaStatus.LEARNER_NEARLY_CAUGHT_UP
-    last_echoed_at: float = _NEVER  # sending time of the newest ping that it echoed
-    stable_since: float = 0.0  # when it answered again after a silence
-    discovered_at: float = 0.0  # when this registrar first learned of it
+    last_echoed_at: float = _NEVER  # time at which the newest echoed ping was sent
+    stable_since: float = 0.0  # when it last answered again after being suspected
+    discovered_at: float = 0.0  # when this registrar discovered it
     disk_healthy_since: float = 0.0  # when it last reported its disk to be healthy again
-    features: frozenset[str] = frozenset()  # of its release, as it named them last
-    pings_without_features: int = 0  # received since then
+    features: frozenset[str] = frozenset()  # of its release, as last reported
+    pings_without_features: int = 0  # received since its last features message
     domain: FailureDomain = UNKNOWN_DOMAIN
 
 
 class FailureDetector:
-    """Pings the other registrars and judges from the echoes which of them are alive."""
+    """Pings the other registrars and decides from the echoes which of them are alive."""
 
     def __init__(
         self, local_member: Member, environment: Environment, domain: FailureDomain = UNKNOWN_DOMAIN
     ) -> None:
-        """Starts with no peers; `add_peer` names them. `domain`: where this registrar runs."""
+        """Starts with no peers; `add_peer` adds them. `domain`: where this registrar runs."""
         self.domain = domain
         self.local_member, self.environment = local_member, environment
         self.peers: dict[str, Peer] = {}  # by address, without this registrar
         self._sent_at: dict[int, float] = {}  # nonce of a ping -> when it was sent
-        self._nonce = secrets.randbits(48)  # so that echoes to an earlier life of this process match nothing
+        self._nonce = secrets.randbits(48)  # random: echoes to an earlier process run match nothing
         self._next_ping_at = 0.0
         self._pings_sent = 0
 
     # Peers
 
     def add_peer(self, now: float, address: str) -> None:
-        """Begins to ping this registrar, if it is another one and not known yet."""
+        """Starts to ping this registrar, unless it is the local one or already known."""
         if address != self.local_member.address and address not in self.peers:
             self.peers[address] = Peer(address, discovered_at=now)
 
     def remove_unresponsive_peers(self, now: float, named: set[str]) -> None:
-        """Drops the peers that are not `named` (addresses) and have been silent for FORGET_TIMEOUT_S."""
+        """Removes peers whose address is not `named` and that had no contact for FORGET_TIMEOUT_S."""
         for address in list(self.peers):
             if address not in named and self.time_since_contact(now, address) > FORGET_TIMEOUT_S:
                 del self.peers[address]
@@ -88,7 +89,7 @@
     # Pings and echoes
 
     def tick(self, now: float, local_status: LocalStatus) -> None:
-        """Pings all peers with this registrar's status, if it is time to."""
+        """Pings all peers with this registrar's status, every PING_INTERVAL_S."""
         if now < self._next_ping_at:
             return
         self._next_ping_at = now + PING_INTERVAL_S
@@ -104,11 +105,11 @@
             self.environment.send(address, [PING_KIND, self._nonce, *report])
 
     def ping_soon(self) -> None:
-        """Lets the next step ping: a link has come up, and a start should not wait for the interval."""
+        """Makes the next tick ping, so that a new link need not wait for the interval."""
         self._next_ping_at = 0.0
 
     def on_message(self, now: float, sender: str, message: Message) -> bool:
-        """Whether the message was a ping or an echo, and is dealt with."""
+        """Handles a ping, an echo or a features message; returns False for any other."""
         match message:
             case ["ping", int(nonce), str(), int(), int(), bool(), bool(), int()]:
                 self._on_ping(now, sender, nonce, message)
@@ -148,42 +149,42 @@
             peer.stable_since = now
         peer.last_echoed_at = max(peer.last_echoed_at, sent_at)
 
-    # Judgements about one peer
+    # State of one peer
 
     def time_since_echo(self, now: float, address: str) -> float:
-        """Seconds since the newest echoed ping was sent: 0 for this registrar itself, huge if there is
-        none."""
+        """Seconds since the newest echoed ping was sent: 0 for this registrar itself, very large if none
+        was echoed."""
         if address == self.local_member.address:
             return 0.0
         peer = self.peers.get(address)
         return now - peer.last_echoed_at if peer else -_NEVER
 
     def time_since_contact(self, now: float, address: str) -> float:
-        """As `time_since_echo`, but a peer that was just discovered counts from then: it had no time to
-        answer."""
+        """As `time_since_echo`, but at most the time since the peer was discovered, as a new one had no time
+        to answer."""
         if address == self.local_member.address:
             return 0.0
         peer = self.peers.get(address)
         return now - (max(peer.last_echoed_at, peer.discovered_at) if peer else _NEVER)
 
     def is_alive(self, now: float, address: str) -> bool:
-        """Whether the peer is not suspected; one that was just discovered is not yet."""
+        """Whether the peer is not suspected; a newly discovered one is not suspected yet."""
         return self.time_since_contact(now, address) < SUSPECT_TIMEOUT_S
 
     def is_stable(self, now: float, address: str) -> bool:
-        """Whether the peer has answered, and its disk been healthy, without a gap for STABLE_AFTER_S."""
+        """Whether the peer has answered, with a healthy disk, without interruption for STABLE_AFTER_S."""
         peer = self.peers.get(address)
         if peer is None or self.time_since_echo(now, address) >= SUSPECT_TIMEOUT_S:
             return False
         return now - max(peer.stable_since, peer.disk_healthy_since) >= STABLE_AFTER_S
 
     def has_reported_view(self, address: str) -> bool:
-        """Whether it has reported a view to this life of the process; before that it may know a newer one."""
+        """Whether it has reported a view to this process run; until then it may know a newer one."""
         peer = self.peers.get(address)
         return address == self.local_member.address or (peer is not None and peer.view_number > 0)
 
     def supports(self, address: str, feature: str) -> bool:
-        """Whether a registrar's release has the feature, as it has named it or had no time yet to do so."""
+        """Whether a registrar has reported the feature, or has had no time yet to report its features."""
         peer = self.peers.get(address)
         if peer is None:
             return True
@@ -191,20 +192,20 @@
         return has_named and peer.pings_without_features <= MAX_PINGS_WITHOUT_FEATURES
 
     def domain_of(self, address: str) -> FailureDomain:
-        """Where a registrar runs, as it has told."""
+        """The failure domain that a registrar has reported."""
         if address == self.local_member.address:
             return self.domain
         peer = self.peers.get(address)
         return peer.domain if peer is not None else UNKNOWN_DOMAIN
 
-    # Judgements about a quorum
+    # State of a quorum
 
     def has_quorum_contact(self, now: float, members: tuple[Member, ...]) -> bool:
-        """Whether a majority of these members, this registrar included if it is one, echoed lately."""
+        """Whether a majority of these members echoed recently; this registrar counts as having done so."""
         return 2 * len(self._responsive_addresses(now, members)) > len(members)
 
     def has_quorum_of_reported_views(self, now: float, members: tuple[Member, ...]) -> bool:
-        """Whether a majority of these members echoed lately and has reported its view."""
+        """Whether a majority of these members echoed recently and has reported its view."""
         responsive = self._responsive_addresses(now, members)
         return 2 * sum(map(self.has_reported_view, responsive)) > len(members)
 
@@ -217,5 +218,5 @@
 
 
 def reported_view_number(ping: Message) -> int:
-    """The number of the view that a ping's sender reports."""
+    """The view number that a ping's sender reports."""
     return ping[3]
--- a/plumline/coordination/loss_tolerance.py
+++ b/plumline/coordination/loss_tolerance.py
@@ -1,7 +1,7 @@
-"""Which losses a set of registrars bears: of single machines, of whole zones, or of whole regions.
+"""Loss tolerance of a set of registrars: of single machines, of entire zones, or of entire regions.
 
-A deployment names how many of each may be lost at once. The three are alternatives: a zone is lost with all
-registrars in it, and no further machine at the same time.
+A deployment sets how many of each may be lost at once. The three are alternatives: when a zone is lost with
+all its registrars, no further machine is assumed lost at the same time.
 """
 
 from collections import Counter
@@ -11,44 +11,45 @@
 
 
 class FailureDomain(NamedTuple):
-    """Where a registrar runs."""
+    """The zone and region in which a registrar runs."""
 
     zone: str
     region: str
 
 
-#: Of a registrar that has not told where it runs. All such count as one zone, as they may be.
+#: Of a registrar that has not reported its domain. All of these count as one zone, as they may be in one.
 UNKNOWN_DOMAIN = FailureDomain("", "")
 
 
 @dataclass(frozen=True, slots=True)
 class LossTolerance:
-    """How much may be lost at once."""
+    """The numbers of machines, zones or regions that may be lost at once."""
 
     machines: int
     zones: int = 0
     regions: int = 0
 
     def worst_loss(self, domains: Sequence[FailureDomain]) -> int:
-        """How many of the registrars in these domains the worst loss takes."""
+        """The largest number of registrars in these domains that a tolerated loss takes."""
         return max(
             min(self.machines, len(domains)),
-            _largest(self.zones, (domain.zone for domain in domains)),
-            _largest(self.regions, (domain.region for domain in domains)),
+            _count_of_most_common(self.zones, (domain.zone for domain in domains)),
+            _count_of_most_common(self.regions, (domain.region for domain in domains)),
         )
 
     def leaves_a_replica(self, domains: Sequence[FailureDomain]) -> bool:
-        """Whether one of these registrars is left after every loss."""
+        """Whether every tolerated loss leaves at least one of these registrars."""
         return self.worst_loss(domains) < len(domains)
 
     def leaves_a_majority(self, domains: Sequence[FailureDomain]) -> bool:
-        """Whether more than half of these registrars are left after every loss."""
+        """Whether every tolerated loss leaves more than half of these registrars."""
         return 2 * (len(domains) - self.worst_loss(domains)) > len(domains)
 
     def attainable(self, domains: Iterable[FailureDomain]) -> "LossTolerance":
-        """The part of it that registrars in these domains can bear, however they are placed.
+        """The part of this tolerance that registrars in these domains can provide at all.
 
-        A majority outlives the loss of z zones only if there are 2 z + 1 of them; likewise with regions.
+        A majority can survive the loss of z zones only if there are at least 2 z + 1 zones; likewise with
+        regions.
         """
         known = list(domains)
         zones = len({domain.zone for domain in known})
@@ -60,18 +61,18 @@
         )
 
 
-def _largest(count: int, names: Iterable[str]) -> int:
-    """How many names the `count` most frequent ones are in all."""
+def _count_of_most_common(count: int, names: Iterable[str]) -> int:
+    """How many of the names are among the `count` most frequent ones."""
     return sum(number for _, number in Counter(names).most_common(count))
 
 
-def spread(domains: Sequence[FailureDomain], count: int) -> list[FailureDomain]:
-    """`count` of these domains, taken from regions and their zones in turn."""
-    left, taken = sorted(domains), list[FailureDomain]()
-    while left and len(taken) < count:
-        by_region = Counter(domain.region for domain in taken)
-        by_zone = Counter(domain.zone for domain in taken)
-        best = min(left, key=lambda domain: (by_region[domain.region], by_zone[domain.zone]))
-        left.remove(best)
-        taken.append(best)
-    return taken
+def select_spread_domains(domains: Sequence[FailureDomain], count: int) -> list[FailureDomain]:
+    """Selects `count` of these domains, spread evenly over regions and their zones."""
+    remaining, selected = sorted(domains), list[FailureDomain]()
+    while remaining and len(selected) < count:
+        by_region = Counter(domain.region for domain in selected)
+        by_zone = Counter(domain.zone for domain in selected)
+        best = min(remaining, key=lambda domain: (by_region[domain.region], by_zone[domain.zone]))
+        remaining.remove(best)
+        selected.append(best)
+    return selected
--- a/plumline/coordination/rendezvous.py
+++ b/plumline/coordination/rendezvous.py
@@ -1,6 +1,6 @@
 """Rendezvous (highest random weight) hashing.
 
-What is chosen for a key changes only when the chosen candidate goes, or one with a higher weight comes.
+The choice for a key changes only when the chosen candidate is removed, or one with a higher weight is added.
 
 Source: Thaler and Ravishankar, "A Name-Based Mapping Scheme for Rendezvous" (1996).
 """
@@ -9,19 +9,19 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-_HASH_PERSON = b"plumline-ring"  # another value would move every choice; all processes must agree on it
+_HASH_PERSON = b"plumline-ring"  # a change would move every choice; the same in all processes
 
 
 class Candidate(NamedTuple):
-    """One that may be chosen."""
+    """A candidate for a key, with its zone."""
 
     name: str
     zone: str
 
 
 def weight(key: str, name: str) -> int:
-    """64 bits that depend on the key and the name alone, the same in every process."""
-    # The length keeps ("ab", "c") and ("a", "bc") apart.
+    """A 64-bit weight that depends only on the key and the name, so it is the same in every process."""
+    # The length prefix makes ("ab", "c") and ("a", "bc") hash differently.
     text = f"{len(key)}:{key}{name}".encode()
     return int.from_bytes(blake2b(text, digest_size=8, person=_HASH_PERSON).digest(), "big")
 
@@ -32,10 +32,10 @@
 
 
 def choose_across_zones(key: str, candidates: Iterable[Candidate], count: int = 2) -> list[str]:
-    """The names of up to `count` candidates, best first, each once.
+    """The names of up to `count` distinct candidates, best first.
 
-    After the one with the highest weight comes the best in a zone not used yet, and so on; a zone is used
-    again only when no unused one is left.
+    The first has the highest weight; each further one is the best in a zone not used yet. A zone is used
+    again only when no unused zone is left.
     """
     zones = {candidate.name: candidate.zone for candidate in candidates}
     remaining = sorted(zones, key=lambda name: (weight(key, name), name), reverse=True)
--- a/plumline/coordination/replica_status.py
+++ b/plumline/coordination/replica_status.py
@@ -1,4 +1,4 @@
-"""What a registrar reports of itself in its pings."""
+"""The status of itself that a registrar reports in its pings."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -6,28 +6,28 @@
 
 
 class ReplicaStatus(IntEnum):
-    """How far a registrar is with the chain of its view. The values go on the wire."""
+    """Replication progress of a registrar in the chain of its view. The values go on the wire."""
 
-    LEARNER_BEHIND = -1  # outside the chain; lacks more than what one answer to it carries
+    LEARNER_BEHIND = -1  # outside the chain; lacks more entries than one answer carries
     LEARNER_NEARLY_CAUGHT_UP = 0  # outside the chain; may become its tail
-    CHAIN_CATCHING_UP = 1  # in the chain, without all that its predecessor held as the view began
-    CHAIN_CAUGHT_UP = 2  # in the chain, with all that was ever committed
+    CHAIN_CATCHING_UP = 1  # in the chain; may lack entries that its predecessor held at the start of the view
+    CHAIN_CAUGHT_UP = 2  # in the chain; holds all committed entries
 
     @classmethod
     def _missing_(cls, value: object) -> "ReplicaStatus":
-        """A status that only a newer release knows: neither caught up nor ready to join the chain."""
+        """Maps a status of a newer release to one that is neither caught up nor ready to join the chain."""
         return cls.LEARNER_BEHIND
 
 
 @dataclass(frozen=True, slots=True)
 class LocalStatus:
-    """The state of this registrar that its peers decide by."""
+    """The state of this registrar on which its peers base their decisions."""
 
     incarnation: str  # of its disk
-    view_number: int  # of its view; 0: it knows none
-    last_synced: int  # number of the newest entry that may count as synced
-    disk_unhealthy: bool  # the disk takes no writes
-    draining: bool  # it is about to end, and hands over what it holds
+    view_number: int  # 0: it knows no view
+    last_synced: int  # number of the newest entry that counts as synced
+    disk_unhealthy: bool  # the disk accepts no writes
+    draining: bool  # it is shutting down, and hands over its roles
     status: ReplicaStatus
 
     def to_wire(self) -> list[Any]:
--- a/plumline/coordination/view.py
+++ b/plumline/coordination/view.py
@@ -1,9 +1,9 @@
-"""A view: the configuration of the core at one point in its history.
+"""A view: the acceptors and the replication chain of the core, valid until the next view is decided.
 
-A view may name a chain that does not hold yet what was acknowledged before. It is *activated* once its chain
-does, and a majority of its acceptors has recorded so; nothing is committed in it before. Until then the
-members of its `base`, the last activated view, remain the source of what was acknowledged. (Lamport, Malkhi
-and Zhou, "Vertical Paxos and Primary-Backup Replication", PODC 2009.)
+The chain of a view may still lack entries that were acknowledged before. The view is *activated* once the
+chain has them and a majority of the acceptors has recorded so; nothing is committed in it before. Until then
+those entries are read from the members of its `base`, the last activated view. (Lamport, Malkhi and Zhou,
+"Vertical Paxos and Primary-Backup Replication", PODC 2009.)
 """
 
 from dataclasses import dataclass
@@ -13,10 +13,10 @@
 
 
 class ActivatedView(NamedTuple):
-    """A view whose chain held all that was acknowledged before it."""
+    """A view whose chain held all entries acknowledged before it."""
 
     number: int
-    chain: tuple[Member, ...]  # its replicas in order; each of them is a source
+    chain: tuple[Member, ...]  # its replicas in order; each can serve all acknowledged entries
 
     def to_wire(self) -> list[Any]:
         """The number, and the list of [address, incarnation]."""
@@ -24,20 +24,20 @@
 
     @classmethod
     def from_wire(cls, wire: list[Any]) -> "ActivatedView":
-        """Raises ValueError or TypeError where the wire form is none of an activated view."""
+        """Raises ValueError or TypeError if the wire form is not an activated view."""
         number, chain = wire
         return cls(int(number), _members_from_wire(chain))
 
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """Who votes and who replicates, from the decision of this view until that of the next one."""
+    """The acceptors and replicas, from the decision of this view until that of the next one."""
 
-    number: int  # 1 for the first view, one more for each that follows
-    acceptors: tuple[Member, ...]  # they vote for leases and for the next view
+    number: int  # 1 for the first view, then consecutive
+    acceptors: tuple[Member, ...]  # vote for leases and for the next view
     chain: tuple[Member, ...]  # the replicas in order, head first
-    #: The last activated view as this one was proposed. None: the view is in force as soon as it is decided,
-    #: as the first one is and those that releases without activation propose.
+    #: The last activated view when this one was proposed. None: the view needs no activation, as the first
+    #: view and those proposed by releases without activation.
     base: ActivatedView | None = None
 
     def to_wire(self) -> list[Any]:
@@ -51,10 +51,10 @@
 
     @classmethod
     def from_wire(cls, wire: list[Any]) -> "View":
-        """Raises ValueError or TypeError where the wire form is none of a view."""
+        """Raises ValueError or TypeError if the wire form is not a view."""
         number, acceptors, chain, *base = wire
         if len(base) > 1:
-            raise ValueError(f"a view of {len(wire)} fields")
+            raise ValueError(f"view has {len(wire)} fields; expected 3 or 4")
         return cls(
             number,
             _members_from_wire(acceptors),
@@ -63,15 +63,15 @@
         )
 
     def abandons_its_predecessor(self) -> bool:
-        """Whether it is based on an earlier view than the one before it, which must never be activated."""
+        """Whether its base is older than its predecessor, which must then never be activated."""
         return self.base is not None and self.base.number < self.number - 1
 
     def majority(self) -> int:
-        """How many of the acceptors are more than half of them."""
+        """The smallest number of acceptors that is more than half of them."""
         return len(self.acceptors) // 2 + 1
 
     def position(self, member: Member) -> int | None:
-        """Place in the chain, 0 for the head; None for who is not in it."""
+        """Index in the chain, 0 for the head; None for a member that is not in it."""
         return self.chain.index(member) if member in self.chain else None
 
 
--- a/plumline/coordination/view_activation.py
+++ b/plumline/coordination/view_activation.py
@@ -1,6 +1,7 @@
-"""Activation of a view: its tail has a majority of the acceptors record that the chain holds all committed.
+"""Activation of a view: a majority of its acceptors records, when its tail asks, that the chain is complete.
 
-From then on no successor can abandon the view (`plumline.coordination.view_agreement`), and the tail commits.
+The chain then holds all entries committed before, no successor can abandon the view
+(`plumline.coordination.view_agreement`), and the tail starts to commit.
 """
 
 from plumline.coordination.environment import Environment, Message
@@ -11,27 +12,27 @@
 
 
 class ViewActivation:
-    """The tail's part in activating one view after the other."""
+    """The tail's side of activation, for the newest view."""
 
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
         self._view: View | None = None
         self._acknowledged_by: set[str] = set()  # addresses of acceptors
         self._next_request_at = 0.0
-        #: An acceptor has promised to abandon the view. It may be activated all the same, or never.
+        #: An acceptor has promised to abandon the view. Others may still form a majority to activate it.
         self.refused = False
 
     def begin_view(self, view: View) -> None:
-        """Forget about the view before."""
+        """Starts over for a new view, discarding the answers for the previous one."""
         self._view, self._acknowledged_by = view, set()
         self._next_request_at, self.refused = 0.0, False
 
     def is_activated(self) -> bool:
-        """Whether a majority of the view's acceptors has recorded that it is."""
+        """Whether a majority of the view's acceptors has recorded the activation."""
         return self._view is not None and len(self._acknowledged_by) >= self._view.majority()
 
     def request(self, now: float) -> None:
-        """Ask the acceptors that have not answered, if it is time to."""
+        """Sends the request to acceptors that have not answered, at most every RETRY_INTERVAL_S."""
         if self._view is None or now < self._next_request_at or self.is_activated():
             return
         self._next_request_at = now + RETRY_INTERVAL_S
@@ -41,7 +42,7 @@
                 self._environment.send(acceptor.address, message)
 
     def on_message(self, sender: str, message: Message) -> bool:
-        """Take in an acceptor's answer; return whether the message was one."""
+        """Records an acceptor's answer; returns whether the message was one."""
         match decode_message(message):
             case Activated(view_number):
                 if self._is_acceptor_of(view_number, sender):
--- a/plumline/coordination/view_agreement.py
+++ b/plumline/coordination/view_agreement.py
@@ -1,14 +1,13 @@
 """Agreement on views: single-decree Paxos, one instance a view.
 
-View n+1 is decided among the acceptors of view n, so every change of members, also one of the acceptors
-themselves, goes through a majority of the old ones, and there is one history of views. What an acceptor
-promises or accepts is synced to its disk before the proposer hears of it. See docs/system.md, and Lamport,
-"Paxos Made Simple" (2001), for the two phases.
-
-A view is activated by a majority of its acceptors (`plumline.coordination.view`). A successor that is based
-on an earlier view abandons it: an acceptor that has promised such a successor takes no part in activating the
-view any more, and who has taken part says so in its promise. So of the two at most one gets its majority.
-docs/control-safety/activation.md has the argument.
+The acceptors of view n decide view n+1, so each change of members, including one of the acceptors, needs a
+majority of the old acceptors, and views form a single sequence. An acceptor syncs a promise or an acceptance
+to its disk before it answers the proposer. See docs/system.md, and Lamport, "Paxos Made Simple" (2001).
+
+A view is activated by a majority of its acceptors (`plumline.coordination.view`). A successor based on an
+earlier view abandons it. An acceptor that has promised such a successor no longer helps to activate the view,
+and one that has helped reports so in its promise, so at most one of the two reaches a majority. The proof is
+in docs/control-safety/activation.md.
 """
 
 import secrets
@@ -43,58 +42,58 @@
     decode_record,
 )
 
-#: Seconds without a result after which a proposal counts as lost, and another may be made.
+#: Seconds without a result after which a proposal counts as failed and another may be made.
 PROPOSAL_TIMEOUT_S = 0.5
-#: Between two proposals of one registrar pass at least so many times that: drawn between these two, so that
-#: rival proposers don't keep overtaking each other.
+#: Bounds of the random factor that PROPOSAL_TIMEOUT_S is multiplied by to get the minimum time between two
+#: proposals of one registrar. The jitter keeps competing proposers from preempting each other repeatedly.
 RETRY_FACTORS = (0.6, 1.4)
 
 
 @dataclass(slots=True)
 class Proposal:
-    """A proposal of this registrar that is under way."""
+    """A proposal of this registrar that is in progress."""
 
     proposed_view: View
     number: ProposalNumber
     started_at: float  # s, steady clock
     promises: dict[str, AcceptedProposal | None] = field(default_factory=dict)  # by acceptor's address
-    #: Put to the acceptors in phase 2; None before. Not `proposed_view` where a promise tells of another.
+    #: Sent to the acceptors in phase 2; None before. Not `proposed_view` if a promise reports another one.
     chosen_view: View | None = None
     acceptances: set[str] = field(default_factory=set)  # addresses of acceptors
 
 
 class ViewAgreement:
-    """One registrar's part in the agreement, as acceptor, proposer and learner."""
+    """One registrar's part in the agreement on views, as acceptor, proposer and learner."""
 
     def __init__(
         self, local_member: Member, environment: Environment, on_installed: Callable[[View], None]
     ) -> None:
-        """`on_installed` is called with each newly decided view, once it is on the disk."""
+        """`on_installed` is called with each newly decided view, once it is synced to the disk."""
         self.local_member, self.environment, self.on_installed = local_member, environment, on_installed
-        self.view: View | None = None  # the newest that is known to be decided, and on the disk
+        self.view: View | None = None  # the newest view known to be decided, and synced to the disk
         # As an acceptor of the view after `view`.
         self.promised = NO_PROPOSAL
         self.accepted: AcceptedProposal | None = None
         # As an acceptor of `view`.
-        self.activated = False  # its chain holds all that was acknowledged before, as far as is known here
-        self.abandoned = False  # has promised to take no part in activating it
-        self._activating = False  # takes part in activating it; at least on the way to the disk
+        self.activated = False  # whether its chain is known to hold all entries acknowledged before
+        self.abandoned = False  # has promised not to help activate it
+        self._activating = False  # helps to activate it; the record may not be synced yet
         self._activation_synced = False
         # As a proposer.
-        self.proposer_name = f"{local_member.address}/{secrets.token_hex(4)}"  # no two lives share one
+        self.proposer_name = f"{local_member.address}/{secrets.token_hex(4)}"  # unique to each process run
         self.proposal: Proposal | None = None
         self.highest_round = 0  # ever seen
         self.next_proposal_at = 0.0
         # As a learner.
-        self.unsynced_view: View | None = None  # decided, and being written to the disk
-        # While records are replayed: the bases that were written before what they belong to.
+        self.unsynced_view: View | None = None  # decided, but still being written to the disk
+        # During replay: each base record precedes the record of the view that it belongs to.
         self._restored_view_base: ViewBaseRecord | None = None
         self._restored_accept_base: AcceptBaseRecord | None = None
 
     # State
 
     def restore(self, record: Record) -> None:
-        """Replays one durable record; those of other protocols change nothing."""
+        """Replays one durable record; records of other protocols are ignored."""
         match decode_record(record):
             case ViewBaseRecord() as base:
                 self._restored_view_base = base
@@ -112,14 +111,14 @@
                 matches = base is not None and (base.instance, base.number) == (instance, number)
                 accepted = replace(view, base=base.base) if base and matches else view
                 self.accepted = AcceptedProposal(number, accepted)
-            case ActivatedRecord(number) if self._is_present(number):
+            case ActivatedRecord(number) if self._is_current(number):
                 self.activated = self._activating = self._activation_synced = True
-            case AbandonedRecord(number) if self._is_present(number):
+            case AbandonedRecord(number) if self._is_current(number):
                 self.abandoned = True
         self.highest_round = max(self.highest_round, self.promised.round)
 
     def records(self) -> list[Record]:
-        """What `restore` needs to come to the present state."""
+        """The records from which `restore` rebuilds the current state."""
         records: list[Record] = []
         if self.view is not None:
             instance = self.view.number + 1
@@ -137,22 +136,22 @@
         return records
 
     def knows_any_view(self) -> bool:
-        """Whether a view was decided, as far as this registrar knows."""
+        """Whether this registrar knows of a decided view."""
         return self.view is not None or self.unsynced_view is not None
 
     def is_acceptor(self) -> bool:
-        """Whether this registrar votes in the present view."""
+        """Whether this registrar votes in the current view."""
         return self.view is not None and self.local_member in self.view.acceptors
 
     def is_next(self, instance: int) -> bool:
-        """Whether this is the number of the view to be decided now."""
+        """Whether this is the number of the view to be decided next."""
         return self.view is not None and instance == self.view.number + 1
 
-    def _is_present(self, view_number: int) -> bool:
+    def _is_current(self, view_number: int) -> bool:
         return self.view is not None and view_number == self.view.number
 
     def knows_no_successor(self, number: int) -> bool:
-        """Whether view `number` is the present one, and nothing accepted here may follow it."""
+        """Whether view `number` is the current one, and this acceptor has accepted no successor."""
         return self.view is not None and self.view.number == number and self.accepted is None
 
     def _set_view(self, view: View) -> None:
@@ -163,10 +162,10 @@
     # Proposer
 
     def propose(self, now: float, random: Random, view: View) -> None:
-        """Puts `view`, the successor of the present one, to the acceptors; another may be decided instead.
+        """Proposes `view`, the successor of the current one, to the acceptors; another view may be decided.
 
-        Does nothing while a proposal of this registrar is under way. It need not be an acceptor. The proposal
-        ends without a result if `view` abandons the present one and an acceptor tells that this is activated.
+        Does nothing while a proposal of this registrar is in progress. It need not be an acceptor. The
+        proposal is dropped if `view` abandons the current view and an acceptor reports that one as activated.
         """
         if self.view is None or view.number != self.view.number + 1:
             return
@@ -181,8 +180,8 @@
             self.environment.send(acceptor.address, request)
 
     def on_promise(self, sender: str, promise: Promise) -> None:
-        """Once a majority has promised, puts a view to the acceptors: the newest that one of them accepted
-        before, or where there is none the proposed one."""
+        """Once a majority has promised, sends the acceptors a view to accept: the one accepted under the
+        highest number, or the proposed one if none was accepted."""
         proposal = self._proposal_for(promise.instance, promise.number)
         if self.view is None or proposal is None or proposal.chosen_view:
             return
@@ -193,7 +192,7 @@
         accepted = [each for each in proposal.promises.values() if each is not None]
         newest = max(accepted, key=lambda each: each.number, default=None)
         if newest is None and self.activated and proposal.proposed_view.abandons_its_predecessor():
-            self.proposal = None  # what was committed in the present view is not in that base
+            self.proposal = None  # the base lacks what was committed in the current view
             return
         proposal.chosen_view = newest.view if newest else proposal.proposed_view
         request = Accept(promise.instance, promise.number, proposal.chosen_view).to_wire()
@@ -201,7 +200,7 @@
             self.environment.send(acceptor.address, request)
 
     def on_accepted(self, sender: str, accepted: Accepted) -> None:
-        """Once a majority has accepted the view it is decided, and all concerned learn it."""
+        """Once a majority has accepted the view, sends it as decided to the members of both views."""
         proposal = self._proposal_for(accepted.instance, accepted.number)
         if self.view is None or proposal is None:
             return
@@ -209,17 +208,17 @@
         decided = proposal.chosen_view
         if len(proposal.acceptances) < self.view.majority() or decided is None:
             return
-        concerned = (*self.view.acceptors, *self.view.chain, *decided.acceptors, *decided.chain)
+        recipients = (*self.view.acceptors, *self.view.chain, *decided.acceptors, *decided.chain)
         self.proposal = None
         message = Decided(decided).to_wire()
-        for address in sorted({member.address for member in concerned}):
+        for address in sorted({member.address for member in recipients}):
             self.environment.send(address, message)
 
     def _is_proposing(self, now: float) -> bool:
         return self.proposal is not None and now - self.proposal.started_at < PROPOSAL_TIMEOUT_S
 
     def _proposal_for(self, instance: int, number: ProposalNumber) -> Proposal | None:
-        """The proposal that an answer of an acceptor is for; None if it is over."""
+        """The proposal that an acceptor's answer belongs to; None if it has ended."""
         if self.proposal is None or not self.is_next(instance) or number != self.proposal.number:
             return None
         return self.proposal
@@ -227,7 +226,7 @@
     # Acceptor
 
     def on_prepare(self, sender: str, prepare: Prepare) -> None:
-        """Promises the number if it is above all that was promised, and tells it once that is synced."""
+        """Promises the number if it is above all promised before, and answers once the promise is synced."""
         instance, number = prepare.instance, prepare.number
         if not self.is_next(instance):
             self._on_other_instance(sender, instance)
@@ -249,11 +248,11 @@
         )
 
     def accepted_to_report(self) -> AcceptedProposal | None:
-        """What a promise says that this acceptor has accepted."""
+        """The accepted proposal that a promise of this acceptor reports."""
         return self.accepted
 
     def on_accept(self, sender: str, accept: Accept) -> None:
-        """Accepts the view unless a higher number was promised, and tells it once that is synced."""
+        """Accepts the view unless a higher number was promised, and answers once the acceptance is synced."""
         instance, number, view = accept.instance, accept.number, accept.view
         if not self.is_next(instance):
             self._on_other_instance(sender, instance)
@@ -265,13 +264,13 @@
             return
         self.promised, self.accepted = number, AcceptedProposal(number, view)
         reply = Accepted(instance, number).to_wire()
-        *before, record = _records_of_acceptance(instance, self.accepted)
-        for each in before:
-            self.environment.persist(each, _ignore)
+        *base_records, record = _records_of_acceptance(instance, self.accepted)
+        for each in base_records:
+            self.environment.persist(each, _no_action)
         self.environment.persist(record, lambda: self.environment.send(sender, reply))
 
     def _on_other_instance(self, sender: str, instance: int) -> None:
-        """One of the two registrars lacks a view: sends or requests it."""
+        """One of the two registrars lacks a view: sends it to the peer, or requests it."""
         if self.view is not None and instance <= self.view.number:
             self.environment.send(sender, Decided(self.view).to_wire())
         else:
@@ -280,15 +279,15 @@
     # Activation, at an acceptor
 
     def _stop_activating(self, view_number: int) -> None:
-        """Takes no part in activating the view from now on; that is on the disk before the promise."""
+        """Refuses to activate the view from now on; the record is synced before that of the promise."""
         if not self.abandoned:
             self.abandoned = True
-            self.environment.persist(AbandonedRecord(view_number).to_wire(), _ignore)
+            self.environment.persist(AbandonedRecord(view_number).to_wire(), _no_action)
 
     def on_activate(self, sender: str, view_number: int) -> None:
-        """Takes part in activating the present view, and tells it once that is synced; refuses if it has
+        """Records the activation of the current view and answers once that is synced; refuses if it has
         promised to abandon the view."""
-        if not self._is_present(view_number):
+        if not self._is_current(view_number):
             self._on_other_instance(sender, view_number + 1)
             return
         if not self.is_acceptor():
@@ -304,7 +303,7 @@
         self.activated = self._activating = True
 
         def on_synced() -> None:
-            if self._is_present(view_number):
+            if self._is_current(view_number):
                 self._activation_synced = True
                 self.environment.send(sender, reply)
 
@@ -313,7 +312,7 @@
     # Learner
 
     def on_decided(self, view: View) -> None:
-        """Stores the view and installs it once it is synced, if it is newer than what is known."""
+        """Stores the view and installs it once it is synced, if it is newer than the newest known one."""
         known = self.unsynced_view or self.view
         if known is not None and view.number <= known.number:
             return
@@ -326,18 +325,18 @@
                 self._set_view(view)
                 self.on_installed(view)
 
-        *before, record = _records_of_view(view)
-        for each in before:
-            self.environment.persist(each, _ignore)
+        *base_records, record = _records_of_view(view)
+        for each in base_records:
+            self.environment.persist(each, _no_action)
         self.environment.persist(record, on_synced)
 
     def on_peer_view_number(self, sender: str, number: int) -> None:
-        """Requests the view of a peer that has reported a newer one."""
+        """Requests the view of a peer that has reported a higher view number."""
         if number > (self.view.number if self.view else 0):
             self.environment.send(sender, ViewRequest().to_wire())
 
     def on_message(self, sender: str, message: Message) -> bool:
-        """Whether the message was one of this protocol, and is dealt with."""
+        """Handles a message of this protocol; returns False for any other."""
         decoded = decode_message(message)
         if decoded is None:
             return False
@@ -360,16 +359,16 @@
             case Activate(view_number):
                 self.on_activate(sender, view_number)
             case Activated() | Abandoned():
-                return False  # for the tail's `ViewActivation`
+                return False  # handled by the tail's `ViewActivation`
         return True
 
 
-def _ignore() -> None:
-    """Nothing waits for the record to be synced."""
+def _no_action() -> None:
+    """Callback for a record whose sync needs no action."""
 
 
 def _records_of_view(view: View) -> list[Record]:
-    """The records of a decided view, in their order."""
+    """The records of a decided view, in the order in which they are stored."""
     record = ViewRecord(view).to_wire()
     if view.base is None:
         return [record]
@@ -377,7 +376,7 @@
 
 
 def _records_of_acceptance(instance: int, accepted: AcceptedProposal) -> list[Record]:
-    """The records of what an acceptor has accepted, in their order."""
+    """The records of an accepted proposal, in the order in which they are stored."""
     number, view = accepted
     record = AcceptRecord(instance, number, view).to_wire()
     if view.base is None:
--- a/plumline/coordination/view_messages.py
+++ b/plumline/coordination/view_messages.py
@@ -1,8 +1,8 @@
-"""Messages and stored records of the agreement on views, and their form on the wire and on the disk.
+"""Messages and stored records of the agreement on views, and their encoding on the wire and on the disk.
 
-A proposal number is a list of two, a view is as `View.to_wire` gives it. `instance` is the number of the view
-to be decided. Whatever concerns activation has a form of its own, beside those that earlier releases know and
-that are sent or written wherever they suffice.
+A proposal number is encoded as a list of two, a view as by `View.to_wire`. `instance` is the number of the
+view to be decided. Activation has its own messages and longer forms of existing ones; the forms that earlier
+releases know are used wherever they suffice.
 """
 
 from dataclasses import dataclass
@@ -17,23 +17,23 @@
 
 
 class ProposalNumber(NamedTuple):
-    """Orders proposals for one view: by round, and within a round by proposer. No two proposals share one."""
+    """Orders proposals for one view: by round, then by proposer. Each number is used once."""
 
     round: int
-    proposer: str  # address of a registrar and a token of this life of its process
+    proposer: str  # address of a registrar and a token of its process run
 
     @classmethod
     def from_wire(cls, wire: list[Any]) -> "ProposalNumber":
-        """Raises ValueError or TypeError where the wire form is none of a proposal number."""
+        """Raises ValueError or TypeError if the wire form is not a proposal number."""
         round_number, proposer = wire
         return cls(int(round_number), str(proposer))
 
 
-NO_PROPOSAL = ProposalNumber(0, "")  # below every number that is proposed
+NO_PROPOSAL = ProposalNumber(0, "")  # below every proposed number
 
 
 class AcceptedProposal(NamedTuple):
-    """What an acceptor has accepted last."""
+    """The proposal that an acceptor accepted last."""
 
     number: ProposalNumber
     view: View
@@ -44,11 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Phase 1, proposer to acceptors: promise to take part in nothing with a lower number."""
+    """Phase 1, proposer to acceptors: promise to accept no proposal with a lower number."""
 
     instance: int
     number: ProposalNumber
-    #: The proposed view abandons its predecessor: promise also not to take part in activating that one.
+    #: Whether the proposed view abandons its predecessor: the promise then includes not to activate that one.
     abandons: bool = False
 
     def to_wire(self) -> Message:
@@ -59,12 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Phase 1, an acceptor's answer: what it has accepted before, if anything."""
+    """Phase 1, an acceptor's answer: the proposal that it accepted before, if any."""
 
     instance: int
     number: ProposalNumber
     accepted: AcceptedProposal | None
-    #: Whether the view before `instance` is activated, as far as the acceptor knows. None: not asked for.
+    #: Whether the acceptor knows the view before `instance` to be activated. None: not requested.
     activated: bool | None = None
 
     def to_wire(self) -> Message:
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decided:
-    """A view that was decided, sent to all who are in it or were in the one before, and to who asks."""
+    """A decided view, sent to the members of it and of its predecessor, and on request."""
 
     view: View
 
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewRequest:
-    """Asks for the newest view that the receiver knows."""
+    """Requests the newest view that the receiver knows."""
 
     def to_wire(self) -> Message:
         """The message as it is sent."""
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Activate:
-    """From the tail of a view to its acceptors: the chain holds all that was acknowledged before."""
+    """From the tail of a view to its acceptors: the chain holds all entries acknowledged before."""
 
     view_number: int
 
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Activated:
-    """An acceptor's answer: it has that on its disk."""
+    """An acceptor's answer: it has synced the activation to its disk."""
 
     view_number: int
 
@@ -157,7 +157,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
-    """An acceptor's answer: it has promised not to take part in activating this view."""
+    """An acceptor's answer: it has promised not to help activate this view."""
 
     view_number: int
 
@@ -172,9 +172,9 @@
 
 
 def decode_message(message: Message) -> ViewMessage | None:
-    """The message typed; None for one of another protocol.
+    """The decoded message; None for one of another protocol.
 
-    Raises ValueError or TypeError where its kind is one of these and a field is malformed.
+    Raises ValueError or TypeError if the kind is one of these and a field is malformed.
     """
     match message:
         case ["view-prepare", int(instance), number]:
@@ -212,13 +212,13 @@
     return AcceptedProposal(ProposalNumber.from_wire(wire[0]), View.from_wire(wire[1]))
 
 
-# Records. The base of a view is a record before that of the view, so that a file whose end was lost never has
-# a view without its base, and an earlier release reads the view alone.
+# Records. The base of a view is stored in a separate record before that of the view: a truncated file then
+# never has a view without its base, and an earlier release can read the view record alone.
 
 
 @dataclass(frozen=True, slots=True)
 class ViewRecord:
-    """A decided view: what was promised and accepted for it, and before it, is over."""
+    """A decided view; it supersedes the promises and acceptances recorded for it and for earlier views."""
 
     view: View
 
@@ -229,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewBaseRecord:
-    """The base of a decided view, whose own record follows."""
+    """The base of a decided view, whose record follows."""
 
     view_number: int
     base: ActivatedView
@@ -253,7 +253,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptRecord:
-    """What this acceptor has accepted; its number is promised with it."""
+    """The proposal that this acceptor has accepted; its number counts as promised, too."""
 
     instance: int
     number: ProposalNumber
@@ -266,7 +266,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptBaseRecord:
-    """The base of an accepted view, whose own record follows."""
+    """The base of an accepted view, whose record follows."""
 
     instance: int
     number: ProposalNumber
@@ -279,7 +279,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActivatedRecord:
-    """This acceptor takes part in activating the view: it never promises to abandon it without saying so."""
+    """This acceptor helps to activate the view, and reports so in any later promise to abandon it."""
 
     view_number: int
 
@@ -290,7 +290,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AbandonedRecord:
-    """This acceptor takes no part in activating the view any more."""
+    """This acceptor no longer helps to activate the view."""
 
     view_number: int
 
@@ -311,7 +311,7 @@
 
 
 def decode_record(record: Record) -> ViewAgreementRecord | None:
-    """The record typed; None for one of another protocol."""
+    """The decoded record; None for one of another protocol."""
     match record:
         case ["view", view]:
             return ViewRecord(View.from_wire(view))
--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -54,7 +54,7 @@
 class SpreadsNobody(AcceptorPlanner):
     """Acceptors stay where they are, also with most of them in one zone."""
 
-    def _spread_further(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
+    def _improve_spread(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
         return view.acceptors
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -5,7 +5,12 @@
 import pytest
 
 from plumline.coordination.core import CoreConfig
-from plumline.coordination.loss_tolerance import UNKNOWN_DOMAIN, FailureDomain, LossTolerance, spread
+from plumline.coordination.loss_tolerance import (
+    UNKNOWN_DOMAIN,
+    FailureDomain,
+    LossTolerance,
+    select_spread_domains,
+)
 from plumline.errors import ToleranceUnattainableError
 from tests.core_mutations import mutation
 from tests.core_register import ViolationError
@@ -53,8 +58,8 @@
 
 
 def test_a_spread_takes_regions_and_their_zones_in_turn() -> None:
-    assert sorted(spread(domains("xxxyyzwv"), 5)) == sorted(domains("xyzwv"))
-    assert sorted(spread(domains("xxxxy"), 3)) == sorted(domains("xxy"))
+    assert sorted(select_spread_domains(domains("xxxyyzwv"), 5)) == sorted(domains("xyzwv"))
+    assert sorted(select_spread_domains(domains("xxxxy"), 3)) == sorted(domains("xxy"))
 
 
 class ZonedWorld(World):
