--- a/tests/core_mutations.py
+++ b/tests/core_mutations.py
@@ -1,4 +1,4 @@
-"""Cores with one guard taken out: each must be found by the schedules, or by an example by hand."""
+"""Cores with one guard removed, which the random schedules or a scripted test must detect."""
 
 from collections.abc import Callable
 from operator import attrgetter
@@ -22,8 +22,8 @@
 from plumline.errors import PlumlineError
 
 
-def exchange(part: str, kind: type) -> Callable[[Core], None]:
-    """A call that makes the part of a core one of that class."""
+def replace_class(part: str, kind: type) -> Callable[[Core], None]:
+    """Returns a function that changes the class of this part of a core."""
 
     def mutate(core: Core) -> None:
         attrgetter(part)(core).__class__ = kind
@@ -32,39 +32,39 @@
 
 
 class AddsBeforeItRemoves(AcceptorPlanner):
-    """An acceptor that has stopped voting stays one beside the new member, until the view after."""
+    """Adds the new acceptor in one view, and removes the one that stopped voting only in the next."""
 
     def desired_acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
-        wanted = super().desired_acceptors(now, view, chain)
-        came = [each for each in wanted if each not in view.acceptors]
-        addresses = [address for address, _ in came]
+        desired = super().desired_acceptors(now, view, chain)
+        added = [each for each in desired if each not in view.acceptors]
+        addresses = [address for address, _ in added]
         kept = [each for each in view.acceptors if each[0] not in addresses]
-        return (*kept, *came) if came else wanted
+        return (*kept, *added) if added else desired
 
 
 class AddsAFourthAcceptor(AcceptorPlanner):
-    """Whoever joins the chain is an acceptor at once, also where there are enough and all are well."""
+    """A member that joins the chain becomes an acceptor at once, even if enough healthy ones exist."""
 
     def desired_acceptors(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
-        wanted = super().desired_acceptors(now, view, chain)
+        desired = super().desired_acceptors(now, view, chain)
         newcomer = self.next_acceptor(now, view, chain)
-        return (*view.acceptors, newcomer) if newcomer and wanted == view.acceptors else wanted
+        return (*view.acceptors, newcomer) if newcomer and desired == view.acceptors else desired
 
 
-class SpreadsNobody(AcceptorPlanner):
-    """Acceptors stay where they are, also with most of them in one zone."""
+class NeverSpreadsAcceptors(AcceptorPlanner):
+    """Acceptors are not spread, even with most of them in one zone."""
 
     def _improve_spread(self, now: float, view: View, chain: tuple[Member, ...]) -> tuple[Member, ...]:
         return view.acceptors
 
 
-class JudgesBeforeItHasHeard(MembershipReconciler):
+class IgnoresMissingQuorum(MembershipReconciler):
     def reaches_majority(self, now: float, view: View) -> bool:
         return True
 
 
-class DropsWhomItCannotReach(ChainPlanner):
-    """Once a change is due, whoever is silent here goes with it, also across the chain."""
+class RemovesAllUnreachableMembers(ChainPlanner):
+    """A view change also removes members that only this registrar cannot reach, not just its neighbours."""
 
     def reachable_chain(self, now: float, view: View) -> tuple[Member, ...]:
         if super().reachable_chain(now, view) == view.chain:
@@ -72,22 +72,22 @@
         return tuple(each for each in view.chain if self.members.health(now, each) is MemberHealth.HEALTHY)
 
 
-class CountsOnTheUnheard(MemberAssessor):
+class CountsSilentMembers(MemberAssessor):
     def answered_recently(self, now: float, member: Member) -> bool:
         return True
 
 
-class LeavesAtOnce(MembershipReconciler):
+class EndsWithoutHandover(MembershipReconciler):
     def pending_handover(self, now: float) -> PendingHandover | None:
         return None
 
 
-class LeavesBeforeOthersHold(MembershipReconciler):
+class EndsBeforeOthersCaughtUp(MembershipReconciler):
     def is_replicated_by_others(self, view: View) -> bool:
         return True
 
 
-class LeavesItsSeat(AcceptorPlanner):
+class StopsVotingAtOnce(AcceptorPlanner):
     def may_stop_voting(self, now: float, view: View) -> bool:
         return True
 
@@ -123,14 +123,14 @@
         return super().on_message(sender, message)
 
 
-class RefusesWithoutAsking(ChainReplica):
-    """A head refuses by what it holds, also where it was removed and others hold more."""
+class RefusesWithoutConfirmation(ChainReplica):
+    """A head refuses a change by its own state, even if it was removed and others have newer entries."""
 
     def _refuse(self, error: PlumlineError, callback: SubmitCallback) -> None:
         callback(error)
 
 
-# The guards of activation.
+# Guards of activation
 
 
 class CommitsBeforeActivation(ChainReplica):
@@ -141,22 +141,22 @@
 
 
 class NeverAbandons(MembershipReconciler):
-    """A view that was decided is finished, whoever is lost before its chain holds all."""
+    """A decided view is never abandoned, even if members are lost before its chain is complete."""
 
     def may_abandon(self, view: View, replica: LocalReplica) -> bool:
         return False
 
 
-class ActivatesWhatItAbandoned(ViewAgreement):
-    """An acceptor takes part in activating a view that it has promised to abandon."""
+class ActivatesAbandonedView(ViewAgreement):
+    """An acceptor helps to activate a view that it has promised to abandon."""
 
     def on_activate(self, sender: str, view_number: int) -> None:
         self.abandoned = False
         super().on_activate(sender, view_number)
 
 
-class TellsNoActivation(ViewAgreement):
-    """A promise doesn't say that the acceptor has taken part in activating the view."""
+class OmitsActivationFromPromise(ViewAgreement):
+    """A promise does not report that the acceptor has helped to activate the view."""
 
     def on_prepare(self, sender: str, prepare: Prepare) -> None:
         known, self.activated = self.activated, False
@@ -176,15 +176,15 @@
             super().restore(record)
 
 
-class KeepsWhatCameInAbandonedViews(ReplicaStorage):
-    """A source keeps entries of views that were abandoned since it left the base."""
+class KeepsEntriesOfAbandonedViews(ReplicaStorage):
+    """A source keeps entries of views that were abandoned after it left the base."""
 
     def _kept_through(self, role: ChainRole, *, is_source: bool, has_left_base: bool) -> int:
         return self.last_index if is_source else self.committed_index
 
 
 class RollsBackInTheSameView(ReplicaStorage):
-    """A member that restarts takes on its role in the view once more."""
+    """A restarted member rolls back its log again in the same view."""
 
     def begin_view(self, view: View, role: ChainRole, *, is_source: bool) -> bool:
         self._rollback = self._rollback._replace(view_number=0)
@@ -192,14 +192,14 @@
 
 
 class ServesSourcesBeforeActivation(CatchUpServer):
-    """Learners get entries, and discard what they hold besides, also from a view that may be abandoned."""
+    """Learners are served before activation, so they discard entries for a view that may be abandoned."""
 
     def begin_view(self, role: ChainRole, *, activated: bool) -> None:
         super().begin_view(role, activated=True)
 
 
 def mutation(name: str) -> dict[str, Any]:
-    """Keywords of a schedule whose cores are without that guard."""
+    """Keyword arguments for a schedule whose cores lack that guard."""
     kind = globals()[name]
     unknown = [method for method in vars(kind) if not hasattr(kind.__base__, method)]
     assert not unknown, f"{name} changes nothing: {kind.__base__} has no {unknown}"
@@ -215,4 +215,4 @@
         CatchUpServer: "chain._catch_up_server",
     }
     part = next(part for base, part in parts.items() if issubclass(kind, base))
-    return {"mutate": exchange(part, kind)}
+    return {"mutate": replace_class(part, kind)}
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -1,9 +1,9 @@
-"""Schedules whose losses are just what a deployment's tolerance allows, and that ask for service within it.
+"""Random schedules of faults within a deployment's loss tolerance, which check that the core still serves.
 
-A place of the core is lost while its machine is down, frozen, slowed or cut off and for `CATCH_UP_S` after;
-a machine that was replaced stops counting once its successor has run for so long. A disk is lost, and a
-machine goes for good, only where the lost places stay within the tolerance. Every process may be killed at
-any time, and the power lost, with disks kept.
+A place of the core counts as lost while its machine is down, frozen, slow or partitioned, and for
+`CATCH_UP_S` after that. A replaced machine counts until its successor has run for that long. Disks are lost
+and machines removed for good only while the lost places stay within the tolerance. All processes may be
+killed at any time, as by a power loss, with their disks kept.
 """
 
 from collections import Counter
@@ -20,16 +20,17 @@
 from tests.core_world import Node, World, short_logs
 
 CATCH_UP_S = 4.0  # the smallest bound of a deployment (docs/control-safety/membership.md)
-SERVICE_S = 7.0  # until the core counts as stable (ContactMs), and then for an answer (AcknowledgeMs)
-LEASE_S = 14.0  # for a lease to be held again: lease, rest, abstention of newcomers, and some rounds
-LEAVE_S = 6.0  # that a leaving process waits at the most
-SICK_AFTER_S = 0.6  # a write not synced for so long makes the machine say that its disk is sick
+SERVICE_TIMEOUT_S = 7.0  # for the core to become stable (ContactMs), and then for an answer (AcknowledgeMs)
+#: For a lease to be held again: its duration, the lock delay, the abstention of new voters, and some rounds.
+LEASE_TIMEOUT_S = 14.0
+LEAVE_TIMEOUT_S = 6.0  # maximum wait of a draining process
+DISK_UNHEALTHY_AFTER_S = 0.6  # a machine with a write unsynced for longer reports its disk as unhealthy
 LEASES = {"discovery": LeaseDurations(1.2, 0.0), "weights": LeaseDurations(1.0, 3.4)}
 FOREVER = float("inf")
 
 
-class Trouble(StrEnum):
-    """What may happen in a schedule; those with more weight stand in WEIGHTS."""
+class Fault(StrEnum):
+    """Kinds of faults and operations in a schedule; FAULT_WEIGHTS has their relative frequencies."""
 
     KILL = "kill"
     FREEZE = "freeze"
@@ -48,70 +49,70 @@
     SEEDS = "seeds"
 
 
-WEIGHTS = {
-    Trouble.KILL: 3,
-    Trouble.FREEZE: 3,
-    Trouble.CUT: 3,
-    Trouble.ONE_WAY: 2,
-    Trouble.PAIR_CUT: 2,
-    Trouble.SLOW_LINK: 2,
-    Trouble.SLOW_DISK: 2,
-    Trouble.WIPE: 4,
-    Trouble.WIPE_AND_KILL_ALL: 2,
-    Trouble.KILL_ALL: 2,
-    Trouble.RESET: 2,
-    Trouble.RESTART: 3,
-    Trouble.REPLACE: 3,
-    Trouble.REPLACE_PLANNED: 3,
-    Trouble.SEEDS: 1,
+FAULT_WEIGHTS = {
+    Fault.KILL: 3,
+    Fault.FREEZE: 3,
+    Fault.CUT: 3,
+    Fault.ONE_WAY: 2,
+    Fault.PAIR_CUT: 2,
+    Fault.SLOW_LINK: 2,
+    Fault.SLOW_DISK: 2,
+    Fault.WIPE: 4,
+    Fault.WIPE_AND_KILL_ALL: 2,
+    Fault.KILL_ALL: 2,
+    Fault.RESET: 2,
+    Fault.RESTART: 3,
+    Fault.REPLACE: 3,
+    Fault.REPLACE_PLANNED: 3,
+    Fault.SEEDS: 1,
 }
-NO_LOSS = {Trouble.RESET, Trouble.SEEDS, Trouble.KILL_ALL}
-DISK_KEPT = {
-    Trouble.KILL,
-    Trouble.FREEZE,
-    Trouble.CUT,
-    Trouble.ONE_WAY,
-    Trouble.PAIR_CUT,
-    Trouble.SLOW_LINK,
-    Trouble.SLOW_DISK,
-    Trouble.RESTART,
+FAULTS_WITHOUT_LOSS = {Fault.RESET, Fault.SEEDS, Fault.KILL_ALL}
+FAULTS_KEEPING_DISK = {
+    Fault.KILL,
+    Fault.FREEZE,
+    Fault.CUT,
+    Fault.ONE_WAY,
+    Fault.PAIR_CUT,
+    Fault.SLOW_LINK,
+    Fault.SLOW_DISK,
+    Fault.RESTART,
 }
 
 
 @dataclass(eq=False)
 class Place:
-    """A place of the core: the machine that has it now, and until when that counts as lost. One that it has
-    replaced counts beside it until the new one has had its time."""
+    """A place of the core: its current machine, and until when that counts as lost. A replaced machine counts
+    in addition until its successor has run for CATCH_UP_S."""
 
     name: str
     lost_until: float = 0.0
-    predecessor_until: float = 0.0
-    troubles: int = 0  # under way now
+    predecessor_lost_until: float = 0.0
+    fault_count: int = 0  # in progress now
     replacing: bool = False
 
     def lost(self, now: float) -> bool:
-        return self.troubles > 0 or now < self.lost_until
+        return self.fault_count > 0 or now < self.lost_until
 
     def lost_machines(self, now: float) -> int:
-        return int(self.lost(now)) + int(now < self.predecessor_until)
+        return int(self.lost(now)) + int(now < self.predecessor_lost_until)
 
 
 @dataclass
-class Surroundings:
-    """Troubles of links and disks that are on, by machine."""
+class ActiveFaults:
+    """Active faults of links and disks, by machine."""
 
-    deaf: set[str] = field(default_factory=set)  # nothing reaches it
-    mute: set[str] = field(default_factory=set)  # nothing comes from it
+    inbound_cut: set[str] = field(default_factory=set)  # messages to it are dropped
+    outbound_cut: set[str] = field(default_factory=set)  # messages from it are dropped
     slow_links: set[str] = field(default_factory=set)
     stalled_until: dict[str, float] = field(default_factory=dict)
-    reset_at: dict[str, float] = field(default_factory=dict)  # what was under way then is lost
-    arrived: dict[tuple[str, str], float] = field(default_factory=dict)  # the newest by each link
+    reset_at: dict[str, float] = field(default_factory=dict)  # messages in flight at that time are lost
+    arrived: dict[tuple[str, str], float] = field(default_factory=dict)  # newest arrival on each link
     unsynced_since: dict[str, float] = field(default_factory=dict)
 
 
 class ToleranceSchedule(World):
-    """`losses` at once. `overrun`: troubles that keep the disk come in any number; service is asked for again
-    once no place was lost for a moment, and at the end."""
+    """Tolerates `losses` at once. `exceed_tolerance`: faults that keep the disk may overlap in any number;
+    service is then checked only after a moment without lost places, and at the end."""
 
     def __init__(
         self,
@@ -119,93 +120,97 @@
         size: int = 3,
         *,
         losses: int = 1,
-        overrun: bool = False,
+        exceed_tolerance: bool = False,
         mutate: Callable[[Any], None] = lambda core: None,
         **kwargs: Any,  # noqa: ANN401
     ) -> None:
         super().__init__(
             seed, size, copies=losses + 1, quiet=True, seeds=3, start=False, mutate=mutate, **kwargs
         )
-        self.losses, self.overrun = losses, overrun
+        self.losses, self.exceed_tolerance = losses, exceed_tolerance
         self.leases = LEASES
         self.observers = [LeaseObserver(name, durations) for name, durations in LEASES.items()]
         self.places = [Place(name) for name in self.nodes]
-        self.around = Surroundings()
+        self.active_faults = ActiveFaults()
         self.syncs = self.random.choice([(0.002,), (0.002, 0.01), (0.005, 0.05)])
         self.jitter = self.random.choice([0.0, 0.004])
-        self.troubles_per_s = self.random.choice([0.3, 1.0, 3.0])
-        self.beyond = False  # more was lost than is borne, and not all were back since
-        self.killed_until = 0.0  # by then all are back whom one moment killed
-        self.held_until = 0.0  # no trouble ends before
-        self.slowest: dict[str, float] = {}  # measured: longest waits for service
+        self.faults_per_s = self.random.choice([0.3, 1.0, 3.0])
+        self.tolerance_exceeded = False  # losses went beyond the tolerance, and not all places are back
+        self.killed_until = 0.0  # all machines killed together are back by then
+        self.faults_held_until = 0.0  # no fault ends before
+        self.longest_wait_s: dict[str, float] = {}  # longest waits, in seconds, by kind
         for node in self.nodes.values():
             self.start(node)
 
-    # Account of losses
+    # Accounting of losses
 
     def lost_places(self) -> list[Place]:
         return [place for place in self.places if place.lost(self.now)]
 
-    def bears(self, *more: Place) -> bool:
-        """Whether these may be lost, too."""
+    def tolerates(self, *more: Place) -> bool:
+        """Whether these places may be lost in addition."""
         now = [place.lost_machines(self.now) for place in self.places]
         return sum(now) + sum(not each.lost(self.now) for each in set(more)) <= self.losses
 
     def lost_copies(self) -> int:
-        """Whoever is lost or leaves may have been taken out, and have dropped what its successor in the chain
-        then commits, in the view before."""
+        """A lost or draining member may already have left the chain and discarded entries that its successor
+        still commits in the previous view."""
         leaving = [node for node in self.nodes.values() if node.core and node.core.membership.draining]
         return sum(place.lost_machines(self.now) for place in self.places) + len(leaving)
 
-    def is_beyond(self) -> bool:
-        """Whether more was lost than is borne, and not all were back since."""
-        self.beyond = self.beyond and bool(self.lost_places())
-        return self.beyond
+    def is_tolerance_exceeded(self) -> bool:
+        """Whether losses went beyond the tolerance, and not all places are back."""
+        self.tolerance_exceeded = self.tolerance_exceeded and bool(self.lost_places())
+        return self.tolerance_exceeded
 
-    def begin(self, place: Place) -> None:
-        place.troubles += 1
+    def begin_fault(self, place: Place) -> None:
+        place.fault_count += 1
 
-    def end(self, place: Place) -> None:
-        place.troubles -= 1
+    def end_fault(self, place: Place) -> None:
+        place.fault_count -= 1
         place.lost_until = max(place.lost_until, self.now + CATCH_UP_S)
 
-    def later(self, delay: float, call: Callable[[], None]) -> None:
-        """The end of a trouble: not while losses are held as they are."""
+    def schedule_fault_end(self, delay: float, call: Callable[[], None]) -> None:
+        """Schedules the end of a fault, postponed while `faults_held_until` is in the future."""
 
-        def due() -> None:
-            if self.now < self.held_until:
-                self.later(self.held_until - self.now, call)
+        def end_or_postpone() -> None:
+            if self.now < self.faults_held_until:
+                self.schedule_fault_end(self.faults_held_until - self.now, call)
             else:
                 call()
 
-        self.at(delay, due)
+        self.at(delay, end_or_postpone)
 
-    # Surroundings
+    # Links and disks
 
     def is_cut(self, sender: str, to: str) -> bool:
-        return (sender, to) in self.cut or sender in self.around.mute or to in self.around.deaf
+        return (
+            (sender, to) in self.cut
+            or sender in self.active_faults.outbound_cut
+            or to in self.active_faults.inbound_cut
+        )
 
     def link_delay(self, sender: str, to: str) -> float:
-        """Links keep the order of what is sent, as connections do."""
+        """Links deliver messages in order, as connections do."""
         delay = super().link_delay(sender, to)
-        if {sender, to} & self.around.slow_links:
+        if {sender, to} & self.active_faults.slow_links:
             delay += self.random.uniform(0.2, 1.0)
-        arrives = max(self.now + delay, self.around.arrived.get((sender, to), 0.0) + 1e-6)
-        self.around.arrived[sender, to] = arrives
+        arrives = max(self.now + delay, self.active_faults.arrived.get((sender, to), 0.0) + 1e-6)
+        self.active_faults.arrived[sender, to] = arrives
         return arrives - self.now
 
     def sync_delay(self, node: Node) -> float:
         if len(node.unsynced) == 1:
-            self.around.unsynced_since[node.name] = self.now
-        stall = self.around.stalled_until.get(node.name, 0.0) - self.now
+            self.active_faults.unsynced_since[node.name] = self.now
+        stall = self.active_faults.stalled_until.get(node.name, 0.0) - self.now
         return max(0.0, stall) + super().sync_delay(node)
 
     def before_tick(self, node: Node) -> None:
-        waited = self.now - self.around.unsynced_since.get(node.name, self.now)
-        node.core.disk_unhealthy = bool(node.unsynced) and waited > SICK_AFTER_S
+        waited = self.now - self.active_faults.unsynced_since.get(node.name, self.now)
+        node.core.disk_unhealthy = bool(node.unsynced) and waited > DISK_UNHEALTHY_AFTER_S
 
     def arrive(self, sent: float, sender: str, to: str, message: Message) -> None:
-        resets = self.around.reset_at
+        resets = self.active_faults.reset_at
         if sent >= max(resets.get(sender, 0.0), resets.get(to, 0.0)):
             self.deliver(sender, to, message)
 
@@ -228,122 +233,130 @@
                     found.append((Holder(node.name, node.life), token))
         return found
 
-    # Troubles
+    # Faults
 
-    def trouble(self) -> None:
+    def inject_random_fault(self) -> None:
         if not self.troubles_on:
             return
-        self.at(self.random.expovariate(self.troubles_per_s), self.trouble)
-        [kind] = self.random.choices(list(WEIGHTS), WEIGHTS.values())
-        place = self.victim()
-        borne = kind in NO_LOSS or (self.bears(place) and not (kind not in DISK_KEPT and self.is_beyond()))
-        if (borne or (self.overrun and kind in DISK_KEPT)) and self.strike(kind, place):
-            self.beyond |= not borne
+        self.at(self.random.expovariate(self.faults_per_s), self.inject_random_fault)
+        [kind] = self.random.choices(list(FAULT_WEIGHTS), FAULT_WEIGHTS.values())
+        place = self.choose_place()
+        tolerated = kind in FAULTS_WITHOUT_LOSS or (
+            self.tolerates(place) and not (kind not in FAULTS_KEEPING_DISK and self.is_tolerance_exceeded())
+        )
+        if (tolerated or (self.exceed_tolerance and kind in FAULTS_KEEPING_DISK)) and self.inject(
+            kind, place
+        ):
+            self.tolerance_exceeded |= not tolerated
             self.counts[kind] += 1
 
-    def victim(self) -> Place:
-        """Often a member of the chain or a holder of a lease, head and tail as likely as all others."""
+    def choose_place(self) -> Place:
+        """A random place; more often that of the chain's head or tail, or of a lease holder."""
         place = self.random.choice(self.places)
         if self.newest and self.random.random() < 0.3:
-            wanted = self.random.choice([self.newest.chain[0][0], self.newest.chain[-1][0]])
-            return next((each for each in self.places if each.name == wanted), place)
-        held = [each.tenure.holder.name for each in self.observers if each.tenure]
-        if held and self.random.random() < 0.3:
-            wanted = self.random.choice(held)
-            return next((each for each in self.places if each.name == wanted), place)
+            name = self.random.choice([self.newest.chain[0][0], self.newest.chain[-1][0]])
+            return next((each for each in self.places if each.name == name), place)
+        lease_holders = [each.tenure.holder.name for each in self.observers if each.tenure]
+        if lease_holders and self.random.random() < 0.3:
+            name = self.random.choice(lease_holders)
+            return next((each for each in self.places if each.name == name), place)
         return place
 
-    def strike(self, kind: Trouble, place: Place) -> bool:
-        """False if it can't be now."""
+    def inject(self, kind: Fault, place: Place) -> bool:
+        """Injects the fault; returns False if that is not possible now."""
         node = self.nodes[place.name]
         match kind:
-            case Trouble.KILL:
+            case Fault.KILL:
                 self.kill(place, self.random.choice([0.01, 0.5, 2.0, 6.0]))
-            case Trouble.WIPE:
+            case Fault.WIPE:
                 self.wipe(node)
                 self.kill(place, self.random.choice([0.01, 0.5, 2.0, 6.0]))
-            case Trouble.KILL_ALL:
+            case Fault.KILL_ALL:
                 self.kill_all(self.random.choice([0.2, 1.0, 3.0]))
-            case Trouble.WIPE_AND_KILL_ALL:
-                self.wipe_some(place)
+            case Fault.WIPE_AND_KILL_ALL:
+                self.wipe_up_to_tolerance(place)
                 self.kill_all(1.0)
-            case Trouble.FREEZE if node.core:
+            case Fault.FREEZE if node.core:
                 seconds = self.random.choice([0.3, 1.0, 2.0, 5.0])
                 self.freeze(node, seconds)
-                self.lasts(place, seconds, lambda: None)
-            case Trouble.CUT | Trouble.ONE_WAY:
+                self.add_timed_fault(place, seconds, lambda: None)
+            case Fault.CUT | Fault.ONE_WAY:
                 self.cut_off(place, kind)
-            case Trouble.PAIR_CUT:
+            case Fault.PAIR_CUT:
                 self.cut_pair(place)
-            case Trouble.SLOW_LINK:
-                self.around.slow_links.add(node.name)
-                self.lasts(place, self.seconds(), lambda: self.around.slow_links.discard(node.name))
-            case Trouble.SLOW_DISK:
+            case Fault.SLOW_LINK:
+                self.active_faults.slow_links.add(node.name)
+                self.add_timed_fault(
+                    place, self.random_duration_s(), lambda: self.active_faults.slow_links.discard(node.name)
+                )
+            case Fault.SLOW_DISK:
                 seconds = self.random.choice([0.3, 1.0, 3.0])
-                self.around.stalled_until[node.name] = self.now + seconds
-                self.lasts(place, seconds, lambda: None)
-            case Trouble.RESET:
-                self.around.reset_at[node.name] = self.now
-            case Trouble.RESTART if node.core and not place.replacing:
+                self.active_faults.stalled_until[node.name] = self.now + seconds
+                self.add_timed_fault(place, seconds, lambda: None)
+            case Fault.RESET:
+                self.active_faults.reset_at[node.name] = self.now
+            case Fault.RESTART if node.core and not place.replacing:
                 self.restart(place)
-            case Trouble.REPLACE if not place.replacing:
+            case Fault.REPLACE if not place.replacing:
                 self.replace(place)
-            case Trouble.REPLACE_PLANNED if node.core and not place.replacing:
-                self.replace_by_plan(place)
-            case Trouble.SEEDS:
-                self.name_seeds()
+            case Fault.REPLACE_PLANNED if node.core and not place.replacing:
+                self.replace_planned(place)
+            case Fault.SEEDS:
+                self.change_seeds()
             case _:
                 return False
         return True
 
-    def seconds(self) -> float:
+    def random_duration_s(self) -> float:
         return self.random.choice([0.3, 1.0, 3.0, 8.0])
 
-    def lasts(self, place: Place, seconds: float, stop: Callable[[], None]) -> None:
-        self.begin(place)
+    def add_timed_fault(self, place: Place, seconds: float, stop: Callable[[], None]) -> None:
+        self.begin_fault(place)
 
-        def over() -> None:
+        def on_end() -> None:
             stop()
-            self.end(place)
+            self.end_fault(place)
 
-        self.later(seconds, over)
+        self.schedule_fault_end(seconds, on_end)
 
     def kill(self, place: Place, down_s: float) -> None:
         node = self.nodes[place.name]
         self.crash(node)
-        self.lasts(place, down_s, lambda: self.start(node))
+        self.add_timed_fault(place, down_s, lambda: self.start(node))
 
     def kill_all(self, within: float) -> None:
-        """Of every process, or of power: what was not synced may be lost either way. All come back soon,
-        but for those that are down anyway."""
+        """Kills all processes, as a power loss does: unsynced records may be lost. All restart soon, except
+        those that were down before."""
         for place in self.places:
             node = self.nodes[place.name]
             if node.core is None:
                 continue
             self.crash(node)
-            self.begin(place)
-            self.at(self.random.random() * within, lambda place=place, node=node: self.back(place, node))
-        self.held_until = max(self.held_until, self.now + within)
+            self.begin_fault(place)
+            self.at(
+                self.random.random() * within, lambda place=place, node=node: self.bring_back(place, node)
+            )
+        self.faults_held_until = max(self.faults_held_until, self.now + within)
         self.killed_until = self.now + within
         for place in self.places:
-            if place.predecessor_until > self.now:
-                place.predecessor_until = self.killed_until + CATCH_UP_S
+            if place.predecessor_lost_until > self.now:
+                place.predecessor_lost_until = self.killed_until + CATCH_UP_S
 
-    def back(self, place: Place, node: Node) -> None:
+    def bring_back(self, place: Place, node: Node) -> None:
         self.start(node)
-        self.end(place)
+        self.end_fault(place)
 
-    def wipe_some(self, place: Place) -> None:
-        """As many as may be lost, that one among them."""
+    def wipe_up_to_tolerance(self, place: Place) -> None:
+        """Wipes as many machines as the tolerance allows, including this one."""
         others = [each for each in self.places if each is not place]
         for each in [place, *self.random.sample(others, len(others))]:
-            if self.bears(each):
+            if self.tolerates(each):
                 self.wipe(self.nodes[each.name])
                 self.kill(each, self.random.choice([0.01, 0.5, 2.0]))
 
-    def cut_off(self, place: Place, kind: Trouble) -> None:
-        sets = [self.around.deaf, self.around.mute]
-        if kind is Trouble.ONE_WAY:
+    def cut_off(self, place: Place, kind: Fault) -> None:
+        sets = [self.active_faults.inbound_cut, self.active_faults.outbound_cut]
+        if kind is Fault.ONE_WAY:
             sets = [self.random.choice(sets)]
         name = place.name
         for each in sets:
@@ -353,72 +366,73 @@
             for each in sets:
                 each.discard(name)
 
-        self.lasts(place, self.seconds(), heal)
+        self.add_timed_fault(place, self.random_duration_s(), heal)
 
     def cut_pair(self, place: Place) -> None:
-        """The place counts as lost, though others reach its machine."""
+        """Cuts a pair of links. The place counts as lost, though others reach its machine."""
         other = self.random.choice([each for each in self.places if each is not place])
         links = {(place.name, other.name), (other.name, place.name)}
         self.cut |= links
-        self.lasts(place, self.seconds(), lambda: self.cut.difference_update(links))
+        self.add_timed_fault(place, self.random_duration_s(), lambda: self.cut.difference_update(links))
 
-    # Plans and replacements
+    # Planned restarts and replacements
 
     def restart(self, place: Place) -> None:
-        """SIGTERM, and a start some time after its end."""
+        """SIGTERM, and a start some time after the process has exited."""
         node = self.nodes[place.name]
-        self.begin(place)
+        self.begin_fault(place)
         down_s = self.random.choice([0.1, 1.0, 3.0])
-        self.leave(node, lambda: self.later(down_s, lambda: self.back(place, node)))
+        self.leave(node, lambda: self.schedule_fault_end(down_s, lambda: self.bring_back(place, node)))
 
-    def leave(self, node: Node, ended: Callable[[], None]) -> None:
-        """The process hands over and ends, or ends without after a while."""
-        life, deadline = node.life, self.now + LEAVE_S
+    def leave(self, node: Node, on_ended: Callable[[], None]) -> None:
+        """The process exits after its handover, or after LEAVE_TIMEOUT_S without it."""
+        life, deadline = node.life, self.now + LEAVE_TIMEOUT_S
         if node.core is None:
-            ended()
+            on_ended()
             return
         node.core.begin_draining(self.now + node.offset)
 
-        def look() -> None:
+        def check_handover() -> None:
             if node.life != life or node.core is None:  # killed meanwhile
-                ended()
+                on_ended()
                 return
             thawed = self.now >= node.thaws_at
             done = thawed and node.core.pending_handover(self.now + node.offset) is None
             if done or self.now >= deadline:
                 self.counts["handed over" if done else "left without handing over"] += 1
                 self.crash(node, keep=len(node.unsynced))
-                ended()
+                on_ended()
                 return
-            self.at(0.05, look)
+            self.at(0.05, check_handover)
 
-        self.at(0.05, look)
+        self.at(0.05, check_handover)
 
     def successor(self, place: Place) -> Node:
-        """A new empty machine at a new address; it is told some seeds."""
+        """A new machine with an empty disk, a new address and some seeds."""
         name = f"{place.name[0]}{len(self.nodes)}"
         node = self.nodes[name] = Node(name)
-        self.name_seeds()
+        self.change_seeds()
         return node
 
     def replace(self, place: Place) -> None:
-        """The machine is gone for good; an empty one comes later."""
+        """Removes the machine for good; a machine with an empty disk replaces it later."""
         old = self.nodes[place.name]
         place.replacing = True
         self.crash(old)
         old.gone = True
-        self.begin(place)
+        self.begin_fault(place)
 
-        def come() -> None:
+        def start_successor() -> None:
             node = self.successor(place)
             place.name, place.replacing = node.name, False
             self.start(node)
-            self.end(place)
+            self.end_fault(place)
 
-        self.later(self.random.choice([0.5, 1.0, 4.0, 8.0]), come)
+        self.schedule_fault_end(self.random.choice([0.5, 1.0, 4.0, 8.0]), start_successor)
 
-    def replace_by_plan(self, place: Place) -> None:
-        """The new machine first, then SIGTERM; the old one counts until the new one has had its time."""
+    def replace_planned(self, place: Place) -> None:
+        """Starts the new machine, then sends SIGTERM to the old one, which counts until the new one has had
+        time to catch up."""
         old = self.nodes[place.name]
         place.replacing = True
         node = self.successor(place)
@@ -426,32 +440,32 @@
         started = self.now
 
         def end_old() -> None:
-            if self.is_beyond():
+            if self.is_tolerance_exceeded():
                 self.at(1.0, end_old)
                 return
-            ready = max(started, self.killed_until) + CATCH_UP_S
-            if self.now < ready and not self.bears(place):
-                self.at(ready - self.now, end_old)
+            ready_at = max(started, self.killed_until) + CATCH_UP_S
+            if self.now < ready_at and not self.tolerates(place):
+                self.at(ready_at - self.now, end_old)
                 return
             place.name = node.name
-            place.predecessor_until = max(ready, place.lost_until)
-            self.leave(old, gone)
+            place.predecessor_lost_until = max(ready_at, place.lost_until)
+            self.leave(old, retire)
 
-        def gone() -> None:
-            self.crash(old)  # it may have been starting, with no process that could leave
+        def retire() -> None:
+            self.crash(old)  # it may have been starting, with no process to drain
             old.gone = True
             place.replacing = False
 
         self.at(self.random.choice([1.0, CATCH_UP_S]), end_old)
 
-    def name_seeds(self) -> None:
-        """Other seeds, one of them at least in touch, or else to come back; some processes read the settings
-        again. A new machine that is told only of machines that are gone for good can find nobody."""
-        well = [each.name for each in self.places if not each.lost(self.now)]
-        well = well or [each.name for each in self.places if not self.nodes[each.name].gone]
-        if not well:
+    def change_seeds(self) -> None:
+        """Changes the seeds, and reloads the settings of some processes. At least one seed is available, or
+        will be: a new machine whose seeds were all removed for good could find no other."""
+        available = [each.name for each in self.places if not each.lost(self.now)]
+        available = available or [each.name for each in self.places if not self.nodes[each.name].gone]
+        if not available:
             return
-        first = self.random.choice(well)
+        first = self.random.choice(available)
         others = [each.name for each in self.places if each.name != first]
         self.seeds = [first, *self.random.sample(others, min(2, len(others)))]
         for node in self.nodes.values():
@@ -460,13 +474,13 @@
 
     # Service
 
-    def ask(self, timeout: float) -> Register:
-        """A change that is acknowledged and, after it, a read; ViolationError if it takes too long."""
+    def check_service(self, timeout: float) -> Register:
+        """Submits a change until it is acknowledged, then reads; ViolationError if that takes too long."""
         done: list[bool] = []
         answers: list[Register] = []
         asked_at = self.now
 
-        def answered(error: PlumlineError | None) -> None:
+        def on_answer(error: PlumlineError | None) -> None:
             if error is None:
                 done.append(True)
 
@@ -482,94 +496,94 @@
                 ):
                     continue
                 if not done and node.core.chain.is_head():
-                    self.submit(node, self.change(len(node.core.chain.latest_state.ids)), answered)
+                    self.submit(node, self.change(len(node.core.chain.latest_state.ids)), on_answer)
                 if done and node.core.chain.is_tail():
                     self.read(node, lambda state: answers.append(state) if state is not None else None)
 
         try_again()
         if not self.go(timeout, lambda: bool(answers)):
-            said = "read is answered" if done else "change is acknowledged"
-            raise ViolationError(f"no {said} in {timeout} s: {self.state()}")
-        self.note_wait("service", self.now - asked_at)
+            outcome = "read is answered" if done else "change is acknowledged"
+            raise ViolationError(f"no {outcome} within {timeout} s: {self.describe_state()}")
+        self.record_wait("service", self.now - asked_at)
         return answers[0]
 
-    def note_wait(self, what: str, seconds: float) -> None:
-        self.slowest[what] = max(self.slowest.get(what, 0.0), seconds)
+    def record_wait(self, what: str, seconds: float) -> None:
+        self.longest_wait_s[what] = max(self.longest_wait_s.get(what, 0.0), seconds)
 
-    def state(self) -> str:
-        told = [f"{self.newest}", f"lost: {[each.name for each in self.lost_places()]}"]
+    def describe_state(self) -> str:
+        parts = [f"{self.newest}", f"lost: {[each.name for each in self.lost_places()]}"]
         for node in self.nodes.values():
             if core := node.core:
                 view = core.view_agreement.view
-                told.append(f"{node.me[1]} view {view and view.number} caught up {core.chain.caught_up}")
-        return "; ".join(told)
+                parts.append(f"{node.me[1]} view {view and view.number} caught up {core.chain.caught_up}")
+        return "; ".join(parts)
 
     def await_leases(self, timeout: float) -> None:
         asked_at = self.now
         if not self.go(timeout, lambda: all(self.holders(name) for name in self.leases)):
             missing = [name for name in self.leases if not self.holders(name)]
-            raise ViolationError(f"nobody holds {missing} after {timeout} s: {self.state()}")
-        self.note_wait("leases", self.now - asked_at)
+            raise ViolationError(f"no registrar holds {missing} after {timeout} s: {self.describe_state()}")
+        self.record_wait("leases", self.now - asked_at)
 
     # A schedule
 
-    def run(self, seconds: float = 8.0, stretches: int = 2) -> None:
-        """Troubles for up to so long, then a stretch without new ones, some times; ViolationError names the
-        seed."""
+    def run(self, seconds: float = 8.0, rounds: int = 2) -> None:
+        """Runs rounds of faults for up to `seconds`, each followed by a check of service without new faults.
+        A ViolationError names the seed."""
         try:
             self.form()
-            for _ in range(stretches):
+            for _ in range(rounds):
                 self.troubles_on = True
-                self.at(self.random.random(), self.trouble)
-                self.at(self.random.random(), self.operate)
+                self.at(self.random.random(), self.inject_random_fault)
+                self.at(self.random.random(), self.send_random_request)
                 self.go(self.random.uniform(1.0, seconds))
                 self.troubles_on = False
-                self.stretch()
+                self.check_quiet_period()
             self.finish()
         except (ViolationError, AssertionError, IndexError, KeyError, TypeError, ValueError) as error:
-            told = f"seed {self.seed}, {len(self.places)} machines, {self.losses} lost at once"
-            raise ViolationError(f"{told}, at {self.now:.3f} s: {error!r}") from error
+            description = f"seed {self.seed}, {len(self.places)} machines, {self.losses} lost at once"
+            raise ViolationError(f"{description}, at {self.now:.3f} s: {error!r}") from error
 
     def form(self) -> None:
         self.settle("".join(self.nodes), within=10.0)
         self.first_start = False
         self.go(CATCH_UP_S)
-        self.await_leases(LEASE_S)
+        self.await_leases(LEASE_TIMEOUT_S)
 
-    def stretch(self) -> None:
-        """No new trouble; those that are on stay so, or end. What can be served is."""
+    def check_quiet_period(self) -> None:
+        """Checks service without new faults; active ones go on or end. Skipped if tolerance is exceeded."""
         if self.random.random() < 0.7:
-            self.held_until = max(self.held_until, self.now + SERVICE_S + 1.0)
-        if not self.is_beyond():
+            self.faults_held_until = max(self.faults_held_until, self.now + SERVICE_TIMEOUT_S + 1.0)
+        if not self.is_tolerance_exceeded():
             self.counts["stretches"] += 1
-            self.ask(SERVICE_S)
-        self.held_until = 0.0
+            self.check_service(SERVICE_TIMEOUT_S)
+        self.faults_held_until = 0.0
 
     def finish(self) -> None:
-        """Every trouble ends, and the core is whole again: all places are, no other machine, each lease is
-        held, and nothing that was acknowledged is lost."""
-        if not self.go(30.0, lambda: not any(place.troubles or place.replacing for place in self.places)):
-            raise ViolationError("a trouble doesn't end")
-        held = self.ask(SERVICE_S)
-        missing = [name for name in self.acknowledged if name not in held.ids]
+        """Waits until all faults end, then checks that the core has recovered: the chain has exactly the
+        places' machines, each lease is held, and no acknowledged change is lost."""
+        if not self.go(30.0, lambda: not any(place.fault_count or place.replacing for place in self.places)):
+            raise ViolationError("a fault does not end")
+        final_state = self.check_service(SERVICE_TIMEOUT_S)
+        missing = [name for name in self.acknowledged if name not in final_state.ids]
         if missing:
             raise ViolationError(f"{missing} were acknowledged and are lost")
-        self.await_leases(LEASE_S)
-        if not self.go(CATCH_UP_S, self.is_whole):
-            raise ViolationError(f"not whole again: {self.state()}")
+        self.await_leases(LEASE_TIMEOUT_S)
+        if not self.go(CATCH_UP_S, self.is_restored):
+            raise ViolationError(f"the core has not recovered: {self.describe_state()}")
 
-    def is_whole(self) -> bool:
-        """Whether each place is in the chain, and as many as needed vote."""
+    def is_restored(self) -> bool:
+        """Whether the chain has exactly the places' machines, and as many acceptors vote as needed."""
         view, names = self.newest, {place.name for place in self.places}
         chain, acceptors = ({each for each, _ in members} for members in (view.chain, view.acceptors))
         voting = min(len(names), 2 * self.losses + 1)
         return chain == names and acceptors <= names and len(view.acceptors) == voting
 
-    def operate(self) -> None:
-        """Somebody asks some registrar for something."""
+    def send_random_request(self) -> None:
+        """Sends a random change or read to the head or tail that a random registrar knows."""
         if not self.troubles_on:
             return
-        self.at(self.random.expovariate(6.0), self.operate)
+        self.at(self.random.expovariate(6.0), self.send_random_request)
         asked = self.random.choice(list(self.nodes.values()))
         if asked.core is None or self.now < asked.thaws_at:
             return
@@ -589,7 +603,7 @@
     seconds: float = 8.0,
     **kwargs: Any,  # noqa: ANN401
 ) -> Counter[str]:
-    """Runs a schedule for each number, its seed, and counts what happened in them."""
+    """Runs a schedule with each number as its seed, and counts the events in them."""
     counts: Counter[str] = Counter()
     with short_logs():
         for seed in numbers:
--- a/tests/test_bootstrap.py
+++ b/tests/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""The first view is created once, whatever the order of starts, losses and repeats."""
+"""View 1 is created once, whatever the order of starts, losses and repeated messages."""
 
 from itertools import permutations
 
@@ -31,7 +31,7 @@
     assert not world.nodes[killed].disk
     world.crash(world.nodes[killed], keep=0)
     world.go(0.3)
-    assert not world.views  # not all seeds are there
+    assert not world.views  # one seed is missing
     world.start(world.nodes[killed])
     world.settle()
     assert (killed, f"{killed}-2") in world.views[1].acceptors
@@ -45,7 +45,7 @@
     assert not world.views
 
 
-def test_what_an_earlier_life_of_the_founder_sent_has_no_effect_after_a_new_query() -> None:
+def test_messages_of_an_earlier_run_of_the_founder_have_no_effect_after_a_new_query() -> None:
     world = World(4, quiet=True, start=False)
     b = world.nodes["b"]
     world.start(b)
@@ -63,8 +63,8 @@
     assert world.views == {1: fresh}
 
 
-def test_an_old_query_that_comes_again_late_has_no_effect() -> None:
-    """The founder goes by the answer to its second query; b must not fall back to the first."""
+def test_a_delayed_duplicate_of_an_old_query_has_no_effect() -> None:
+    """The founder uses the answer to its second query; b must not return to the first."""
     world = World(4, quiet=True, start=False)
     b = world.nodes["b"]
     world.start(b)
--- a/tests/test_core_tolerance.py
+++ b/tests/test_core_tolerance.py
@@ -1,6 +1,6 @@
-"""Schedules within a deployment's tolerance, and for guards that are taken out a schedule that shows it.
+"""Random schedules within a deployment's loss tolerance, also with a guard removed, which they must detect.
 
-PLUMLINE_SCHEDULES multiplies the counts, which are printed.
+PLUMLINE_SCHEDULES multiplies the numbers of schedules; the event counts are printed.
 """
 
 import os
@@ -11,21 +11,21 @@
 from tests.core_register import ViolationError
 from tests.core_tolerance import explore_tolerance
 
-TIMES = float(os.environ.get("PLUMLINE_SCHEDULES", "1"))
+SCHEDULE_FACTOR = float(os.environ.get("PLUMLINE_SCHEDULES", "1"))
 
 
 @pytest.mark.parametrize(
-    ("size", "losses", "schedules", "overrun"),
+    ("size", "losses", "schedules", "exceed_tolerance"),
     [(3, 1, 100, False), (5, 2, 30, False), (4, 1, 15, False), (3, 1, 40, True), (5, 2, 10, True)],
 )
-def test_what_is_lost_within_the_tolerance_stops_nothing(
-    size: int, losses: int, schedules: int, overrun: bool
+def test_the_core_serves_within_its_loss_tolerance(
+    size: int, losses: int, schedules: int, exceed_tolerance: bool
 ) -> None:
-    count = max(1, int(schedules * TIMES))
-    counts = explore_tolerance(range(count), size, losses=losses, overrun=overrun)
-    print(size, losses, overrun, dict(counts))
+    count = max(1, int(schedules * SCHEDULE_FACTOR))
+    counts = explore_tolerance(range(count), size, losses=losses, exceed_tolerance=exceed_tolerance)
+    print(size, losses, exceed_tolerance, dict(counts))
     assert counts["schedules"] == count
-    assert counts["acknowledged"] > 5 * count  # else it explored nothing
+    assert counts["acknowledged"] > 5 * count  # otherwise the schedules exercise too little
     assert counts["reads"] > 2 * count
     assert counts["views"] > 2 * count
     assert counts["turns"] > count / 2
@@ -35,11 +35,11 @@
     ("guard", "size", "losses", "first"),
     [
         ("AddsBeforeItRemoves", 3, 1, 37),
-        ("LeavesAtOnce", 3, 1, 405),
+        ("EndsWithoutHandover", 3, 1, 405),
     ],
 )
-def test_schedules_find_what_a_guard_is_for(guard: str, size: int, losses: int, first: int) -> None:
-    """`first`: the seed to begin with, as it would take long from 0."""
+def test_schedules_detect_a_removed_guard(guard: str, size: int, losses: int, first: int) -> None:
+    """`first`: the first seed; starting from 0 would take long."""
     with pytest.raises(ViolationError) as caught:
         explore_tolerance(range(first, first + 100), size, losses=losses, **mutation(guard))
     print(caught.value)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership reconciliation: whole cores whose view must follow the machines that are healthy."""
+"""Membership reconciliation: complete cores whose view must follow the healthy machines."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 from tests.core_world import World
 
 
-def formed(seed: int = 1, size: int = 3, **kwargs: int) -> World:
+def settled_world(seed: int = 1, size: int = 3, **kwargs: int) -> World:
     world = World(seed, size, quiet=True, **kwargs)
     world.settle()
     return world
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("name", "abc")
 def test_a_restart_shorter_than_the_suspicion_timeout_changes_no_view(name: str) -> None:
-    world = formed()
+    world = settled_world()
     world.put(0)
     world.crash(world.nodes[name])
     world.go(SUSPECT_TIMEOUT_S / 4)
@@ -29,7 +29,7 @@
 
 
 def test_a_restart_of_all_at_once_changes_no_view() -> None:
-    world = formed()
+    world = settled_world()
     world.put(0)
     for node in world.nodes.values():
         world.crash(node)
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("name", "abc")
 def test_a_silent_member_is_removed_and_rejoins_as_the_tail(name: str) -> None:
-    world = formed()
+    world = settled_world()
     world.put(0)
     world.crash(world.nodes[name])
     rest = "".join(sorted(set("abc") - {name}))
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("pair", [("a", "b"), ("b", "a"), ("b", "c"), ("c", "b")])
 def test_a_one_way_partition_between_neighbours_is_repaired(pair: tuple[str, str]) -> None:
-    world = formed()
+    world = settled_world()
     world.cut.add(pair)
     world.go(8.0)
     world.put(0)
@@ -64,7 +64,7 @@
 
 
 def test_a_partition_between_members_that_are_no_neighbours_changes_no_view() -> None:
-    world = formed()
+    world = settled_world()
     world.cut |= {("a", "c"), ("c", "a")}
     world.go(8.0)
     assert list(world.views) == [1]
@@ -72,7 +72,7 @@
 
 
 def test_a_member_with_an_unhealthy_disk_is_removed_and_rejoins() -> None:
-    world = formed()
+    world = settled_world()
     world.nodes["b"].core.disk_unhealthy = True
     assert world.go(3.0, lambda: world.chain() == "ac")
     world.put(0)
@@ -83,7 +83,7 @@
 
 @pytest.mark.parametrize("name", "abc")
 def test_a_draining_member_is_removed(name: str) -> None:
-    world = formed()
+    world = settled_world()
     world.nodes[name].core.membership.draining = True
     world.settle("".join(sorted(set("abc") - {name})), within=3.0)
     world.put(0)
@@ -111,8 +111,8 @@
 
 
 def test_a_machine_absent_for_long_is_still_an_acceptor_when_the_next_one_is_lost() -> None:
-    """Two acceptors would tolerate no loss: the third stays one, however long it is absent."""
-    world = formed()
+    """Two acceptors would tolerate no loss, so the third stays an acceptor however long it is absent."""
+    world = settled_world()
     world.put(0)
     world.crash(world.nodes["c"])
     world.go(3 * FORGET_TIMEOUT_S)
@@ -125,12 +125,12 @@
 
 
 def test_a_learner_that_has_not_caught_up_never_becomes_the_head() -> None:
-    world = formed()
+    world = settled_world()
     world.put(0)
     world.crash(world.nodes["c"])
     world.go(2.0)
     world.put(1)
-    world.split("b", "c")  # admitted, but cut off from its predecessor before it holds all
+    world.split("b", "c")  # admitted, but cut off from its predecessor before it has caught up
     world.start(world.nodes["c"])
     for _ in range(200):
         world.go(0.05)
@@ -152,8 +152,8 @@
 
 
 def test_the_chain_is_not_made_too_short_to_commit() -> None:
-    """A chain of fewer replicas can commit nothing, and is lost with its only member."""
-    world = formed()
+    """A chain with too few replicas can commit nothing, and its entries are lost with its only member."""
+    world = settled_world()
     world.put(0)
     world.crash(world.nodes["c"])
     assert world.go(3.0, lambda: world.chain() == "ab")
@@ -163,8 +163,8 @@
     assert all(len(view.chain) >= world.copies for view in world.views.values())
 
 
-def with_a_spare(**kwargs: Any) -> World:  # noqa: ANN401
-    """Three formed machines, and a fourth that has not started."""
+def world_with_spare(**kwargs: Any) -> World:  # noqa: ANN401
+    """Three machines that have formed a core, and a fourth that has not started."""
     world = World(1, 4, quiet=True, start=False, seeds=3, **kwargs)
     for name in "abc":
         world.start(world.nodes[name])
@@ -182,11 +182,11 @@
     return "".join(sorted(address for address, _ in members))
 
 
-@pytest.mark.parametrize("gone", "abc")
-def test_a_new_member_replaces_the_acceptor_that_is_lost(gone: str) -> None:
-    world = with_a_spare()
-    world.crash(world.nodes[gone])
-    rest = "".join(sorted(set("abc") - {gone}))
+@pytest.mark.parametrize("lost", "abc")
+def test_a_new_member_replaces_the_acceptor_that_is_lost(lost: str) -> None:
+    world = world_with_spare()
+    world.crash(world.nodes[lost])
+    rest = "".join(sorted(set("abc") - {lost}))
     world.settle(rest)
     world.start(world.nodes["d"])
     world.settle(rest + "d")
@@ -196,8 +196,8 @@
 
 @pytest.mark.parametrize("second", "abd")
 def test_a_loss_right_after_a_replacement_is_tolerated(second: str) -> None:
-    """Also in the moment in which the new member is admitted."""
-    world = with_a_spare()
+    """The second loss comes at the moment at which the new member is admitted."""
+    world = world_with_spare()
     world.crash(world.nodes["c"])
     world.settle("ab")
     world.start(world.nodes["d"])
@@ -207,8 +207,8 @@
     world.put(1)
 
 
-def test_a_thawed_registrar_removes_nobody_before_echoes_have_come() -> None:
-    world = formed()
+def test_a_thawed_registrar_removes_no_member_before_it_gets_echoes() -> None:
+    world = settled_world()
     world.put(0)
     for node in world.nodes.values():
         world.freeze(node, 3.0)
@@ -217,8 +217,8 @@
 
 
 def test_a_chain_is_not_shortened_to_a_member_that_has_not_answered() -> None:
-    """a is lost and nobody has noticed yet: without b, c would be the only replica of two."""
-    world = formed()
+    """a is down but not suspected yet: without b, c would be the only one of two required replicas."""
+    world = settled_world()
     world.put(0)
     for node in world.nodes.values():
         world.crash(node)
@@ -235,7 +235,7 @@
 
 @pytest.mark.parametrize("name", "abc")
 def test_a_draining_member_of_three_hands_over_soon_and_stays_an_acceptor(name: str) -> None:
-    world = formed()
+    world = settled_world()
     world.put(0)
     core = world.nodes[name].core
     core.begin_draining(local_time(world, name))
@@ -246,8 +246,8 @@
 
 
 def test_a_draining_member_with_a_successor_is_no_acceptor_when_it_ends() -> None:
-    """Four acceptors, one of them just ended, would not tolerate the loss of another."""
-    world = with_a_spare()
+    """Four acceptors, one of which has just exited, would not tolerate the loss of another."""
+    world = world_with_spare()
     world.start(world.nodes["d"])
     world.settle("abcd")
     core = world.nodes["c"].core
@@ -261,7 +261,7 @@
 
 
 def test_a_draining_member_waits_while_another_is_absent() -> None:
-    world = formed()
+    world = settled_world()
     world.put(0)
     world.crash(world.nodes["c"])
     world.settle("ab")
@@ -299,12 +299,12 @@
     assert holders() == ""
     assert world.go(1.0, lambda: core.pending_handover(local_time(world, first)) is None)
     world.crash(world.nodes[first])
-    assert not world.go(1.9, lambda: bool(holders()))  # the rest
+    assert not world.go(1.9, lambda: bool(holders()))  # the lock delay
     assert world.go(2.0, lambda: bool(holders()))
 
 
 def test_a_registrar_that_reaches_no_majority_proposes_nothing() -> None:
-    world = formed(size=4)
+    world = settled_world(size=4)
     world.put(0)
     world.spy = True
     world.split("b", "ac")
@@ -314,8 +314,8 @@
 
 
 def test_a_draining_member_is_removed_from_more_acceptors_than_needed() -> None:
-    """It was out of the chain before, so only its role as an acceptor is left to hand over."""
-    world = formed(size=4)
+    """It had left the chain before, so only its role as an acceptor remains to be handed over."""
+    world = settled_world(size=4)
     world.put(0)
     core = world.nodes["c"].core
     core.disk_unhealthy = True
@@ -327,8 +327,8 @@
     assert addresses(world.newest.acceptors) == "abd"
 
 
-def test_a_view_change_removes_nobody_whom_only_its_proposer_cannot_reach() -> None:
-    world = formed(size=4)
+def test_a_view_change_keeps_members_that_only_its_proposer_cannot_reach() -> None:
+    world = settled_world(size=4)
     world.put(0)
     world.cut |= {("a", "d"), ("d", "a")}
     world.go(2.0)
@@ -339,7 +339,7 @@
 
 
 def test_a_draining_member_waits_until_others_report_to_be_caught_up() -> None:
-    world = formed()
+    world = settled_world()
     world.put(0)
     core = world.nodes["c"].core
     core.begin_draining(local_time(world, "c"))
@@ -376,51 +376,51 @@
 
 
 def test_a_disk_lost_just_as_a_replaced_machine_is_killed_is_tolerated() -> None:
-    """The successor has had its time, so one loss is allowed again; the old machine is still an acceptor."""
-    world = with_a_spare()
+    """The successor has had time to catch up, so one loss is allowed again; the old machine still votes."""
+    world = world_with_spare()
     assert recovers_from_a_disk_lost_as_a_replaced_machine_is_killed(world)
     world.put(1)
 
 
-def test_with_a_fourth_acceptor_the_core_stands_still_there() -> None:
-    world = with_a_spare(**mutation("AddsAFourthAcceptor"))
+def test_with_a_fourth_acceptor_the_core_does_not_recover_from_that() -> None:
+    world = world_with_spare(**mutation("AddsAFourthAcceptor"))
     assert not recovers_from_a_disk_lost_as_a_replaced_machine_is_killed(world)
     assert not world.go(20.0, lambda: world.chain() == "bcd")
 
 
-def with_a_successor() -> World:
-    """Three formed machines and a fourth, all in the chain; the fourth had no acceptor to replace."""
-    world = with_a_spare()
+def world_with_successor() -> World:
+    """Four machines in the chain, three of them acceptors: the fourth had no acceptor to replace."""
+    world = world_with_spare()
     world.start(world.nodes["d"])
     world.settle("abcd")
     assert addresses(world.newest.acceptors) == "abc"
     return world
 
 
-@pytest.mark.parametrize("gone", "abc")
-def test_a_successor_replaces_the_acceptor_that_is_lost(gone: str) -> None:
-    world = with_a_successor()
-    world.crash(world.nodes[gone])
-    rest = "".join(sorted(set("abc") - {gone}))
+@pytest.mark.parametrize("lost", "abc")
+def test_a_successor_replaces_the_acceptor_that_is_lost(lost: str) -> None:
+    world = world_with_successor()
+    world.crash(world.nodes[lost])
+    rest = "".join(sorted(set("abc") - {lost}))
     world.settle(rest + "d")
     assert addresses(world.newest.acceptors) == rest + "d"
     assert all(len(view.acceptors) == 3 for view in world.views.values())
     world.put(1)
 
 
-@pytest.mark.parametrize("gone", "abc")
-def test_a_successor_whose_disk_is_lost_as_any_acceptor_is_killed_is_tolerated(gone: str) -> None:
-    world = with_a_successor()
-    world.crash(world.nodes[gone])
+@pytest.mark.parametrize("lost", "abc")
+def test_a_successor_whose_disk_is_lost_as_any_acceptor_is_killed_is_tolerated(lost: str) -> None:
+    world = world_with_successor()
+    world.crash(world.nodes[lost])
     world.wipe(world.nodes["d"])
     world.start(world.nodes["d"])
-    rest = "".join(sorted(set("abc") - {gone}))
+    rest = "".join(sorted(set("abc") - {lost}))
     world.settle(rest + "d")
     world.put(1)
 
 
 def test_a_tail_that_is_no_acceptor_admits_learners() -> None:
-    world = with_a_successor()
+    world = world_with_successor()
     world.nodes["b"].core.disk_unhealthy = True
     assert world.go(3.0, lambda: world.chain() == "acd")
     world.nodes["b"].core.disk_unhealthy = False
@@ -430,8 +430,8 @@
 
 
 def test_a_draining_acceptor_waits_until_a_chain_member_has_replaced_it() -> None:
-    """It was out of the chain before, so only its role as an acceptor is left to hand over."""
-    world = with_a_successor()
+    """It had left the chain before, so only its role as an acceptor remains to be handed over."""
+    world = world_with_successor()
     core = world.nodes["c"].core
     core.disk_unhealthy = True
     world.settle("abd")
--- a/tests/test_rendezvous.py
+++ b/tests/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""The rendezvous hash: the same everywhere, spread evenly, little moved by those who come and go."""
+"""Rendezvous hashing: the same in every process, evenly spread, and stable when candidates change."""
 
 import os
 import subprocess
@@ -28,7 +28,7 @@
     assert seen == {str(weight("key", "name"))}
 
 
-def test_key_and_name_are_kept_apart() -> None:
+def test_key_and_name_are_hashed_separately() -> None:
     assert weight("ab", "c") != weight("a", "bc")
 
 
@@ -37,12 +37,14 @@
 
 
 @given(st.text(max_size=5), NAMES, st.data())
-def test_the_chosen_stays_when_another_goes(key: str, names: list[str], data: st.DataObject) -> None:
+def test_the_choice_stays_when_another_candidate_is_removed(
+    key: str, names: list[str], data: st.DataObject
+) -> None:
     best = choose(key, names)
-    gone = data.draw(st.sampled_from(names))
-    left = [name for name in names if name != gone]
-    if gone != best:
-        assert choose(key, left) == best
+    removed = data.draw(st.sampled_from(names))
+    remaining = [name for name in names if name != removed]
+    if removed != best:
+        assert choose(key, remaining) == best
     assert choose(key, reversed(names)) == best
 
 
@@ -55,8 +57,8 @@
     assert found[0] == choose(node, names)
     if len(set(zones.values())) > 1:
         assert zones[found[0]] != zones[found[1]]
-    for gone in set(names) - set(found):
-        assert choose_across_zones(node, [each for each in candidates if each.name != gone]) == found
+    for removed in set(names) - set(found):
+        assert choose_across_zones(node, [each for each in candidates if each.name != removed]) == found
 
 
 def test_three_choices_in_two_zones() -> None:
--- a/tests/test_stale_messages.py
+++ b/tests/test_stale_messages.py
@@ -11,7 +11,7 @@
 from tests.core_mutations import mutation
 from tests.core_register import ViolationError
 from tests.core_world import World
-from tests.test_activation import lose
+from tests.test_activation import drop_messages
 
 
 def formed(**kwargs: Any) -> World:  # noqa: ANN401
@@ -112,13 +112,13 @@
 
 def test_without_asking_a_majority_a_change_is_refused_and_in_force() -> None:
     with pytest.raises(ViolationError):
-        refusal_by_a_head_that_was_removed(formed(**mutation("RefusesWithoutAsking")))
+        refusal_by_a_head_that_was_removed(formed(**mutation("RefusesWithoutConfirmation")))
 
 
 def test_a_read_whose_question_to_the_acceptors_is_lost_is_answered_all_the_same() -> None:
     world = formed()
     world.put(0)
-    stop = lose(world, "view-check")
+    stop = drop_messages(world, "view-check")
     answers: list[Any] = []
     world.read(world.nodes["c"], answers.append)
     world.go(0.1)
@@ -130,7 +130,7 @@
 def test_a_question_that_nobody_answers_is_given_up() -> None:
     world = formed()
     world.put(0)
-    lose(world, "view-check")
+    drop_messages(world, "view-check")
     answers: list[Any] = []
     world.read(world.nodes["c"], answers.append)
     world.go(CONFIRMATION_TIMEOUT_S + 0.2)
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -1,4 +1,4 @@
-"""Views by hand: decided by a majority of the view before, and synced before they are spoken of."""
+"""Agreement on views in scripted cases: majority decisions, and votes that are synced before answers."""
 
 from random import Random
 
@@ -8,19 +8,19 @@
 from tests.core_world import World
 
 
-def formed(seed: int = 1, size: int = 3) -> World:
+def settled_world(seed: int = 1, size: int = 3) -> World:
     world = World(seed, size, quiet=True)
     world.settle()
     return world
 
 
-def without(view: View, name: str) -> View:
+def successor_without(view: View, name: str) -> View:
     chain = tuple(each for each in view.chain if each[0] != name)
     return View(view.number + 1, view.acceptors, chain)
 
 
 def test_a_majority_decides_and_the_third_learns_later() -> None:
-    world = formed()
+    world = settled_world()
     world.freeze(world.nodes["c"], 3.0)
     world.go(2.0)
     assert world.views[2].chain == (("a", "a-1"), ("b", "b-1"))
@@ -29,15 +29,15 @@
 
 
 def test_a_minority_decides_nothing() -> None:
-    world = formed()
+    world = settled_world()
     world.split("a", "bc")
     world.go(20.0)
     assert world.nodes["a"].core.view_agreement.view.number == 1
     assert world.newest.chain[0] == ("b", "b-1")
 
 
-def test_nobody_decides_where_everyone_is_alone() -> None:
-    world = formed()
+def test_no_view_is_decided_when_all_are_isolated() -> None:
+    world = settled_world()
     world.split("a", "b", "c")
     world.go(20.0)
     assert list(world.views) == [1]
@@ -47,36 +47,38 @@
 
 def test_dueling_proposers_decide_one_view() -> None:
     for seed in range(30):
-        world = formed(seed)
+        world = settled_world(seed)
         world.jitter = 0.01
         view, now = world.newest, world.now
-        for name, gone in (("a", "b"), ("c", "a"), ("b", "c")):
+        for name, excluded in (("a", "b"), ("c", "a"), ("b", "c")):
             core = world.nodes[name].core
-            core.view_agreement.propose(now + world.nodes[name].offset, Random(seed), without(view, gone))
+            core.view_agreement.propose(
+                now + world.nodes[name].offset, Random(seed), successor_without(view, excluded)
+            )
         assert world.go(10.0, lambda world=world: len(world.views) > 1)
         world.settle()
 
 
-def test_promise_and_acceptance_are_synced_before_they_are_told() -> None:
-    world = formed()
+def test_promise_and_acceptance_are_synced_before_they_are_sent() -> None:
+    world = settled_world()
     world.spy, world.syncs = True, (0.1,)
     a, view = world.nodes["a"], world.newest
     prepare = ["view-prepare", 2, [7, "b"]]
-    accept = ["view-accept", 2, [7, "b"], without(view, "c").to_wire()]
-    for kind, said, message in (
+    accept = ["view-accept", 2, [7, "b"], successor_without(view, "c").to_wire()]
+    for kind, reply_kind, message in (
         ("promise", "view-promise", prepare),
         ("accept", "view-accepted", accept),
     ):
         world.deliver("b", "a", message)
         world.go(0.05)
-        assert not [m for _, who, _, m in world.seen if who == "a" and m[0] == said]
+        assert not [m for _, who, _, m in world.seen if who == "a" and m[0] == reply_kind]
         world.go(0.06)
-        assert [m for _, who, _, m in world.seen if who == "a" and m[0] == said]
-        assert [kind, 2, [7, "b"]] in [record[:3] for record in a.disk]  # it may be rewritten meanwhile
+        assert [m for _, who, _, m in world.seen if who == "a" and m[0] == reply_kind]
+        assert [kind, 2, [7, "b"]] in [record[:3] for record in a.disk]  # it may have been rewritten
 
 
-def test_what_was_promised_outlives_a_crash() -> None:
-    world = formed()
+def test_a_promise_survives_a_crash() -> None:
+    world = settled_world()
     a = world.nodes["a"]
     world.deliver("b", "a", ["view-prepare", 2, [7, "b"]])
     world.go(0.01)
@@ -85,7 +87,7 @@
     assert a.core.view_agreement.promised == (7, "b")
     world.spy = True
     world.deliver("c", "a", ["view-prepare", 2, [6, "c"]])
-    world.deliver("c", "a", ["view-accept", 2, [6, "c"], without(world.newest, "b").to_wire()])
+    world.deliver("c", "a", ["view-accept", 2, [6, "c"], successor_without(world.newest, "b").to_wire()])
     world.go(0.01)
     assert [m[0] for _, who, to, m in world.seen if (who, to) == ("a", "c") and m[0].startswith("view-")] == [
         "view-refused"
@@ -93,22 +95,22 @@
 
 
 def test_an_accepted_view_is_taken_over_by_the_next_proposer() -> None:
-    world = formed()
-    for name in "bc":  # accepted by a majority, that is, decided; its proposer tells nobody
-        world.deliver("a", name, ["view-accept", 2, [3, "a"], without(world.newest, "c").to_wire()])
+    world = settled_world()
+    for name in "bc":  # accepted by a majority, so decided, but its proposer sends no decision
+        world.deliver("a", name, ["view-accept", 2, [3, "a"], successor_without(world.newest, "c").to_wire()])
     world.go(0.01)
     world.nodes["b"].core.view_agreement.propose(
-        world.now + world.nodes["b"].offset, Random(1), without(world.newest, "a")
+        world.now + world.nodes["b"].offset, Random(1), successor_without(world.newest, "a")
     )
     assert world.go(5.0, lambda: 2 in world.views)
     assert world.views[2].chain == (("a", "a-1"), ("b", "b-1"))
 
 
-def test_an_accepted_view_that_nobody_wants_any_more_does_not_block_reads() -> None:
-    world = formed()
+def test_an_accepted_view_that_is_no_longer_desired_does_not_block_reads() -> None:
+    world = settled_world()
     world.put(0)
     for name in "ab":
-        world.deliver("c", name, ["view-accept", 2, [3, "c"], without(world.newest, "b").to_wire()])
+        world.deliver("c", name, ["view-accept", 2, [3, "c"], successor_without(world.newest, "b").to_wire()])
     answers: list[object] = []
     for _ in range(20):
         world.go(0.5)
@@ -117,7 +119,7 @@
 
 
 def test_a_wiped_machine_votes_for_nothing_until_a_view_admits_it() -> None:
-    world = formed()
+    world = settled_world()
     world.wipe(world.nodes["c"])
     world.start(world.nodes["c"])
     c = world.nodes["c"]
@@ -125,35 +127,41 @@
     world.spy = True
     number = world.newest.number
     world.deliver("a", "c", ["view-prepare", number + 1, [50, "a"]])
-    world.deliver("a", "c", ["view-accept", number + 1, [50, "a"], without(world.newest, "b").to_wire()])
+    world.deliver(
+        "a", "c", ["view-accept", number + 1, [50, "a"], successor_without(world.newest, "b").to_wire()]
+    )
     world.go(0.01)
-    said = [m for _, who, _, m in world.seen if who == "c" and m[0] in ("view-promise", "view-accepted")]
-    assert not said
+    replies = [m for _, who, _, m in world.seen if who == "c" and m[0] in ("view-promise", "view-accepted")]
+    assert not replies
     world.settle()
     assert ("c", "c-2") in world.newest.acceptors
     assert ("c", "c-1") not in world.newest.acceptors
 
 
-def test_records_restore_to_the_same() -> None:
-    world = formed()
+def test_records_restore_the_same_state() -> None:
+    world = settled_world()
     views = world.nodes["a"].core.view_agreement
-    world.deliver("b", "a", ["view-accept", 2, [3, "b"], without(world.newest, "c").to_wire()])
+    world.deliver("b", "a", ["view-accept", 2, [3, "b"], successor_without(world.newest, "c").to_wire()])
     world.go(0.01)
-    again = ViewAgreement(views.local_member, views.environment, lambda view: None)
+    restored = ViewAgreement(views.local_member, views.environment, lambda view: None)
     for record in views.records():
-        again.restore(record)
-    assert (again.view, again.promised, again.accepted) == (views.view, views.promised, views.accepted)
-    assert again.highest_round >= views.highest_round
+        restored.restore(record)
+    assert (restored.view, restored.promised, restored.accepted) == (
+        views.view,
+        views.promised,
+        views.accepted,
+    )
+    assert restored.highest_round >= views.highest_round
 
 
-def test_who_has_accepted_the_next_view_votes_for_no_lease_also_after_a_restart() -> None:
+def test_an_acceptor_of_the_next_view_grants_no_lease_even_after_a_restart() -> None:
     world = World(1, 3, quiet=True, start=False)
     world.leases = {"weights": LeaseDurations(1.0, 0.5)}
     for node in world.nodes.values():
         world.start(node)
     world.settle()
     a = world.nodes["a"]
-    world.deliver("b", "a", ["view-accept", 2, [7, "b"], without(world.newest, "c").to_wire()])
+    world.deliver("b", "a", ["view-accept", 2, [7, "b"], successor_without(world.newest, "c").to_wire()])
     world.go(0.01)
     for restarts in (False, True):
         if restarts:
@@ -162,5 +170,5 @@
         world.spy, world.seen = True, []
         world.deliver("c", "a", ["ballot", "ask", "weights", 1, 1 << 30, 5, 6, True])
         world.go(0.01)
-        said = [m for _, who, to, m in world.seen if (who, to, m[0]) == ("a", "c", "ballot")]
-        assert [m[1] for m in said] == ["refuse"]
+        replies = [m for _, who, to, m in world.seen if (who, to, m[0]) == ("a", "c", "ballot")]
+        assert [m[1] for m in replies] == ["refuse"]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones and regions as units of loss: how registrars are placed, and what whole zones that are lost stop."""
+"""Zones and regions as failure domains: placement of registrars, and recovery from the loss of zones."""
 
 import itertools
 
@@ -19,7 +19,7 @@
 
 
 def domains(layout: str) -> list[FailureDomain]:
-    """A letter a registrar: x and y in one region, z and w in another, v in a third."""
+    """One letter per registrar, its zone: x and y are in one region, z and w in another, v in a third."""
     return [FailureDomain(zone, {"x": "r", "y": "r", "z": "s", "w": "s", "v": "t"}[zone]) for zone in layout]
 
 
@@ -46,11 +46,11 @@
     assert tolerance.leaves_a_replica(domains(layout)) is (worst < len(layout))
 
 
-def test_registrars_that_have_not_told_where_they_run_count_as_one_zone() -> None:
+def test_registrars_without_a_reported_domain_count_as_one_zone() -> None:
     assert LossTolerance(1, 1).worst_loss([UNKNOWN_DOMAIN, UNKNOWN_DOMAIN, *domains("x")]) == 2
 
 
-def test_what_too_few_zones_can_not_bear_is_left_out() -> None:
+def test_attainable_tolerance_omits_losses_that_need_more_zones() -> None:
     tolerance = LossTolerance(1, 1, 1)
     assert tolerance.attainable(domains("xxyy")) == LossTolerance(1)
     assert tolerance.attainable(domains("xyz")) == LossTolerance(1, 1)
@@ -63,7 +63,7 @@
 
 
 class ZonedWorld(World):
-    """Registrars a, b, c, ... in the zones of a layout; the first three are the seeds."""
+    """Registrars a, b, c, ... in the zones of a layout; the first three are seeds."""
 
     def __init__(self, layout: str) -> None:
         self.layout = dict(zip("abcdefgh", layout, strict=False))
@@ -87,7 +87,7 @@
     assert sorted(zones) == ["x", "y", "z"]
     settled = len(world.views)
     world.go(10.0)
-    assert len(world.views) == settled  # and then they stay
+    assert len(world.views) == settled  # no further changes
 
 
 def test_a_chain_within_one_zone_commits_nothing() -> None:
@@ -102,7 +102,7 @@
     )
 
 
-def test_too_few_zones_are_told_and_the_core_serves_all_the_same() -> None:
+def test_too_few_zones_are_reported_and_the_core_still_serves() -> None:
     world = ZonedWorld("xxy")
     world.settle("abc")
     world.go(2.0)
@@ -119,13 +119,13 @@
 @pytest.mark.parametrize(
     ("layout", "losses", "schedules"), [("xyz", 1, 25), ("xxyz", 1, 15), ("xxyyz", 2, 12), ("xxyyzz", 1, 12)]
 )
-def test_a_zone_that_is_lost_stops_nothing(layout: str, losses: int, schedules: int) -> None:
+def test_the_core_recovers_from_the_loss_of_a_zone(layout: str, losses: int, schedules: int) -> None:
     counts = explore_zones(range(schedules), layout, losses=losses)
     print(layout, losses, dict(counts))
     assert sum(count for kind, count in counts.items() if kind.startswith("zone-")) > schedules / 10
     assert counts["acknowledged"] > 5 * schedules
 
 
-def test_schedules_find_what_spreading_is_for() -> None:
+def test_schedules_detect_acceptors_that_are_not_spread() -> None:
     with pytest.raises(ViolationError):
-        explore_zones(range(1, 20), "xxyyz", **mutation("SpreadsNobody"))
+        explore_zones(range(1, 20), "xxyyz", **mutation("NeverSpreadsAcceptors"))
