--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -134,7 +134,7 @@
         self.active_faults = ActiveFaults()
         self.syncs = self.random.choice([(0.002,), (0.002, 0.01), (0.005, 0.05)])
         self.jitter = self.random.choice([0.0, 0.004])
-        self.faults_per_s = self.random.choice([0.3, 1.0, 3.0])
+        self.troubles_per_s = self.random.choice([0.3, 1.0, 3.0])
         self.tolerance_exceeded = False  # losses went beyond the tolerance, and not all places are back
         self.killed_until = 0.0  # all machines killed together are back by then
         self.faults_held_until = 0.0  # no fault ends before
@@ -238,7 +238,7 @@
     def inject_random_fault(self) -> None:
         if not self.troubles_on:
             return
-        self.at(self.random.expovariate(self.faults_per_s), self.inject_random_fault)
+        self.at(self.random.expovariate(self.troubles_per_s), self.inject_random_fault)
         [kind] = self.random.choices(list(FAULT_WEIGHTS), FAULT_WEIGHTS.values())
         place = self.choose_place()
         tolerated = kind in FAULTS_WITHOUT_LOSS or (
--- a/tests/zone_schedule.py
+++ b/tests/zone_schedule.py
@@ -46,7 +46,7 @@
 
     def inject_random_fault(self) -> None:
         if self.troubles_on and self.random.random() < 0.5:
-            self.at(self.random.expovariate(self.faults_per_s), self.inject_random_fault)
+            self.at(self.random.expovariate(self.troubles_per_s), self.inject_random_fault)
             self.lose_zone()
         else:
             super().inject_random_fault()
