--- a/plumline/coordination/catch_up.py
+++ b/plumline/coordination/catch_up.py
@@ -1,8 +1,8 @@
-"""Catching up: how a replica that lacks entries gets them, or a snapshot where the log has them no longer.
+"""Catch-up: how a replica gets the entries that it lacks, or a snapshot if the log no longer has them.
 
-A learner, which is outside the chain, requests batches of committed entries from the members in turn, from
-the tail on. A member that lacks more than its predecessor's log has requests a snapshot from there. The
-server of either keeps nothing about the replicas that it serves.
+A learner, which is outside the chain, requests batches of committed entries from the members in turn,
+starting at the tail. A member that lacks entries which its predecessor's log no longer has requests a
+snapshot from the predecessor. The server keeps no state per replica that it serves.
 """
 
 from collections.abc import Callable
@@ -26,8 +26,8 @@
 )
 from plumline.errors import PlumlineError
 
-CATCH_UP_BATCH_BYTES = 128 * 1024  # of packed entries in one batch, or a single larger entry
-MAX_CATCH_UP_TIMEOUT_S = 0.8  # until another batch is requested
+CATCH_UP_BATCH_BYTES = 128 * 1024  # of packed entries in one batch; a larger entry is sent alone
+MAX_CATCH_UP_TIMEOUT_S = 0.8  # before a batch is requested again
 
 
 class CatchUpServer:
@@ -41,17 +41,17 @@
         self._snapshots = SnapshotSender(self._current_state, self._log_continues_from)
 
     def begin_view(self, role: ChainRole, *, activated: bool) -> None:
-        """Serve in a newer view, learners only once it is activated: they may be sources of its base, which
-        keep what they hold until then."""
+        """Serve in a newer view. Learners are served only once it is activated: they may be sources of its
+        base, which must keep their entries until then."""
         self._role, self._serves_learners = role, activated
 
     def tick(self, now: float) -> None:
-        """Take in the time and free a snapshot that nobody requests."""
+        """Advance the clock to `now`, and free a snapshot that is no longer requested."""
         self._now = now
         self._snapshots.tick(now)
 
     def on_entries_request(self, sender: str, request: EntriesRequest) -> None:
-        """Send the next batch, or the start of a snapshot if the log does not reach back so far."""
+        """Send the next batch, or the start of a snapshot if the log was trimmed beyond that point."""
         if not self._serves_learners:
             return
         committed_index = self._storage.committed_index
@@ -81,7 +81,7 @@
 
 
 class CatchUpClient:
-    """Requests what this replica lacks; at most one request is out."""
+    """Requests the entries that this replica lacks; at most one request is outstanding."""
 
     def __init__(
         self,
@@ -90,15 +90,15 @@
         install_snapshot: Callable[[int, Any], None],
         on_synced: Callable[[], None],
     ) -> None:
-        """Take the calls for a snapshot that has come (its index and state in wire form), and for entries
-        that were synced."""
+        """`install_snapshot` is called with the index and wire form of a received state, `on_synced` once
+        entries are synced."""
         self._environment, self._storage = environment, storage
         self._install_snapshot, self._on_synced = install_snapshot, on_synced
         self._role = ChainRole.without_view()
         self._now = 0.0
         self.fetch = SnapshotFetch()
         self._nearly_caught_up = False  # the newest batch was the last one
-        self._requests = -1  # counts the polls of a learner, to ask the members in turn
+        self._source_counter = -1  # counts the requests of a learner, to select the members in turn
 
     def begin_view(self, role: ChainRole) -> None:
         """Request from the members of a newer view; a partial snapshot is kept."""
@@ -107,18 +107,18 @@
         self.fetch.begin_view()
 
     def tick(self, now: float) -> None:
-        """Take in the time."""
+        """Advance the clock to `now`."""
         self._now = now
 
     def is_nearly_caught_up(self) -> bool:
-        """Whether a learner lacks no more than a batch."""
+        """Whether a learner lacks at most one batch."""
         return self._nearly_caught_up and not self.fetch.in_progress
 
     # Requests.
 
     def poll(self) -> None:
-        """Request, or request again, what is lacking. A member without a partial snapshot gets entries from
-        its predecessor unasked."""
+        """Send or resend the request for missing entries or chunks. A member without a partial snapshot sends
+        none: its predecessor pushes the entries."""
         if self._role.is_learner():
             self._poll_as_learner()
         elif self.fetch.in_progress and self._role.predecessor and self.fetch.may_request(self._now):
@@ -132,8 +132,8 @@
         if self.fetch.in_progress and self.fetch.source in addresses:
             self._request_chunk(self.fetch.source)
             return
-        self._requests += 1
-        source = addresses[-1 - self._requests % len(addresses)]
+        self._source_counter += 1
+        source = addresses[-1 - self._source_counter % len(addresses)]
         if self.fetch.in_progress:
             self._request_chunk(source)
         else:
@@ -155,14 +155,14 @@
     # Replies.
 
     def on_log_trimmed(self, sender: str) -> None:
-        """The predecessor's log no longer has what this member lacks."""
+        """Request a snapshot, as the predecessor's log no longer has the entries that this member lacks."""
         if self.fetch.may_request(self._now):
             self._request_chunk(sender)
 
     def on_snapshot_data(self, sender: str, chunk_wire: list[Any]) -> None:
-        """A chunk has come: request the next one, or install the snapshot if it is complete.
+        """Handle a received chunk: request the next one, or install the snapshot if it is complete.
 
-        One that can't be read is given up and requested anew later.
+        A snapshot that can't be read is discarded and requested again later.
         """
         try:
             chunk = SnapshotChunk.from_wire(chunk_wire)
@@ -182,7 +182,7 @@
             self._request_entries(sender)
 
     def on_entries(self, sender: str, batch: CommittedEntries) -> None:
-        """A batch has come to this learner; the next is requested when its entries are synced."""
+        """Handle a batch sent to this learner; the next one is requested once its entries are synced."""
         if self.fetch.awaits_reply_from(sender):
             self.fetch.timer.on_reply(self._now)
             self._nearly_caught_up = not batch.more
--- a/plumline/coordination/chain_messages.py
+++ b/plumline/coordination/chain_messages.py
@@ -1,7 +1,7 @@
-"""Messages between the replicas of a chain, and their one codec.
+"""Messages between the replicas of a chain, and their codec.
 
-On the wire a message is a list that begins with its kind and the number of the sender's view. A message
-counts only at a receiver that is in the same view.
+On the wire a message is a list that starts with its kind and the number of the sender's view. A receiver in
+another view ignores it.
 """
 
 from typing import Any, NamedTuple
@@ -18,33 +18,33 @@
     change: Change
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return ["chain-entry", *self]
 
 
 class LogTrimmed(NamedTuple):
-    """To the successor: the entries that it lacks are no longer in the log, it needs a snapshot."""
+    """To the successor: the log no longer has the entries that it lacks, so it needs a snapshot."""
 
     view_number: int
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return ["chain-behind", *self]
 
 
 class CatchUpTarget(NamedTuple):
-    """To a successor that is not caught up: it is once it has synced the entries up to this one."""
+    """To a successor that is not caught up: it will be once it has synced the entries up to this one."""
 
     view_number: int
     index: int
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return ["chain-floor", *self]
 
 
 class ProgressReport(NamedTuple):
-    """To the predecessor: how far the sender is."""
+    """To the predecessor: the sender's positions in the log."""
 
     view_number: int
     last_index: int
@@ -52,7 +52,7 @@
     caught_up: bool
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return ["chain-report", *self]
 
 
@@ -63,12 +63,12 @@
     committed_index: int
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return ["chain-commit", *self]
 
 
 class SnapshotRequest(NamedTuple):
-    """To a member: send the chunk of this snapshot, or the first one of another."""
+    """To a member: send this chunk of the snapshot, or the first chunk of another snapshot."""
 
     view_number: int
     index: int
@@ -76,7 +76,7 @@
     offset: int
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return ["chain-pull", *self]
 
 
@@ -84,10 +84,10 @@
     """The reply to a snapshot request."""
 
     view_number: int
-    chunk_wire: list[Any]  # fields of a `SnapshotChunk`, not checked yet
+    chunk_wire: list[Any]  # fields of a `SnapshotChunk`, not yet validated
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return ["chain-piece", self.view_number, *self.chunk_wire]
 
 
@@ -98,7 +98,7 @@
     after_index: int
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return ["chain-learn", *self]
 
 
@@ -110,7 +110,7 @@
     entries: list[list[Any]]  # [index, change] of each, in order
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return ["chain-lesson", *self]
 
 
@@ -128,9 +128,9 @@
 
 
 def decode_message(wire: Message) -> ChainMessage | None:
-    """Return the typed message; None for a kind that is not the chain's, or fields of another type.
+    """Return the typed message, or None if its kind is not one of the chain's or a field has the wrong type.
 
-    The view number is not checked: one that is no number equals no receiver's.
+    The type of the view number is not checked: a value that is not a number equals no receiver's view number.
     """
     match wire:
         case ["chain-entry", view_number, int(index), change]:
--- a/plumline/coordination/chain_records.py
+++ b/plumline/coordination/chain_records.py
@@ -1,7 +1,7 @@
-"""Records of the chain in a registrar's record file, and their one codec.
+"""Records of the chain in a registrar's record file, and their codec.
 
-A record is a list that begins with its kind. The kinds and their fields are a stored form: a later release
-must read what an earlier one has written.
+A record is a list that starts with its kind. The kinds and their fields are a storage format: a later release
+must be able to read what an earlier one has written.
 """
 
 from typing import Any, NamedTuple
@@ -11,7 +11,7 @@
 
 
 class SnapshotRecord(NamedTuple):
-    """A whole committed state; it replaces all entries before it in the file."""
+    """A complete committed state; it replaces all entries before it in the file."""
 
     index: int  # of the last log entry that the state includes
     state_wire: Any  # the state in its wire form
@@ -26,7 +26,7 @@
 
     index: int
     change: Change
-    committed_index: int  # known to be committed as the entry was written
+    committed_index: int  # newest committed entry known when this one was written
 
     def to_wire(self) -> Record:
         """Return the stored form."""
@@ -34,7 +34,7 @@
 
 
 class CaughtUpRecord(NamedTuple):
-    """Whether the member holds all that may have been committed before its view."""
+    """Whether the member has all entries that may have been committed before its view."""
 
     caught_up: bool
 
@@ -44,7 +44,7 @@
 
 
 class DiscardPendingRecord(NamedTuple):
-    """The member left the chain with uncommitted entries, which it is to discard later."""
+    """The member left the chain with uncommitted entries, which are to be discarded later."""
 
     def to_wire(self) -> Record:
         """Return the stored form."""
@@ -62,11 +62,11 @@
 
 
 class RollbackRecord(NamedTuple):
-    """The replica has taken on its role in a view with a base, and rolled its log back for it."""
+    """The replica has taken its role in a view with a base, and rolled back its log for that view."""
 
     view_number: int
     base_number: int
-    index: int  # of the newest entry that it held on its disk as it left the base
+    index: int  # of the newest entry on its disk when it left the base
 
     def to_wire(self) -> Record:
         """Return the stored form."""
@@ -79,7 +79,7 @@
 
 
 def decode_record(record: Record) -> ChainRecord | None:
-    """Return the typed record; None for a kind that is not the chain's."""
+    """Return the typed record; None if its kind is not one of the chain's or a field has the wrong type."""
     match record:
         case ["entry", int(index), change, int(committed_index)]:
             return EntryRecord(index, change, committed_index)
--- a/plumline/coordination/chain_role.py
+++ b/plumline/coordination/chain_role.py
@@ -10,9 +10,9 @@
 class ChainRole:
     """A registrar's role in one view, and its neighbours in the chain."""
 
-    view: View | None  # None: none is known yet
+    view: View | None  # None if no view is known yet
     view_number: int  # 0 if no view is known
-    position: int | None  # in the chain, from the head at 0 on; None: a learner
+    position: int | None  # in the chain, counted from the head at 0; None for a learner
     predecessor: str | None  # address of the next member towards the head
     successor: str | None  # address of the next member towards the tail
     chain_length: int  # 0 if no view is known
@@ -42,9 +42,9 @@
         return self.position is None
 
     def is_head(self) -> bool:
-        """Whether it orders the changes."""
+        """Whether it is the member that orders the changes."""
         return self.position == 0
 
     def is_tail(self) -> bool:
-        """Whether it commits entries and answers reads."""
+        """Whether it is the member that commits entries first and answers reads."""
         return self.position is not None and self.successor is None
--- a/plumline/coordination/flow_control.py
+++ b/plumline/coordination/flow_control.py
@@ -1,24 +1,24 @@
 """Flow control between neighbours of a chain: how much a successor may be sent before it reports.
 
-The window bounds what is in flight to a slow successor, and so the memory and the time that a repeat takes.
+The window bounds the bytes in flight to a slow successor, and so the memory and time that a resend takes.
 """
 
 from plumline.coordination.log import Entry, ReplicationLog
 from plumline.coordination.retry_timer import RetryTimer
 
-#: Of packed entries that may be sent and not acknowledged; a single larger entry may be, too.
+#: Limit of packed entries that are sent and not acknowledged; a larger entry may be in flight alone.
 WINDOW_BYTES = 1024 * 1024
 
-_UNKNOWN = -1  # index, before the successor's first report in a view
+_UNKNOWN = -1  # placeholder for an index before the successor's first report in a view
 
 
 class SendWindow:
-    """What the successor was sent and what it has acknowledged, in one view."""
+    """Which entries the successor was sent and which it has acknowledged, in one view."""
 
     def __init__(self) -> None:
-        self.acknowledged_index = _UNKNOWN  # the newest entry that the successor reported to have
-        self.sent_index = _UNKNOWN  # the newest entry that it was sent
-        self._retry = RetryTimer()  # until it reports entries that were sent
+        self.acknowledged_index = _UNKNOWN  # newest entry that the successor has reported
+        self.sent_index = _UNKNOWN  # newest entry sent to it
+        self._retry = RetryTimer()  # runs until it reports the entries that were sent
 
     @property
     def is_open(self) -> bool:
@@ -26,22 +26,22 @@
         return self.acknowledged_index >= 0
 
     def lacks(self, index: int) -> bool:
-        """Whether the successor is ready for the entries up to `index` and was not sent all of them."""
+        """Whether the successor has reported and not all entries up to `index` were sent to it."""
         return self.is_open and self.sent_index < index
 
     def on_report(self, now: float, last_index: int) -> None:
-        """The successor has the entries up to `last_index`, and no others."""
+        """Handle a report that the successor has the entries up to `last_index`, and no others."""
         if not self.is_open:
             self.sent_index = last_index
-        # A restart may have taken away what it had acknowledged and not synced.
+        # In a restart it may have lost entries that it had acknowledged but not synced.
         self.acknowledged_index = min(self.acknowledged_index, last_index)
         self.acknowledge(now, last_index)
         if last_index < self.sent_index and self._retry.may_send(now):
             self._retry.start(now)
-            self.sent_index = last_index  # entries were lost on the way: send them again
+            self.sent_index = last_index  # entries were lost in transit: send them again
 
     def acknowledge(self, now: float, index: int) -> None:
-        """The successor has the entries up to `index`, and maybe more."""
+        """Record that the successor has the entries up to `index`, and possibly more."""
         self.sent_index = max(self.sent_index, index)
         if index > self.acknowledged_index:
             self.acknowledged_index = index
@@ -50,7 +50,7 @@
                 self._retry.start(now)
 
     def take_entries(self, now: float, log: ReplicationLog, through: int) -> list[Entry]:
-        """Return the entries up to `through` that fit into the window, and count them as sent."""
+        """Return the unsent entries up to `through` that fit into the window, and mark them as sent."""
         free_bytes = WINDOW_BYTES
         in_flight = self.sent_index > self.acknowledged_index
         if in_flight:
@@ -65,13 +65,13 @@
 
 
 class ReceiveWindow:
-    """Counts received bytes, so that a report goes out before the predecessor's window is used up."""
+    """Counts received bytes, so that a report is sent before the predecessor's window is exhausted."""
 
     def __init__(self) -> None:
         self._unreported_bytes = 0
 
     def add(self, size: int) -> None:
-        """An entry of this packed size was received and synced."""
+        """Count an entry of this packed size that was received and synced."""
         self._unreported_bytes += size
 
     def report_is_due(self) -> bool:
@@ -79,5 +79,5 @@
         return self._unreported_bytes >= WINDOW_BYTES // 2
 
     def on_report_sent(self) -> None:
-        """Count from here on."""
+        """Restart the count."""
         self._unreported_bytes = 0
--- a/plumline/coordination/pending_replies.py
+++ b/plumline/coordination/pending_replies.py
@@ -1,23 +1,23 @@
-"""Callers of the head that wait until the entry is committed that their reply depends on."""
+"""Replies of the head to callers, delayed until the entry that they depend on is committed."""
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 from plumline.errors import PlumlineError, UnavailableError
 
-#: Called with None once the change is committed, else with what went wrong.
+#: Called with None once the change is committed, or with the error.
 SubmitCallback = Callable[[PlumlineError | None], None]
 
 
 class PendingReply(NamedTuple):
-    """One caller, and what it is told."""
+    """A caller's callback, and the result to pass to it."""
 
     callback: SubmitCallback
     error: PlumlineError | None
 
 
 class PendingReplies:
-    """The replies to be given when entries are committed."""
+    """The replies to send when entries are committed."""
 
     def __init__(self) -> None:
         self._by_index: dict[int, list[PendingReply]] = {}
@@ -27,15 +27,15 @@
         self._by_index.setdefault(index, []).append(PendingReply(callback, error))
 
     def release_through(self, committed_index: int) -> None:
-        """Give the replies that depend on entries up to this one."""
-        if not self._by_index:  # as on every replica but the head
+        """Send the replies that depend on entries up to this one."""
+        if not self._by_index:  # always so on replicas other than the head
             return
         for index in [index for index in self._by_index if index <= committed_index]:
             for reply in self._by_index.pop(index):
                 reply.callback(reply.error)
 
     def fail_all(self) -> None:
-        """Reply with UnavailableError to all: the outcome is not known here any more."""
+        """Reply with UnavailableError to all callers: the outcomes can no longer be known here."""
         pending, self._by_index = self._by_index, {}
         for replies in pending.values():
             for reply in replies:
--- a/plumline/coordination/read_barrier.py
+++ b/plumline/coordination/read_barrier.py
@@ -1,8 +1,8 @@
 """Read barrier: a quorum of the acceptors confirms that a view is still the newest.
 
-A replica that was removed from the chain may not know it yet. Before it answers a read from its own state, a
-majority of the acceptors says that it has neither decided nor accepted a newer view (as with the ReadIndex
-of Raft, section 6.4 of Ongaro's thesis).
+A replica may not know yet that it was removed from the chain. So before it answers a read from its own state,
+a majority of the acceptors must confirm that they have neither decided nor accepted a newer view (like the
+ReadIndex of Raft, section 6.4 of Ongaro's thesis).
 """
 
 import secrets
@@ -13,9 +13,9 @@
 from plumline.coordination.environment import Environment, Message
 from plumline.coordination.view import View
 
-MAX_PENDING_CONFIRMATIONS = 64  # beyond that the oldest is denied
-REPEAT_INTERVAL_S = 0.2  # after which acceptors that have not replied are asked again
-CONFIRMATION_TIMEOUT_S = 2.0  # after which a question is denied; who asked has left before
+MAX_PENDING_CONFIRMATIONS = 64  # when exceeded, the oldest one is denied
+RESEND_INTERVAL_S = 0.2  # before the check is resent to acceptors that have not replied
+CONFIRMATION_TIMEOUT_S = 2.0  # before a confirmation is denied; its caller has given up by then
 
 ConfirmationCallback = Callable[[bool], None]
 
@@ -28,12 +28,12 @@
     view_number: int
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return ["view-checked", self.nonce, self.view_number]
 
     @classmethod
     def from_wire(cls, wire: Message) -> "ViewConfirmed | None":
-        """Return the typed message; None for another kind, or fields of another type."""
+        """Return the typed message, or None if its kind is another or a field has the wrong type."""
         match wire:
             case ["view-checked", int(nonce), int(view_number)]:
                 return cls(nonce, view_number)
@@ -46,11 +46,11 @@
 
     KIND: ClassVar[str] = "view-check"
 
-    nonce: int  # tells this question's replies from others'
+    nonce: int  # identifies the replies to this check
     view_number: int
 
     def to_wire(self) -> Message:
-        """Return the list that goes on the wire."""
+        """Return the wire form."""
         return [self.KIND, self.nonce, self.view_number]
 
     @classmethod
@@ -66,66 +66,66 @@
 
 @dataclass(slots=True)
 class PendingConfirmation:
-    """A question that is out at all acceptors of a view."""
+    """A check that was sent to the acceptors of a view and has no majority of replies yet."""
 
     view: View
     callback: ConfirmationCallback
-    asked_at: float  # s
-    repeat_at: float
+    started_at: float  # s
+    resend_at: float  # s
     confirmed_by: set[str] = field(default_factory=set)  # addresses of acceptors
 
 
 class ReadBarrier:
-    """Asks the acceptors whether a view is the newest. A denial means only that it is not known to be."""
+    """Asks the acceptors whether a view is the newest. A denial only means that this is not known."""
 
     def __init__(self, environment: Environment) -> None:
         self._environment = environment
         self._pending: dict[int, PendingConfirmation] = {}  # by nonce, oldest first
-        #: Begins at random, so that replies to an earlier process of this member match nothing.
+        #: Starts at a random value, so that replies to an earlier process of this member match no check.
         self._nonce = secrets.randbits(48)
         self._now = 0.0
 
     def tick(self, now: float) -> None:
-        """Asks again where a message may have been lost, and gives up what was asked long ago."""
+        """Resend checks whose messages may have been lost, and deny confirmations that have timed out."""
         self._now = now
-        for nonce, question in list(self._pending.items()):
-            if now - question.asked_at >= CONFIRMATION_TIMEOUT_S:
+        for nonce, confirmation in list(self._pending.items()):
+            if now - confirmation.started_at >= CONFIRMATION_TIMEOUT_S:
                 del self._pending[nonce]
-                question.callback(False)
-            elif now >= question.repeat_at:
-                question.repeat_at = now + REPEAT_INTERVAL_S
-                self._ask(nonce, question)
-
-    def _ask(self, nonce: int, question: PendingConfirmation) -> None:
-        check = ViewCheck(nonce, question.view.number).to_wire()
-        for acceptor in question.view.acceptors:
-            if acceptor.address not in question.confirmed_by:
+                confirmation.callback(False)
+            elif now >= confirmation.resend_at:
+                confirmation.resend_at = now + RESEND_INTERVAL_S
+                self._send_checks(nonce, confirmation)
+
+    def _send_checks(self, nonce: int, confirmation: PendingConfirmation) -> None:
+        check = ViewCheck(nonce, confirmation.view.number).to_wire()
+        for acceptor in confirmation.view.acceptors:
+            if acceptor.address not in confirmation.confirmed_by:
                 self._environment.send(acceptor.address, check)
 
     def confirm(self, view: View, callback: ConfirmationCallback) -> None:
-        """Call back with True once a majority of the view's acceptors knows none newer, else with False.
+        """Call back with True once a majority of the view's acceptors confirms it as the newest, else False.
 
-        The callback comes at the latest with the next view, or after CONFIRMATION_TIMEOUT_S.
+        It is called at the latest when a newer view is installed or after CONFIRMATION_TIMEOUT_S.
         """
         self._nonce += 1
-        question = PendingConfirmation(view, callback, self._now, self._now + REPEAT_INTERVAL_S)
-        self._pending[self._nonce] = question
+        confirmation = PendingConfirmation(view, callback, self._now, self._now + RESEND_INTERVAL_S)
+        self._pending[self._nonce] = confirmation
         while len(self._pending) > MAX_PENDING_CONFIRMATIONS:
             self._pending.pop(next(iter(self._pending))).callback(False)
-        self._ask(self._nonce, question)
+        self._send_checks(self._nonce, confirmation)
 
     def on_confirmed(self, sender: str, message: ViewConfirmed) -> None:
-        """Count an acceptor's reply; a duplicate, or one to an earlier question, changes nothing."""
-        question = self._pending.get(message.nonce)
-        if question is None or message.view_number != question.view.number:
+        """Count an acceptor's reply; a duplicate, or one to an earlier check, is ignored."""
+        confirmation = self._pending.get(message.nonce)
+        if confirmation is None or message.view_number != confirmation.view.number:
             return
-        question.confirmed_by.add(sender)
-        if len(question.confirmed_by) >= question.view.majority():
+        confirmation.confirmed_by.add(sender)
+        if len(confirmation.confirmed_by) >= confirmation.view.majority():
             del self._pending[message.nonce]
-            question.callback(True)
+            confirmation.callback(True)
 
     def deny_all(self) -> None:
-        """Answer all pending questions with False: a newer view has been installed."""
+        """Deny all pending confirmations, as a newer view has been installed."""
         pending, self._pending = self._pending, {}
-        for question in pending.values():
-            question.callback(False)
+        for confirmation in pending.values():
+            confirmation.callback(False)
--- a/plumline/coordination/reads.py
+++ b/plumline/coordination/reads.py
@@ -1,7 +1,7 @@
 """Linearizable reads at the tail.
 
-All that was ever acknowledged is committed, and the tail commits first. So its state is new enough to answer
-a read, if it still is the tail of the newest view as the read is taken; a read barrier shows that.
+Every acknowledged change is committed, and the tail commits first. So its state is recent enough to answer a
+read if it is still the tail of the newest view when it receives the read; a read barrier verifies that.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class LinearizableReads(Generic[State]):
-    """Answers reads from a replica's state, and asks the acceptors about its view."""
+    """Answers reads from a replica's state once the acceptors have confirmed its view."""
 
     def __init__(self, environment: Environment, storage: ReplicaStorage[State]) -> None:
         self._storage = storage
@@ -22,19 +22,19 @@
         self._role = ChainRole.without_view()
 
     def begin_view(self, role: ChainRole) -> None:
-        """Take on the role in a newer view; reads of the view before get no answer from here."""
+        """Take the role in a newer view; pending reads of the previous view are denied."""
         self._role = role
         self._barrier.deny_all()
 
     def tick(self, now: float) -> None:
-        """Ask acceptors again that have not replied."""
+        """Resend checks to acceptors that have not replied."""
         self._barrier.tick(now)
 
     def read(self, callback: Callable[[State | None], None], *, can_commit: bool) -> None:
         """Call back with the state, or with None where this replica may not answer.
 
-        `can_commit`: whether the chain is long enough to commit. One that is too short may hold entries that
-        were committed before it became so and are not known here to be.
+        `can_commit`: whether the chain is long enough to commit. A chain that became too short may have
+        entries that were committed before that, without this replica knowing it.
         """
         all_committed = can_commit or self._storage.committed_index == self._storage.synced_index
         if not self._role.is_tail() or not self._storage.caught_up or not all_committed:
@@ -43,12 +43,12 @@
         self.confirm_view(lambda confirmed: callback(self._storage.state if confirmed else None))
 
     def confirm_view(self, callback: Callable[[bool], None]) -> None:
-        """Call back with True once a majority of the acceptors knows no view newer than this one's."""
+        """Call back with True once a majority of the acceptors knows no view newer than this one."""
         if self._role.view is None:
             callback(False)
         else:
             self._barrier.confirm(self._role.view, callback)
 
     def on_confirmed(self, sender: str, message: ViewConfirmed) -> None:
-        """Count an acceptor's reply to a question of the barrier."""
+        """Count an acceptor's reply to a view check."""
         self._barrier.on_confirmed(sender, message)
--- a/plumline/coordination/replica_storage.py
+++ b/plumline/coordination/replica_storage.py
@@ -1,8 +1,9 @@
-"""A replica's log and state, and what of them is on its disk.
+"""A replica's log and state, and the records of them on its disk.
 
-Entries run through three positions of the log: `last_index` (in memory), `synced_index` (on this disk) and
-`committed_index` (on the disks of the whole chain, applied to `state`). Nothing here sends a message: the
-caller does, in the callback that it gives with an entry or snapshot and that runs once this is synced.
+Three positions in the log mark the progress of entries: `last_index` (in memory), `synced_index` (on this
+disk) and `committed_index` (on the disks of all members of the chain, applied to `state`). This module sends
+no messages: the caller does, in the callback that it passes with an entry or snapshot, which runs once that
+is synced.
 """
 
 from collections.abc import Callable
@@ -25,14 +26,14 @@
 
 #: Committed entries kept in memory for replicas that are behind; one further behind needs a snapshot.
 RETAINED_ENTRIES = 512
-RETAINED_BYTES = 4 * 1024 * 1024  # of entries as packed: about 16 MiB of memory
+RETAINED_BYTES = 4 * 1024 * 1024  # packed size of the entries, which take about 16 MiB of memory
 
 
 class StateMachine(Protocol):
     """The replicated state: immutable, and the same on every replica after the same entries."""
 
     def check(self, change: Change) -> bool:
-        """Whether the change was applied before; raises PlumlineError if it must be refused."""
+        """Return whether the change was applied before. Raises PlumlineError if it must be refused."""
 
     def apply(self, change: Change) -> Self:
         """Return the state after the change."""
@@ -45,7 +46,7 @@
 
 
 def _ignore() -> None:
-    """Nothing waits for the record to be synced."""
+    """Sync callback of a record that nothing waits for."""
 
 
 class ReplicaStorage(Generic[State]):
@@ -58,27 +59,27 @@
         load: Callable[[Any], State],
         on_applied: Callable[[int, Change | None], None],
     ) -> None:
-        """Begin empty, for `restore`.
+        """Create an empty storage, to be filled by `restore`.
 
-        `load` makes a state from its wire form; `on_applied(index, change)` is called for each entry as it is
-        committed, and with None in place of the change where a snapshot replaces the state.
+        `load` decodes a state from its wire form. `on_applied(index, change)` is called for each entry as it
+        is committed, and with None in place of the change where a snapshot replaces the state.
         """
         self._environment, self._load, self._on_applied = environment, load, on_applied
         self.log = ReplicationLog()
         self.state = initial_state  # with the committed entries
         self.latest_state = initial_state  # with all entries of the log
         self.committed_index = self.last_index = self.synced_index = 0
-        self.caught_up = False  # holds all that this view's predecessor held as the view began
-        #: Left the chain with uncommitted entries. The old tail may commit them yet, so they are kept until
-        #: the members of a newer chain tell what was committed.
+        self.caught_up = False  # has all that its predecessor in this view had as the view began
+        #: The replica left the chain with uncommitted entries. The old tail may still commit them, so they
+        #: are kept until the members of a newer chain report what was committed.
         self.discard_pending = False
         self._rollback = RollbackRecord(0, 0, 0)  # of the newest view with a base
-        self._generation = 0  # of the log; rises when entries are discarded, so that their syncs are ignored
+        self._generation = 0  # of the log; incremented on a discard, so that pending syncs are ignored
 
     # Durable state.
 
     def restore(self, record: Record) -> None:
-        """Take in one record of the file, in the file's order. Unknown records are skipped."""
+        """Apply one record of the file, in file order. Records of unknown kinds are skipped."""
         self._restore(decode_record(record))
 
     def _restore(self, record: ChainRecord | None) -> None:
@@ -103,21 +104,21 @@
                 self._rollback = record
 
     def records(self) -> list[Record]:
-        """Return the records from which `restore` makes the present content."""
-        found = [SnapshotRecord(self.committed_index, self.state.to_wire()).to_wire()]
-        found += [
+        """Return the records from which `restore` rebuilds the current content."""
+        records = [SnapshotRecord(self.committed_index, self.state.to_wire()).to_wire()]
+        records += [
             EntryRecord(entry.index, entry.change, self.committed_index).to_wire()
             for entry in self.log.between(self.committed_index, self.last_index)
         ]
-        found.append(CaughtUpRecord(self.caught_up).to_wire())
+        records.append(CaughtUpRecord(self.caught_up).to_wire())
         if self.discard_pending:
-            found.append(DiscardPendingRecord().to_wire())
+            records.append(DiscardPendingRecord().to_wire())
         if self._rollback.view_number:
-            found.append(self._rollback.to_wire())
-        return found
+            records.append(self._rollback.to_wire())
+        return records
 
     def _persist_through(self, index: int, record: Record, on_synced: Callable[[], None]) -> None:
-        """Write a record after which the log is on the disk up to `index`, unless it is discarded before."""
+        """Write a record that brings the log on disk up to `index`, unless entries are discarded before."""
         generation = self._generation
 
         def synced() -> None:
@@ -147,9 +148,9 @@
         self._persist_through(index, EntryRecord(index, change, index).to_wire(), on_synced)
 
     def install_snapshot(self, index: int, state_wire: Any, on_synced: Callable[[], None]) -> None:  # noqa: ANN401
-        """Replace the whole content by a committed state from beyond the newest entry.
+        """Replace log and state by a committed state that is newer than the newest entry.
 
-        Raises what `load` raises, with nothing changed, if it can't read the state.
+        If `load` can't read the state, its exception is raised and nothing is changed.
         """
         state = self._load(state_wire)
         self._generation += 1
@@ -160,7 +161,7 @@
         self._persist_through(index, SnapshotRecord(index, state_wire).to_wire(), on_synced)
 
     def commit_through(self, index: int) -> bool:
-        """Apply the entries up to `index`, as far as they are synced here; return whether there were any."""
+        """Apply the synced entries up to `index`; return whether there were any."""
         return self._apply_through(min(index, self.synced_index), notify=True)
 
     def _apply_through(self, index: int, *, notify: bool) -> bool:
@@ -178,18 +179,16 @@
         return True
 
     def trim(self) -> None:
-        """Remove committed entries beyond what is retained."""
+        """Remove committed entries beyond the retention limits."""
         self.log.trim(self.committed_index, RETAINED_ENTRIES, RETAINED_BYTES)
 
-    # The log in a view with a base: what came in views that were abandoned since is rolled back.
+    # Views with a base: entries from views that have been abandoned since are rolled back.
 
     def begin_view(self, view: View, role: ChainRole, *, is_source: bool) -> bool:
-        """Take on a role in a view with a base, and return whether entries were rolled back.
+        """Take a role in a view with a base, and return whether entries were rolled back.
 
-        A source, a member of the base's chain, keeps what it held as it left the base: that may be committed,
-        and its log has all that those of later sources have. Any other member keeps committed entries alone,
-        but for a head: no source was in reach, and it holds all that was committed. A learner keeps all until
-        it learns what was committed. After a restart in the view nothing is rolled back.
+        A learner keeps all entries until it learns what was committed. After a restart in the same view
+        nothing is rolled back.
         """
         assert view.base is not None
         if self._rollback.view_number == view.number:
@@ -207,7 +206,13 @@
         return rolled_back
 
     def _kept_through(self, role: ChainRole, *, is_source: bool, has_left_base: bool) -> int:
-        """Index of the newest entry to keep in the chain of a view with a base."""
+        """Return the index of the newest entry to keep in the chain of a view with a base.
+
+        A source, which is a member of the base's chain, keeps the entries that it had when it left the base:
+        they may be committed, and its log has all entries of the sources after it. Any other member keeps
+        committed entries only, except a head: then no source was reachable, and it has all that was
+        committed.
+        """
         if is_source:
             return max(self._rollback.index, self.committed_index) if has_left_base else self.last_index
         return self.last_index if role.is_head() else self.committed_index
@@ -225,7 +230,7 @@
     # Uncommitted entries after a change of view.
 
     def request_discard(self) -> None:
-        """Note, also on the disk, that uncommitted entries are to be discarded later, if there are any."""
+        """Record, also on disk, that any uncommitted entries are to be discarded later."""
         if self.last_index > self.committed_index and not self.discard_pending:
             self.discard_pending = True
             self._environment.persist(DiscardPendingRecord().to_wire(), _ignore)
@@ -233,8 +238,9 @@
     def discard_uncommitted(self) -> None:
         """Discard the uncommitted entries if that is pending.
 
-        Only once members of a newer chain tell what was committed, or this one joins it. Not as soon as it
-        has left: the old tail may for a moment commit an entry of which the other copy is here.
+        Called once members of a newer chain report what was committed, or when this replica joins that
+        chain. Not as soon as it leaves its chain: the old tail may still commit an entry whose only other
+        copy is here.
         """
         if self.discard_pending:
             self.discard_pending = False
@@ -252,7 +258,7 @@
             self.latest_state = self.latest_state.apply(entry.change)
 
     def set_caught_up(self, caught_up: bool) -> None:
-        """Set whether it is caught up, also on the disk: the head may be lost while this one restarts."""
+        """Set whether it is caught up, also on disk: the head may be lost while this replica restarts."""
         if caught_up != self.caught_up:
             self.caught_up = caught_up
             self._environment.persist(CaughtUpRecord(caught_up).to_wire(), _ignore)
--- a/plumline/coordination/replication.py
+++ b/plumline/coordination/replication.py
@@ -1,15 +1,17 @@
-"""Chain replication of the log: changes enter at the head, commits begin at the tail.
+"""Chain replication of the log: changes enter at the head, commits start at the tail.
 
 The head orders the changes. Every member syncs an entry to its disk before it forwards it to its successor.
-The tail commits what it has synced, if the chain is long enough, and the commit travels back to the head,
-which replies to the callers. Lost messages are repeated after a timeout, so they cost time only. (van Renesse
+The tail commits what it has synced, if the chain is long enough, and the commit is passed back to the head,
+which replies to the callers. Lost messages are resent after a timeout, so they only cost time. (van Renesse
 and Schneider, "Chain Replication for Supporting High Throughput and Availability", OSDI 2004.)
 
-Invariant: a member's log has all that its successor's has. A view keeps the order of the members that stay. A
-registrar outside the chain is a learner: it has committed entries only, and joins as the new tail.
+Invariant: a member's log has all entries of its successor's log. A new view keeps the order of the members
+that remain. A registrar outside the chain is a learner: it receives committed entries only, and joins as the
+new tail.
 
-The other parts of a replica: `replica_storage` (log, state, records), `flow_control` (what a successor may be
-sent), `catch_up` (learners and snapshots), `reads` (linearizable reads), `chain_role` and `chain_messages`.
+The other parts of a replica: `replica_storage` (log, state, records), `flow_control` (how much a successor
+may be sent), `catch_up` (learners and snapshots), `reads` (linearizable reads), `chain_role` and
+`chain_messages`.
 """
 
 from collections.abc import Callable
@@ -42,7 +44,7 @@
 from plumline.coordination.view import View
 from plumline.errors import PlumlineError, UnavailableError
 
-REPORT_INTERVAL_S = 0.2  # between reports to the predecessor; a learner polls as often
+REPORT_INTERVAL_S = 0.2  # between reports to the predecessor, and between the polls of a learner
 
 
 class ChainReplica(Generic[State]):
@@ -60,14 +62,15 @@
         load: Callable[[Any], State],
         on_applied: Callable[[int, Change | None], None],
     ) -> None:
-        """Begin as a learner without a view.
+        """Start as a learner without a view.
 
-        `replicas_needed`: length of the shortest chain that may commit. `load` makes a state from its wire
+        `replicas_needed`: length of the shortest chain that may commit. `load` decodes a state from its wire
         form. `on_applied(index, change)` is called for each committed entry in order, with None in place of
         the change where a snapshot replaced the state.
         """
         self.local_member, self._replicas_needed = local_member, replicas_needed
-        #: Whether a view's chain leaves a replica after every loss: with zones, length is not enough.
+        #: Whether a replica of the view's chain remains after any tolerated loss: with zones, the length of
+        #: the chain alone does not show that.
         self.survives_losses: Callable[[View], bool] = lambda view: True
         self._environment = environment
         self.role = ChainRole.without_view()
@@ -75,8 +78,8 @@
         self.send_window = SendWindow()
         self._receive_window = ReceiveWindow()
         self._pending_replies = PendingReplies()
-        self._catch_up_target: int | None = None  # index from which on this member is caught up
-        self.activated = False  # this view is, as far as is known here; nothing is committed in it before
+        self._catch_up_target: int | None = None  # once synced up to this index, it is caught up
+        self.activated = False  # whether the view is known to be activated; before that nothing commits in it
         self._reads = LinearizableReads(environment, self.storage)
         self._catch_up_server = CatchUpServer(environment, self.storage)
         self.catch_up = CatchUpClient(
@@ -84,7 +87,7 @@
         )
         self._now = self._next_report_at = 0.0
 
-    # What others may know of it.
+    # Read access for other components.
 
     @property
     def state(self) -> State:
@@ -93,7 +96,7 @@
 
     @property
     def latest_state(self) -> State:
-        """The state with all entries of the log, also uncommitted ones."""
+        """The state with all entries of the log applied, including uncommitted ones."""
         return self.storage.latest_state
 
     @property
@@ -103,12 +106,12 @@
 
     @property
     def committed_index(self) -> int:
-        """Index of the newest entry that is known here to be committed."""
+        """Index of the newest entry that this replica knows to be committed."""
         return self.storage.committed_index
 
     @property
     def synced_index(self) -> int:
-        """Index of the newest entry that is on this disk with all before it."""
+        """Index of the newest entry that is on this disk together with all entries before it."""
         return self.storage.synced_index
 
     @property
@@ -130,13 +133,13 @@
         return self.role.is_tail()
 
     def can_commit(self) -> bool:
-        """Whether enough members are in the chain for what it commits to outlive every loss."""
+        """Whether the chain has enough members that what it commits survives any tolerated loss."""
         if self.role.view is None or self.role.chain_length < self._replicas_needed:
             return False
         return self.survives_losses(self.role.view)
 
     def status(self) -> ReplicaStatus:
-        """Return what this registrar's pings report of its replica."""
+        """Return the replica status that this registrar reports in its pings."""
         if self.role.is_member():
             return ReplicaStatus.CHAIN_CAUGHT_UP if self.caught_up else ReplicaStatus.CHAIN_CATCHING_UP
         if self.catch_up.is_nearly_caught_up():
@@ -146,17 +149,17 @@
     # Durable state.
 
     def restore(self, record: Record) -> None:
-        """Take in one record of the file, in the file's order, before the first step."""
+        """Apply one record of the file, in file order, before the first message or tick."""
         self.storage.restore(record)
 
     def records(self) -> list[Record]:
-        """Return the records from which `restore` makes the present content."""
+        """Return the records from which `restore` rebuilds the current content."""
         return self.storage.records()
 
     # Views.
 
     def install_view(self, view: View) -> None:
-        """Take on the role in a newly decided view."""
+        """Take this replica's role in a newly decided view."""
         was_head = self.is_head()
         self.role = ChainRole.in_view(view, self.local_member)
         self.activated = view.base is None
@@ -187,11 +190,11 @@
         return False
 
     def holds_all_committed(self) -> bool:
-        """Whether this is the tail, and so each member of the chain holds all that was committed before."""
+        """Whether this is a caught-up tail; then all members have what was committed before this view."""
         return self.role.is_tail() and self.storage.caught_up
 
     def on_view_activated(self) -> None:
-        """This view is activated: commit, answer reads and serve learners."""
+        """Start to commit, answer reads and serve learners, as this view is activated."""
         if not self.activated:
             self.activated = True
             self._catch_up_server.begin_view(self.role, activated=True)
@@ -200,10 +203,10 @@
     # Changes, at the head.
 
     def submit(self, change: Change, callback: SubmitCallback) -> None:
-        """Order the change, and call back with None once it is committed, or with what went wrong.
+        """Append the change to the log, and call back with None once it is committed, or with the error.
 
-        A repeated change is not applied again, but replied to as the first. A refusal may rest on an entry
-        that is not committed yet: then it waits for that one.
+        A repeated change is not applied again, but gets the same reply as the first one. A refusal that may
+        depend on an uncommitted entry is sent only once that entry is committed.
         """
         if not self.is_head() or not self.can_commit():
             callback(UnavailableError("this chain can't commit now"))
@@ -224,7 +227,7 @@
             self._refuse(error, callback)
 
     def _refuse(self, error: PlumlineError, callback: SubmitCallback) -> None:
-        """Refuse once the view is confirmed: a head that was removed may know too little to refuse."""
+        """Refuse once the view is confirmed: a removed head may have too old a state to refuse."""
         unconfirmed = UnavailableError("this chain may not be the present one")
         self._reads.confirm_view(lambda confirmed: callback(error if confirmed else unconfirmed))
 
@@ -242,7 +245,7 @@
         self._on_synced_progress()
 
     def _forward(self) -> None:
-        """Send the successor what it lacks and is synced here, as far as its window allows."""
+        """Send the successor the synced entries that it lacks, as far as the send window allows."""
         successor, storage = self.role.successor, self.storage
         if successor is None or not self.send_window.lacks(storage.synced_index):
             return
@@ -255,7 +258,7 @@
             self._environment.send(successor, message.to_wire())
 
     def _on_synced_progress(self) -> None:
-        """More is synced here than before: this may make a member caught up, and the tail commits it."""
+        """Handle newly synced entries: this member may now be caught up, and the tail commits them."""
         self._check_catch_up_target()
         self._commit_if_tail()
 
@@ -271,7 +274,7 @@
             self._notify_predecessor_of_commit()
 
     def _commit_through(self, index: int) -> None:
-        """Commit up to `index`, as far as it is synced here, and reply to the callers that wait for it."""
+        """Commit the synced entries up to `index`, and reply to the callers that wait for them."""
         if self.storage.commit_through(index):
             self._pending_replies.release_through(self.storage.committed_index)
 
@@ -281,9 +284,9 @@
             self._environment.send(predecessor, notice.to_wire())
 
     def _install_snapshot(self, index: int, state_wire: Any) -> None:  # noqa: ANN401
-        """Take a committed state in place of entries that the others' logs no longer have."""
+        """Install a committed state in place of entries that the other members' logs no longer have."""
         if index <= self.last_index:
-            self._commit_through(index)  # the entries after it may be on their way to the tail: keep them
+            self._commit_through(index)  # keep the entries after it, which may be in flight to the tail
         else:
             self.storage.install_snapshot(index, state_wire, self._on_snapshot_synced)
 
@@ -295,7 +298,7 @@
     # Reports, from successor to predecessor.
 
     def tick(self, now: float) -> None:
-        """Take in the time; report or poll if it is time to."""
+        """Advance the clock to `now`, and report or poll if that is due."""
         self._now = now
         self._catch_up_server.tick(now)
         self.catch_up.tick(now)
@@ -338,14 +341,14 @@
         self._notify_predecessor_of_commit()
 
     def _notify_predecessor_of_activation(self) -> None:
-        """Pass on a tail's periodic notice where it tells nothing else: an earlier one may have been lost."""
+        """Forward the tail's periodic notice though it commits nothing new: an earlier one may be lost."""
         if self.role.view is not None and self.role.view.base is not None:
             self._notify_predecessor_of_commit()
 
     # Reads.
 
     def read(self, callback: Callable[[State | None], None]) -> None:
-        """Call back with a state that has all changes acknowledged before; with None if it can't say."""
+        """Call back with a state that has all changes acknowledged before, or None if that is not certain."""
         if not self.activated:
             callback(None)
             return
@@ -366,7 +369,7 @@
         return confirmed is not None
 
     def _handle(self, sender: str, message: ChainMessage) -> None:
-        """Handle a message of this view, if it is from whom such messages come from in this role."""
+        """Handle a message of this view if this role expects such messages from the sender."""
         if self.role.is_learner():
             self._handle_as_learner(sender, message)
             return
--- a/plumline/coordination/retry_budget.py
+++ b/plumline/coordination/retry_budget.py
@@ -1,16 +1,17 @@
 """One router's share of the fleet's retry budget, for each service.
 
-The rule: in every window of `window_s` the retries of all routers together are at most ratio x requests +
-slack, where the requests are those of that window, of the one before or of the one half a window earlier,
-whichever holds the most. Two kinds of allowance keep it without a message between routers:
-
-- Each request of this router earns RATIO_FRACTION x ratio retries, to be spent within less than half a
-  window. The retries of a window [s, s+w] then come from requests in [s-w/2, s+w]: at most two of the rule's
-  windows ([s-w/2, s+w/2] and [s, s+w]), so that with at most half of the ratio they fit into the fuller
-  one, however requests wander between routers.
-- Of the slack each router spends an equal share in any window. The number of routers is the largest that was
-  reported within the last window (one that has just died may have spent its share), with ROUTER_MARGIN for
-  those not known yet. A router that has just started counts its share as spent by its previous life.
+The limit: in every window of `window_s` the retries of all routers together are at most ratio x requests +
+slack. The requests are those of that window, of the window before it or of the window that starts half a
+window earlier, whichever has the most. Two kinds of allowance enforce it without messages between routers:
+
+- Each request of this router earns RATIO_FRACTION x ratio retries, which expire in less than half a window.
+  The retries of a window [s, s+w] are then earned by requests in [s-w/2, s+w]. Two of the limit's windows
+  ([s-w/2, s+w/2] and [s, s+w]) cover these, so with at most half of the ratio the retries fit the window with
+  more requests, however the requests shift between routers.
+- Each router may spend an equal share of the slack in any window. The number of routers is the largest that
+  was reported within the last window (a router that has just failed may have spent its share), plus
+  ROUTER_MARGIN for those not yet known. A router that has just started assumes that its previous process
+  spent the share.
 """
 
 from collections import deque
@@ -18,26 +19,26 @@
 from math import floor
 
 BUCKET_S = 0.5  # width of the buckets in which requests and retries are counted
-RATIO_FRACTION = 0.48  # of the ratio; half would keep the rule, the rest is a reserve
-SLACK_FRACTION = 0.8  # of the slack
-ROUTER_MARGIN = 2  # routers that may live without being known yet
-#: Earned retries expire after the first of these parts of a window, and the slack's share is for the second:
-#: both leave a tenth of the window for the way between client, router and endpoint.
+RATIO_FRACTION = 0.48  # of the ratio; up to half keeps the limit, the difference is a reserve
+SLACK_FRACTION = 0.8  # of the slack that is shared out between the routers
+ROUTER_MARGIN = 2  # routers that may be running but are not known yet
+#: In windows: earned retries expire after the first, and a share of the slack is spent at most once in the
+#: second. Both leave a tenth of the window for delays between client, router and endpoint.
 EARNED_WINDOW_FRACTION = 0.4
 SLACK_WINDOW_FRACTION = 1.1
 
 
 @dataclass(slots=True)
 class _Earned:
-    """What the requests of one bucket allow."""
+    """Retries earned by the requests of one bucket."""
 
-    bucket: int  # number of the bucket: time / BUCKET_S
-    remaining: float  # retries that are not spent
+    bucket: int  # floor(time / BUCKET_S)
+    remaining: float  # retries not yet spent
 
 
 @dataclass(slots=True)
 class _SlackSpent:
-    """What was spent of the slack in one bucket."""
+    """Retries that were spent from the slack in one bucket."""
 
     bucket: int
     retries: int
@@ -45,40 +46,40 @@
 
 @dataclass(slots=True)
 class _RouterCount:
-    """How many routers were reported alive."""
+    """A number of routers that was reported alive."""
 
-    last_bucket: int  # the last one in which it was so
+    last_bucket: int  # last bucket in which this number was current
     routers: int
 
 
 @dataclass(slots=True)
 class _ServiceState:
-    """What is left and what is spent for one service; both queues oldest first."""
+    """The remaining and the spent allowances of one service; both queues oldest first."""
 
     earned: deque[_Earned] = field(default_factory=deque)
-    earned_sum: float = 0.0  # over `earned`, but for rounding
+    earned_sum: float = 0.0  # of `remaining` over `earned`, except for rounding errors
     slack_spent: deque[_SlackSpent] = field(default_factory=deque)
     slack_spent_sum: int = 0
 
 
 class RetryBudget:
-    """The allowance of one router. Times are seconds on the steady clock, and must not fall."""
+    """The retry allowance of one router. Times are seconds of the monotonic clock and must not decrease."""
 
     def __init__(
         self, ratio: float, window_s: float, slack: float, now: float, *, fresh_system: bool = False
     ) -> None:
-        """`ratio` and `slack` as in the rule. `fresh_system`: no router can have lived before this one, so
-        that its share of the slack may be spent at once."""
+        """`ratio` and `slack` are those of the limit. `fresh_system`: no router can have run before this one,
+        so its share of the slack is available at once."""
         self._earned_per_request = ratio * RATIO_FRACTION
         self._slack = slack * SLACK_FRACTION
         self._earned_buckets = floor(EARNED_WINDOW_FRACTION * window_s / BUCKET_S)
         self._slack_buckets = floor(SLACK_WINDOW_FRACTION * window_s / BUCKET_S) + 1
         self._slack_from = now if fresh_system else now + SLACK_WINDOW_FRACTION * window_s
         self._services: dict[str, _ServiceState] = {}
-        self._router_counts: deque[_RouterCount] = deque()  # of the last window, the largest first
+        self._router_counts: deque[_RouterCount] = deque()  # of the last window, largest first
 
     def record_request(self, now: float, service: str) -> None:
-        """Counts a request of a client for the service; a retry of this router is none."""
+        """Count a client's request for the service. Retries by this router must not be counted."""
         state = self._services.get(service) or self._add_service(service)
         bucket = floor(now / BUCKET_S)
         if state.earned and state.earned[-1].bucket == bucket:
@@ -89,9 +90,9 @@
         state.earned_sum += self._earned_per_request
 
     def try_spend(self, now: float, service: str, routers: int) -> bool:
-        """Spends one retry if there is an allowance for it; whether there was.
+        """Spend one retry if the allowance suffices; return whether it did.
 
-        `routers`: how many are alive in the fleet as far as known, this one included.
+        `routers`: the number of routers in the fleet known to be alive, including this one.
         """
         bucket = floor(now / BUCKET_S)
         self._record_router_count(bucket, routers)
@@ -108,7 +109,7 @@
     def _record_router_count(self, bucket: int, routers: int) -> None:
         counts = self._router_counts
         if counts:
-            counts[-1].last_bucket = bucket  # it may have been so until just now
+            counts[-1].last_bucket = bucket  # it may have been current until now
         while counts and counts[-1].routers <= routers:
             counts.pop()
         counts.append(_RouterCount(bucket, routers))
@@ -119,12 +120,12 @@
         while state.earned and state.earned[0].bucket < bucket - self._earned_buckets + 1:
             state.earned_sum -= state.earned.popleft().remaining
         if not state.earned:
-            state.earned_sum = 0.0  # so that no rounding error is carried on
+            state.earned_sum = 0.0  # so that rounding errors do not accumulate
         while state.slack_spent and state.slack_spent[0].bucket < bucket - self._slack_buckets:
             state.slack_spent_sum -= state.slack_spent.popleft().retries
 
     def _spend_earned(self, state: _ServiceState) -> bool:
-        """Takes one retry out of what was earned, oldest first; False if only rounding made up the sum."""
+        """Take one earned retry, oldest first; False if only rounding errors raised the sum to 1."""
         if sum(each.remaining for each in state.earned) < 1.0:
             return False
         missing = 1.0
--- a/plumline/coordination/retry_timer.py
+++ b/plumline/coordination/retry_timer.py
@@ -1,26 +1,26 @@
-"""Timeouts of a request that is repeated until it is answered: backoff, adapted to the round trip."""
+"""Timeouts of a request that is resent until answered: exponential backoff, adapted to the round trip."""
 
-INITIAL_TIMEOUT_S = 0.4  # before the first repeat; also the least after a reply
+INITIAL_TIMEOUT_S = 0.4  # before the first resend; also the minimum after a reply
 MAX_TIMEOUT_S = 3.2
-ROUND_TRIP_MULTIPLE = 4  # timeout after a reply, in round trips of that request
+ROUND_TRIP_MULTIPLE = 4  # timeout after a reply, as a multiple of that request's round trip
 
 
 class RetryTimer:
-    """When one request at a time may be sent, or sent again. Times are of the local monotonic clock, in s."""
+    """Times the sending and resending of one request at a time, in seconds of the monotonic clock."""
 
     def __init__(self) -> None:
-        self.started_at: float | None = None  # when the unanswered request was sent; None: there is none
+        self.started_at: float | None = None  # when the unanswered request was sent; None if there is none
         self.timeout_s = INITIAL_TIMEOUT_S
 
     def start(self, now: float, max_timeout_s: float = MAX_TIMEOUT_S) -> None:
-        """A request is sent now; the timeout doubles if the one before got no reply."""
+        """Record that a request is sent now; the timeout doubles if the previous one got no reply."""
         if self.started_at is not None:
             self.timeout_s = 2 * self.timeout_s
         self.timeout_s = min(self.timeout_s, max_timeout_s)
         self.started_at = now
 
     def on_reply(self, now: float) -> None:
-        """The reply has come: the next timeout follows from how long it took."""
+        """Record a reply, and set the next timeout by the time that it took."""
         if self.started_at is not None:
             round_trips_s = ROUND_TRIP_MULTIPLE * (now - self.started_at)
             self.timeout_s = min(max(INITIAL_TIMEOUT_S, round_trips_s), MAX_TIMEOUT_S)
@@ -28,9 +28,9 @@
 
     @property
     def awaiting_reply(self) -> bool:
-        """Whether a request is out; it may have timed out."""
+        """Whether a request is unanswered; it may have timed out."""
         return self.started_at is not None
 
     def may_send(self, now: float) -> bool:
-        """Whether no request is out, or the one that is has timed out."""
+        """Whether no request is unanswered, or the unanswered one has timed out."""
         return self.started_at is None or now - self.started_at >= self.timeout_s
--- a/plumline/coordination/soft_state.py
+++ b/plumline/coordination/soft_state.py
@@ -1,8 +1,8 @@
-"""Versioned soft state: values that are replicated whole, last writer wins, and are never on a disk.
+"""Versioned soft state: values replicated as a unit, with last writer wins, and never stored on disk.
 
 A lease holder publishes a topic's value; every registrar and router keeps the value with the highest version.
 A version is (term of the lease under which the value was published, count within that term), so a holder
-whose term is over can't overwrite what its successor published.
+whose term has ended can't overwrite the value of a later holder.
 """
 
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionedValue:
-    """A topic's value, as it travels in messages, with its version."""
+    """A topic's value, in the form that messages carry, with its version."""
 
     version: Version
     value: Any
@@ -27,7 +27,7 @@
         self.values: dict[str, VersionedValue] = {}  # by topic
 
     def update(self, topic: str, version: Version, value: Any) -> bool:  # noqa: ANN401
-        """Store the value if its version is above the known one; return whether it was."""
+        """Store the value if its version is higher than the known one; return whether it was stored."""
         known = self.values.get(topic)
         if known is not None and known.version >= version:
             return False
@@ -41,8 +41,8 @@
     def next_version(self, topic: str, term: int) -> Version | None:
         """Return the version under which the lease holder of this term publishes the topic next.
 
-        None if the topic was published under a later term: this term is over, whatever the holder's clock
-        says, and it must not publish.
+        None if the topic was published under a later term: then this term has ended, regardless of the
+        holder's clock, and the holder must not publish.
         """
         known = self.values.get(topic)
         if known is None or known.version[0] < term:
--- a/tests/test_stale_messages.py
+++ b/tests/test_stale_messages.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from plumline.coordination.read_barrier import CONFIRMATION_TIMEOUT_S, REPEAT_INTERVAL_S
+from plumline.coordination.read_barrier import CONFIRMATION_TIMEOUT_S, RESEND_INTERVAL_S
 from plumline.coordination.replica_status import ReplicaStatus
 from plumline.errors import VersionConflictError
 from tests.core_mutations import mutation
@@ -123,7 +123,7 @@
     world.read(world.nodes["c"], answers.append)
     world.go(0.1)
     stop()
-    world.go(2 * REPEAT_INTERVAL_S)
+    world.go(2 * RESEND_INTERVAL_S)
     assert [state.ids for state in answers] == [("c1",)]
 
 
