--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -22,7 +22,7 @@
 from tests import core_world
 from tests.core_register import ViolationError
 from tests.core_schedule import Schedule
-from tests.core_world import KEPT, TICK_S, Node
+from tests.core_world import SHORT_LOG_ENTRIES, TICK_S, Node
 
 Ask = Callable[[RequestForwarder, float, Callable[..., None]], None]
 Told = Callable[[PlumlineError | None, Any], None]
@@ -103,7 +103,7 @@
 
     def act(self) -> None:
         """Something new, while the troubles last."""
-        if not self.world.troubles_on:
+        if not self.world.faults_enabled:
             return
         self.world.at(self.world.random.expovariate(4.0), self.act)
         chance = self.world.random.random()
@@ -190,17 +190,18 @@
         super().start_core(node)
         assert node.core is not None
         self.forwarders[node.name] = self.forwarder_class(node.core, node.core.environment.send)
-        self.tick_forwarder(node, node.life)
+        self.tick_forwarder(node, node.generation)
 
     def freeze(self, node: Node, seconds: float) -> None:
-        node.thaws_at = max(node.thaws_at, self.now + seconds)  # what is held back waits for the longer one
+        # What is held back waits for the longer one.
+        node.frozen_until = max(node.frozen_until, self.now + seconds)
 
     def tick_forwarder(self, node: Node, life: int) -> None:
         def step() -> None:
             self.forwarders[node.name].tick(self.now + node.offset)
             self.at(TICK_S, lambda: self.tick_forwarder(node, life))
 
-        self.guard(node, life, step)
+        self.call_if_running(node, life, step)
 
     def deliver(self, sender: str, to: str, message: Message) -> None:
         if message[0] not in ("ask", "answer"):
@@ -211,15 +212,15 @@
         def step() -> None:
             if not self.forwarders[to].on_message(self.now + node.offset, sender, message):
                 raise ViolationError(f"nobody knows {message}")
-            self.after(node)
+            self.after_step(node)
 
-        self.guard(node, node.life, step)
+        self.call_if_running(node, node.generation, step)
 
     def on_applied(self, node: Node, number: int, change: list[Any] | None) -> None:
         if change is not None:
-            self.note(node, number, change_id(change))
+            self.check_commit(node, number, change_id(change))
         else:
-            self.compare(node)
+            self.check_state(node)
 
     # Calls of operators.
 
@@ -228,12 +229,14 @@
 
     def request(self, node: Node, ask: Ask, told: Told) -> None:
         """A call to a registrar: it may come late, and its answer may be lost."""
-        late = self.random.random() < self.slow
+        late = self.random.random() < self.slow_rate
         delay = self.random.uniform(*LATE_S) if late else self.random.uniform(0.001, 0.02)
-        self.at(delay, lambda: self.guard(node, node.life, lambda: self.take(node, ask, told)))
+        self.at(
+            delay, lambda: self.call_if_running(node, node.generation, lambda: self.take(node, ask, told))
+        )
 
     def take(self, node: Node, ask: Ask, told: Told) -> None:
-        began, life, answers = self.now, node.life, []
+        began, life, answers = self.now, node.generation, []
 
         def outcome(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
             answers.append(error)
@@ -245,7 +248,7 @@
                 self.at(self.random.uniform(0.001, 0.02), lambda: told(error, result))
 
         def overdue() -> None:
-            if not answers and node.life == life and node.core and node.thaws_at <= began:
+            if not answers and node.generation == life and node.core and node.frozen_until <= began:
                 raise ViolationError(f"{node.name} is silent for {SILENCE_S} s to a call of {began:.3f} s")
 
         self.at(SILENCE_S, overdue)
@@ -313,8 +316,8 @@
         if is_rollout_change(change):
             return
         _, base, body = change
-        if self.bases.setdefault(base, name) != name:
-            raise ViolationError(f"{name} and {self.bases[base]} are acknowledged on {base}")
+        if self.acknowledged_by_base.setdefault(base, name) != name:
+            raise ViolationError(f"{name} and {self.acknowledged_by_base[base]} are acknowledged on {base}")
         if self.by_version.setdefault(body["Version"], name) != name:
             raise ViolationError(f"{name} and {self.by_version[body['Version']]} are both {body['Version']}")
         self.acknowledged_version = max(self.acknowledged_version, body["Version"])
@@ -366,7 +369,7 @@
     # Schedules.
 
     def begin(self) -> None:
-        self.troubles_on = True
+        self.faults_enabled = True
         for operator in self.operators:
             self.at(self.random.random(), operator.act)
 
@@ -385,7 +388,7 @@
         self.end()
 
     def cut_one(self) -> None:
-        if not self.troubles_on:
+        if not self.faults_enabled:
             return
         chain = [self.nodes[address] for address, _ in self.newest.chain] if self.newest else []
         members = chain or list(self.nodes.values())
@@ -408,18 +411,18 @@
     def run_troubles(self, seconds: float = 8.0) -> None:
         """Every kind of trouble of the explorer of cores."""
         self.begin()
-        self.at(self.random.random() * 4, self.trouble)
+        self.at(self.random.random() * 4, self.inject_fault)
         self.go(seconds)
         self.end()
 
     def end(self) -> None:
         """Calm: every order gets its clear answer, and what was acknowledged is read, and sent again."""
-        self.troubles_on, self.syncs = False, (0.005,)
+        self.faults_enabled, self.sync_delays = False, (0.005,)
         self.cut.clear()
-        self.loss = self.twice = self.slow = self.jitter = self.answer_loss = 0.0
+        self.loss_rate = self.duplicate_rate = self.slow_rate = self.jitter_s = self.answer_loss = 0.0
         for node in self.nodes.values():
-            node.thaws_at = min(node.thaws_at, self.now)
-            self.thaw(node, node.life)
+            node.frozen_until = min(node.frozen_until, self.now)
+            self.thaw(node, node.generation)
             self.start(node)
         if not self.go(SETTLE_S, lambda: not self.lagging()):
             raise ViolationError(f"no clear answer {SETTLE_S} s after the troubles: {self.lagging()}")
@@ -456,7 +459,7 @@
 def short_memory(remembered: int = 0) -> Iterator[None]:
     """Short logs, the state above in the cores, and, if given, few repeats remembered."""
     with ExitStack() as stack:
-        stack.enter_context(patch.object(storage_module, "RETAINED_ENTRIES", KEPT))
+        stack.enter_context(patch.object(storage_module, "RETAINED_ENTRIES", SHORT_LOG_ENTRIES))
         stack.enter_context(patch.object(core_world, "Register", NamedState))
         if remembered:
             stack.enter_context(patch.object(history_module, "SEGMENT_CHANGES", 2))
--- a/tests/core_register.py
+++ b/tests/core_register.py
@@ -1,4 +1,4 @@
-"""A small replicated state for explored cores, and the error of a broken invariant."""
+"""A small replicated state for simulated cores, and the error for a violated invariant."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,17 +9,17 @@
 
 
 class ViolationError(Exception):
-    """An invariant is broken."""
+    """An invariant is violated."""
 
 
 @dataclass(frozen=True, slots=True)
 class Register:
-    """A small stand-in for the configuration: a change is ["set", based_on, id], a version a count of ids."""
+    """A minimal configuration: a change is ["set", based_on, id], and a version is the count of ids."""
 
     ids: tuple[str, ...] = ()
 
     def check(self, change: list[Any]) -> bool:
-        """True if taken before; VersionConflictError if it builds on another version."""
+        """Return True if it was applied before. Raises VersionConflictError if based on another version."""
         _, based_on, name = change
         if name in self.ids:
             return True
--- a/tests/core_schedule.py
+++ b/tests/core_schedule.py
@@ -1,5 +1,6 @@
-"""Random schedules of troubles, with noise on links and disks, that know nothing of what may be lost at once:
-a disk is lost only where another holds all. tests/core_tolerance.py has those that keep account of losses.
+"""Random fault schedules, with random delays and losses on links and disks, that don't track how much
+may be lost at once: a disk is lost only while another member has all data. The schedules in
+tests/core_tolerance.py track losses.
 """
 
 from collections import Counter
@@ -10,30 +11,34 @@
 from tests.core_register import Register, ViolationError
 from tests.core_world import Node, World, short_logs
 
-CALM_S = 10.0  # simulated time for a chain with copies enough, and an acknowledged change, after the troubles
+RECOVERY_TIMEOUT_S = 10.0  # simulated, after the faults, for a large enough chain to acknowledge a change
 
 
 class Schedule(World):
-    """Troubles and operators at random, then calm."""
+    """Random faults and operator requests, followed by a check of the recovery."""
 
-    # Troubles
+    # Faults
 
     def may_wipe(self, node: Node) -> bool:
         if sum(each.lost for each in self.nodes.values()) >= self.copies - 1 or node.lost:
             return False
-        if self.any_wipe or not self.newest:
+        if self.unrestricted_wipes or not self.newest:
             return True
         others = [each for each in self.nodes.values() if each is not node]
-        return all(each.core for each in others) and not self.in_doubt() and any(map(self.holds_all, others))
-
-    def in_doubt(self) -> bool:
-        """Whether some acceptor holds a view that may be decided yet, with whoever is lost meanwhile."""
+        return (
+            all(each.core for each in others)
+            and not self.has_undecided_view()
+            and any(map(self.holds_all, others))
+        )
+
+    def has_undecided_view(self) -> bool:
+        """Whether some acceptor has accepted a view that may still be decided, with members lost by then."""
         return any(each.core and each.core.view_agreement.accepted for each in self.nodes.values())
 
-    def trouble(self) -> None:
-        if not self.troubles_on:
+    def inject_fault(self) -> None:
+        if not self.faults_enabled:
             return
-        self.at(self.random.expovariate(self.troubles_per_s), self.trouble)
+        self.at(self.random.expovariate(self.faults_per_s), self.inject_fault)
         node = self.random.choice(list(self.nodes.values()))
         if self.newest and self.random.random() < 0.5:
             node = self.nodes[self.random.choice(self.newest.chain)[0]]
@@ -74,12 +79,12 @@
     # Operators
 
     def operate(self) -> None:
-        """Somebody asks some registrar for something."""
-        if not self.troubles_on:
+        """Send a read or a change, as an operator would, to a random registrar."""
+        if not self.faults_enabled:
             return
         self.at(self.random.expovariate(6.0), self.operate)
         asked = self.random.choice(list(self.nodes.values()))
-        if asked.core is None or self.now < asked.thaws_at:
+        if asked.core is None or self.now < asked.frozen_until:
             return
         if self.random.random() < 0.4:
             to = asked.core.tail_address()
@@ -89,37 +94,37 @@
         to = asked.core.head_address()
         if not to or (asked.name, to) in self.cut:
             return
-        if self.tried and self.random.random() < 0.3:
-            change = self.random.choice(self.tried[-5:])
+        if self.submitted_changes and self.random.random() < 0.3:
+            change = self.random.choice(self.submitted_changes[-5:])
         else:
             known = [len(each.core.chain.state.ids) for each in self.nodes.values() if each.core]
             based_on = max(known) if self.random.random() < 0.8 else self.random.choice(known)
             change = self.change(based_on)
-            self.tried.append(change)
+            self.submitted_changes.append(change)
         if change[2] not in self.refused:
             self.submit(self.nodes[to], change)
 
     # A schedule
 
     def run(self, seconds: float) -> None:
-        """Troubles for so long, then calm; ViolationError with the seed."""
+        """Inject faults for this time, then check the recovery. A ViolationError names the seed."""
         try:
-            self.troubles_on = True
-            self.at(self.random.random() * 4, self.trouble)
+            self.faults_enabled = True
+            self.at(self.random.random() * 4, self.inject_fault)
             self.at(self.random.random(), self.operate)
             self.go(seconds)
-            self.calm()
+            self.check_recovery()
         except (ViolationError, AssertionError, IndexError, KeyError, TypeError, ValueError) as error:
             raise ViolationError(
                 f"seed {self.seed}, {len(self.nodes)} machines, at {self.now:.3f} s: {error!r}"
             ) from error
 
-    def calm(self) -> None:
-        self.troubles_on, self.cut, self.syncs = False, set(), (0.005,)
-        self.loss = self.twice = self.slow = self.jitter = 0.0
+    def check_recovery(self) -> None:
+        self.faults_enabled, self.cut, self.sync_delays = False, set(), (0.005,)
+        self.loss_rate = self.duplicate_rate = self.slow_rate = self.jitter_s = 0.0
         for node in self.nodes.values():
-            node.thaws_at = min(node.thaws_at, self.now)
-            self.thaw(node, node.life)  # what was held back comes first, in its order
+            node.frozen_until = min(node.frozen_until, self.now)
+            self.thaw(node, node.generation)  # deferred calls are made first, in their order
             self.start(node)
         done: list[list[Any]] = []
 
@@ -138,13 +143,13 @@
 
         try_one()
 
-        def well() -> bool:
+        def recovered() -> bool:
             return bool(done) and self.newest is not None and len(self.newest.chain) >= self.copies
 
-        if not self.go(CALM_S, well):
+        if not self.go(RECOVERY_TIMEOUT_S, recovered):
             state = {
                 node.name: (
-                    node.me[1],
+                    node.member[1],
                     node.core.view_agreement.view and node.core.view_agreement.view.number,
                     node.core.chain.caught_up,
                 )
@@ -152,7 +157,7 @@
                 if node.core
             }
             raise ViolationError(
-                f"no change is acknowledged {CALM_S} s after the troubles: {self.newest} {state}"
+                f"no change is acknowledged {RECOVERY_TIMEOUT_S} s after the faults: {self.newest} {state}"
             )
         answers: list[Register] = []
 
@@ -163,18 +168,20 @@
                 self.read(tail, lambda state: answers.append(state) if state is not None else None)
 
         read()
-        if not self.go(CALM_S, lambda: bool(answers)):
-            raise ViolationError(f"no read is answered {CALM_S} s after the troubles: {self.newest}")
+        if not self.go(RECOVERY_TIMEOUT_S, lambda: bool(answers)):
+            raise ViolationError(
+                f"no read is answered {RECOVERY_TIMEOUT_S} s after the faults: {self.newest}"
+            )
         missing = [name for name in self.acknowledged if name not in answers[0].ids]
         if missing:
             raise ViolationError(f"{missing} were acknowledged and are lost")
 
 
-def explore(numbers: range, size: int, *, seconds: float = 8.0, **kwargs: Any) -> Counter[str]:  # noqa: ANN401
-    """Runs a schedule for each number, its seed, and counts what happened in them."""
+def explore(random_seeds: range, size: int, *, seconds: float = 8.0, **kwargs: Any) -> Counter[str]:  # noqa: ANN401
+    """Run a schedule for each seed, and count the events in them."""
     counts: Counter[str] = Counter()
     with short_logs():
-        for seed in numbers:
+        for seed in random_seeds:
             world = Schedule(seed, size, **kwargs)
             world.run(seconds)
             counts += world.counts
--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -131,9 +131,9 @@
         self.observers = [LeaseObserver(name, durations) for name, durations in LEASES.items()]
         self.places = [Place(name) for name in self.nodes]
         self.around = Surroundings()
-        self.syncs = self.random.choice([(0.002,), (0.002, 0.01), (0.005, 0.05)])
-        self.jitter = self.random.choice([0.0, 0.004])
-        self.troubles_per_s = self.random.choice([0.3, 1.0, 3.0])
+        self.sync_delays = self.random.choice([(0.002,), (0.002, 0.01), (0.005, 0.05)])
+        self.jitter_s = self.random.choice([0.0, 0.004])
+        self.faults_per_s = self.random.choice([0.3, 1.0, 3.0])
         self.beyond = False  # more was lost than is borne, and not all were back since
         self.killed_until = 0.0  # by then all are back whom one moment killed
         self.held_until = 0.0  # no trouble ends before
@@ -214,26 +214,26 @@
         for lease in self.leases:
             node.core.campaign(self.now + node.offset, lease)
 
-    def after(self, node: Node) -> None:
-        super().after(node)
+    def after_step(self, node: Node) -> None:
+        super().after_step(node)
         for observer in self.observers:
             observer.observe(self.now, self.holders(observer.name))
 
     def holders(self, lease: str) -> list[tuple[Holder, int]]:
         found = []
         for node in self.nodes.values():
-            if node.core and self.now >= node.thaws_at:
+            if node.core and self.now >= node.frozen_until:
                 token = node.core.lease_election.fencing_token(self.now + node.offset, lease)
                 if token is not None:
-                    found.append((Holder(node.name, node.life), token))
+                    found.append((Holder(node.name, node.generation), token))
         return found
 
     # Troubles
 
-    def trouble(self) -> None:
-        if not self.troubles_on:
+    def inject_fault(self) -> None:
+        if not self.faults_enabled:
             return
-        self.at(self.random.expovariate(self.troubles_per_s), self.trouble)
+        self.at(self.random.expovariate(self.faults_per_s), self.inject_fault)
         [kind] = self.random.choices(list(WEIGHTS), WEIGHTS.values())
         place = self.victim()
         borne = kind in NO_LOSS or (self.bears(place) and not (kind not in DISK_KEPT and self.is_beyond()))
@@ -373,17 +373,17 @@
 
     def leave(self, node: Node, ended: Callable[[], None]) -> None:
         """The process hands over and ends, or ends without after a while."""
-        life, deadline = node.life, self.now + LEAVE_S
+        life, deadline = node.generation, self.now + LEAVE_S
         if node.core is None:
             ended()
             return
         node.core.begin_draining(self.now + node.offset)
 
         def look() -> None:
-            if node.life != life or node.core is None:  # killed meanwhile
+            if node.generation != life or node.core is None:  # killed meanwhile
                 ended()
                 return
-            thawed = self.now >= node.thaws_at
+            thawed = self.now >= node.frozen_until
             done = thawed and node.core.pending_handover(self.now + node.offset) is None
             if done or self.now >= deadline:
                 self.counts["handed over" if done else "left without handing over"] += 1
@@ -406,7 +406,7 @@
         old = self.nodes[place.name]
         place.replacing = True
         self.crash(old)
-        old.gone = True
+        old.destroyed = True
         self.begin(place)
 
         def come() -> None:
@@ -439,7 +439,7 @@
 
         def gone() -> None:
             self.crash(old)  # it may have been starting, with no process that could leave
-            old.gone = True
+            old.destroyed = True
             place.replacing = False
 
         self.at(self.random.choice([1.0, CATCH_UP_S]), end_old)
@@ -448,7 +448,7 @@
         """Other seeds, one of them at least in touch, or else to come back; some processes read the settings
         again. A new machine that is told only of machines that are gone for good can find nobody."""
         well = [each.name for each in self.places if not each.lost(self.now)]
-        well = well or [each.name for each in self.places if not self.nodes[each.name].gone]
+        well = well or [each.name for each in self.places if not self.nodes[each.name].destroyed]
         if not well:
             return
         first = self.random.choice(well)
@@ -477,7 +477,7 @@
             for node in self.nodes.values():
                 if (
                     node.core is None
-                    or self.now < node.thaws_at
+                    or self.now < node.frozen_until
                     or node.core.view_agreement.view != self.newest
                 ):
                     continue
@@ -501,7 +501,7 @@
         for node in self.nodes.values():
             if core := node.core:
                 view = core.view_agreement.view
-                told.append(f"{node.me[1]} view {view and view.number} caught up {core.chain.caught_up}")
+                told.append(f"{node.member[1]} view {view and view.number} caught up {core.chain.caught_up}")
         return "; ".join(told)
 
     def await_leases(self, timeout: float) -> None:
@@ -519,11 +519,11 @@
         try:
             self.form()
             for _ in range(stretches):
-                self.troubles_on = True
-                self.at(self.random.random(), self.trouble)
+                self.faults_enabled = True
+                self.at(self.random.random(), self.inject_fault)
                 self.at(self.random.random(), self.operate)
                 self.go(self.random.uniform(1.0, seconds))
-                self.troubles_on = False
+                self.faults_enabled = False
                 self.stretch()
             self.finish()
         except (ViolationError, AssertionError, IndexError, KeyError, TypeError, ValueError) as error:
@@ -567,11 +567,11 @@
 
     def operate(self) -> None:
         """Somebody asks some registrar for something."""
-        if not self.troubles_on:
+        if not self.faults_enabled:
             return
         self.at(self.random.expovariate(6.0), self.operate)
         asked = self.random.choice(list(self.nodes.values()))
-        if asked.core is None or self.now < asked.thaws_at:
+        if asked.core is None or self.now < asked.frozen_until:
             return
         to = asked.core.tail_address() if self.random.random() < 0.4 else asked.core.head_address()
         if not to or self.is_cut(asked.name, to):
--- a/tests/test_activation.py
+++ b/tests/test_activation.py
@@ -235,7 +235,7 @@
         kinds = [record[0] for record in world.nodes["a"].disk]
         if f"{record_kind}-base" in kinds:
             assert kinds[kinds.index(f"{record_kind}-base") + 1] == record_kind
-    again = ViewAgreement(world.nodes["a"].me, None, lambda view: None)  # type: ignore[arg-type]
+    again = ViewAgreement(world.nodes["a"].member, None, lambda view: None)  # type: ignore[arg-type]
     for record in world.nodes["a"].core.view_agreement.records():
         assert decode_record(record) is not None
         again.restore(record)
@@ -284,7 +284,9 @@
 def test_schedules_find_what_a_guard_of_activation_is_for(guard: str, first: int) -> None:
     """`first`: the seed to begin with, as it would take long from 0."""
     with pytest.raises(ViolationError) as caught:
-        explore_schedules(range(first, first + 40), 3, seconds=30.0, any_wipe=True, **mutation(guard))
+        explore_schedules(
+            range(first, first + 40), 3, seconds=30.0, unrestricted_wipes=True, **mutation(guard)
+        )
     print(caught.value)
 
 
@@ -292,7 +294,7 @@
 def test_a_disk_lost_at_any_moment_stops_nothing(size: int) -> None:
     """Beside kills, freezes and cuts of others; before activation, one schedule in eighty stood still."""
     counts = explore_schedules(
-        range(2060, 2060 + 150 // size), size, seconds=30.0, any_wipe=True, copies=(size + 1) // 2
+        range(2060, 2060 + 150 // size), size, seconds=30.0, unrestricted_wipes=True, copies=(size + 1) // 2
     )
     print(size, dict(counts))
     assert counts["wipe"] > counts["schedules"]
--- a/tests/test_chain_messages.py
+++ b/tests/test_chain_messages.py
@@ -1,4 +1,4 @@
-"""The codecs of the chain's messages and records: what is sent and stored, and what is recognised."""
+"""The codecs of the chain's messages and records: wire and stored forms, and rejection of other input."""
 
 from typing import Any
 
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(("message", "wire"), MESSAGES)
-def test_a_message_goes_on_the_wire_as_a_list_and_back(message: ChainMessage, wire: list[Any]) -> None:
+def test_a_message_is_encoded_as_a_list_and_decoded(message: ChainMessage, wire: list[Any]) -> None:
     assert message.to_wire() == wire
     assert decode_message(wire) == message
     assert type(decode_message(wire)) is type(message)
@@ -78,12 +78,12 @@
         ["chain-lesson", 3, False, {}],
     ],
 )
-def test_other_kinds_and_malformed_messages_are_not_recognised(wire: list[Any]) -> None:
+def test_other_kinds_and_malformed_messages_are_rejected(wire: list[Any]) -> None:
     assert decode_message(wire) is None
 
 
 @pytest.mark.parametrize("stored", [["view", []], ["entry", 8, ["x"]], ["drop", "7"], ["caught-up", 1]])
-def test_other_kinds_and_malformed_records_are_not_recognised(stored: list[Any]) -> None:
+def test_other_kinds_and_malformed_records_are_rejected(stored: list[Any]) -> None:
     assert decode_record(stored) is None
 
 
--- a/tests/test_core_explorer.py
+++ b/tests/test_core_explorer.py
@@ -1,4 +1,4 @@
-"""Random schedules over whole cores, and for each guard that is taken out a schedule that shows it.
+"""Random fault schedules over complete cores; for each safety check that is removed, one must fail.
 
 The default count runs in about a minute on one core; PLUMLINE_SCHEDULES multiplies it.
 """
@@ -22,24 +22,24 @@
 from tests.core_register import ViolationError
 from tests.core_schedule import explore
 
-TIMES = float(os.environ.get("PLUMLINE_SCHEDULES", "1"))
+SCHEDULE_MULTIPLIER = float(os.environ.get("PLUMLINE_SCHEDULES", "1"))
 
 
 @pytest.mark.parametrize(
     ("size", "schedules", "seconds"), [(3, 500, 8.0), (4, 150, 8.0), (5, 150, 8.0), (3, 60, 30.0)]
 )
-def test_explorer_finds_nothing(size: int, schedules: int, seconds: float) -> None:
-    count = max(1, int(schedules * TIMES))
+def test_random_schedules_violate_no_invariant(size: int, schedules: int, seconds: float) -> None:
+    count = max(1, int(schedules * SCHEDULE_MULTIPLIER))
     counts = explore(range(count), size, seconds=seconds)
     print(size, dict(counts))
     assert counts["schedules"] == count
-    assert counts["acknowledged"] > 2 * count  # else it explored nothing
+    assert counts["acknowledged"] > 2 * count  # otherwise the schedules tested nothing
     assert counts["reads"] > count
     assert counts["views"] > count
     assert counts["wipe"] > count / 4
 
 
-# Guards taken out. Each is a core with one part exchanged.
+# Mutations. Each replaces one part of a core by a class without one safety check.
 
 
 class CommitsAnywhere(ChainReplica):
@@ -61,7 +61,7 @@
         answer(self.state if self.is_tail() and self.caught_up else None)
 
 
-class KeepsWhatToDrop(ReplicaStorage):
+class DiscardsNothing(ReplicaStorage):
     def discard_after(self, number: int) -> None:
         pass
 
@@ -119,43 +119,47 @@
             self.environment.send(each, ["found-ask", self.query_id])
 
 
-def exchange(part: str, kind: type) -> Callable[[Core], None]:
+def replace_part(part: str, kind: type) -> Callable[[Core], None]:
     def mutate(core: Core) -> None:
         attrgetter(part)(core).__class__ = kind
 
     return mutate
 
 
-def guards() -> Iterator[Any]:
-    chains = (
+def mutations() -> Iterator[Any]:
+    chain_mutations = (
         CommitsAnywhere,
         CaughtUpAtOnce,
         ReadsWithoutAsking,
         CommitsWithAnyCopies,
     )
-    views = (
+    view_mutations = (
         PromisesAnything,
         AcceptsLowerNumbers,
         ReportsNothingAccepted,
         OneVoteLess,
         AnyoneAccepts,
     )
-    for kind in chains:
-        more = {"seeds": 1} if kind is CommitsWithAnyCopies else {}  # so the chain begins with one member
-        yield pytest.param({"mutate": exchange("chain", kind), **more}, id=kind.__name__)
-    yield pytest.param({"mutate": exchange("chain.storage", KeepsWhatToDrop)}, id=KeepsWhatToDrop.__name__)
-    for kind in views:
-        yield pytest.param({"mutate": exchange("view_agreement", kind)}, id=kind.__name__)
+    for kind in chain_mutations:
+        options = (
+            {"seeds": 1} if kind is CommitsWithAnyCopies else {}
+        )  # so that the chain starts with one member
+        yield pytest.param({"mutate": replace_part("chain", kind), **options}, id=kind.__name__)
     yield pytest.param(
-        {"mutate": exchange("bootstrap", CreatesViewWithAMajority)}, id=CreatesViewWithAMajority.__name__
+        {"mutate": replace_part("chain.storage", DiscardsNothing)}, id=DiscardsNothing.__name__
+    )
+    for kind in view_mutations:
+        yield pytest.param({"mutate": replace_part("view_agreement", kind)}, id=kind.__name__)
+    yield pytest.param(
+        {"mutate": replace_part("bootstrap", CreatesViewWithAMajority)}, id=CreatesViewWithAMajority.__name__
     )
     yield pytest.param({"sync_first": False}, id="TellsBeforeSync")
     yield pytest.param({"identity_first": False, "first": 1400}, id="TellsItsIncarnationBeforeSync")
 
 
-@pytest.mark.parametrize("guard", list(guards()))
-def test_explorer_finds_what_a_guard_is_for(guard: dict[str, Any]) -> None:
-    first = guard.pop("first", 0)  # the seed to begin with, where it would take long from 0
+@pytest.mark.parametrize("mutation", list(mutations()))
+def test_random_schedules_detect_each_mutation(mutation: dict[str, Any]) -> None:
+    first = mutation.pop("first", 0)  # the first seed, set where a search from 0 would take long
     with pytest.raises(ViolationError) as caught:
-        explore(range(first, first + 4000), 3, seconds=8.0, **guard)
+        explore(range(first, first + 4000), 3, seconds=8.0, **mutation)
     print(caught.value)
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Chain replication by hand: what is acknowledged is on every member's disk, and stays."""
+"""Chain replication in directed schedules: an acknowledged change is on every member's disk, and stays."""
 
 from collections.abc import Callable
 from typing import Any
@@ -21,33 +21,33 @@
 
 
 def submit(world: World, name: str, change: list[Any]) -> list[Any]:
-    told: list[Any] = []
-    world.submit(world.nodes[name], change, told.append)
-    return told
+    results: list[Any] = []
+    world.submit(world.nodes[name], change, results.append)
+    return results
 
 
 def test_an_entry_is_synced_on_all_members_before_the_answer() -> None:
     world = formed()
-    world.syncs = (0.1,)
-    told = submit(world, "a", world.change(0))
+    world.sync_delays = (0.1,)
+    results = submit(world, "a", world.change(0))
     seen: list[tuple[int, bool]] = []
-    while not told:
+    while not results:
         world.go(0.01)
-        seen.append((sum("c1" in on_disk(node) for node in world.nodes.values()), bool(told)))
+        seen.append((sum("c1" in on_disk(node) for node in world.nodes.values()), bool(results)))
     assert {copies for copies, answered in seen if not answered} == {0, 1, 2, 3} - {
         3 if (3, False) not in seen else -1
     }
     assert {copies for copies, answered in seen if answered} == {3}
-    assert told == [None]
+    assert results == [None]
 
 
 def test_a_chain_with_too_few_replicas_acknowledges_nothing() -> None:
     world = formed()
     for name in "bc":
         world.crash(world.nodes[name])
-    told = submit(world, "a", world.change(0))
+    results = submit(world, "a", world.change(0))
     world.go(20.0)
-    assert told == [] or isinstance(told[0], UnavailableError)
+    assert results == [] or isinstance(results[0], UnavailableError)
     assert not world.committed
     for name in "bc":
         world.start(world.nodes[name])
@@ -58,7 +58,7 @@
 def test_the_head_is_lost_with_an_entry_that_it_did_not_forward() -> None:
     world = formed()
     world.split("a", "bc")
-    told = submit(world, "a", world.change(0))
+    results = submit(world, "a", world.change(0))
     world.go(3.0)
     world.put(0, at="b")
     assert "c1" in on_disk(world.nodes["a"])
@@ -67,8 +67,8 @@
     assert world.chain()[-1] == "a"
     assert world.ids("a") == ("c2",)
     assert "c1" not in on_disk(world.nodes["a"])
-    assert len(told) == 1
-    assert isinstance(told[0], UnavailableError)
+    assert len(results) == 1
+    assert isinstance(results[0], UnavailableError)
 
 
 def test_a_discarded_entry_stays_discarded_after_a_restart() -> None:
@@ -90,9 +90,9 @@
     world = formed()
     world.put(0)
     world.crash(world.nodes[name])
-    told = submit(world, "a", world.change(1))
-    assert world.go(5.0, lambda: bool(told))
-    assert told == [None]
+    results = submit(world, "a", world.change(1))
+    assert world.go(5.0, lambda: bool(results))
+    assert results == [None]
     world.start(world.nodes[name])
     world.settle()
     assert world.ids(name) == ("c1", "c2")
@@ -124,7 +124,7 @@
     world.go(2.5)
     world.put(1)
     answers: list[Any] = []
-    world.at(0.0, lambda: world.guard(c, c.life, lambda: c.core.chain.read(answers.append)))
+    world.at(0.0, lambda: world.call_if_running(c, c.generation, lambda: c.core.chain.read(answers.append)))
     world.go(3.0)
     assert answers in ([], [None])
 
@@ -173,11 +173,11 @@
     world = formed()
     for number in range(5):
         world.put(number)
-    told = submit(world, "a", world.change(5))
+    results = submit(world, "a", world.change(5))
     world.go(0.003)
     for node in world.nodes.values():
         world.crash(node, keep=0 if unsynced_lost else 99)
-    assert not told
+    assert not results
     for node in world.nodes.values():
         world.start(node)
     world.settle()
@@ -186,7 +186,7 @@
     assert len({world.ids(name) for name in "abc"}) == 1
 
 
-def test_a_wiped_member_comes_back_under_a_new_incarnation_with_all() -> None:
+def test_a_wiped_member_rejoins_with_a_new_incarnation_and_all_entries() -> None:
     world = formed()
     for number in range(3):
         world.put(number)
@@ -194,21 +194,21 @@
         world.wipe(world.nodes[name])
         world.start(world.nodes[name])
         world.settle()
-        assert world.nodes[name].me in world.newest.chain
+        assert world.nodes[name].member in world.newest.chain
     world.put(3)
     assert world.ids("a") == ("c1", "c2", "c3", "c4")
 
 
-def test_a_repeated_change_is_answered_once_more_with_no_effect() -> None:
+def test_a_repeated_change_is_acknowledged_again_without_effect() -> None:
     world = formed()
     change = world.put(0)
     world.put(1)
     assert submit(world, "a", change) == [None]
-    told = submit(world, "a", third := world.change(2))
+    results = submit(world, "a", third := world.change(2))
     again = submit(world, "a", third)
-    assert (told, again) == ([], [])
+    assert (results, again) == ([], [])
     world.go(0.1)
-    assert (told, again) == ([None], [None])
+    assert (results, again) == ([None], [None])
     assert world.ids("a") == ("c1", "c2", "c3")
 
 
@@ -222,16 +222,16 @@
 
 
 def test_a_removed_head_refuses_nothing() -> None:
-    """What it would refuse may be in force already, or be the best there is."""
+    """The change that it would refuse by an older state may be committed already, or be valid."""
     world = formed()
     world.put(0)
     world.split("a", "bc")
     world.go(3.0)
     world.put(1, at="b")
     change = world.put(2, at="b")
-    told = submit(world, "a", change)
+    results = submit(world, "a", change)
     world.go(5.0)
-    assert not any(isinstance(error, VersionConflictError) for error in told)
+    assert not any(isinstance(error, VersionConflictError) for error in results)
 
 
 def test_a_late_snapshot_reverts_nothing() -> None:
@@ -254,7 +254,7 @@
     assert len(on_disk(b)) == 5
 
 
-def test_records_restore_to_the_same() -> None:
+def test_records_restore_the_same_content() -> None:
     world = formed()
     for number in range(6):
         world.put(number)
@@ -286,7 +286,7 @@
 
 
 class Recorder:
-    """Effects that sync each record at once and keep it."""
+    """An environment that syncs each record at once and stores it."""
 
     def __init__(self) -> None:
         self.records: list[list[Any]] = []
@@ -306,14 +306,14 @@
 
 
 def test_a_removed_member_keeps_what_may_be_committed_and_discards_it_as_it_joins_again() -> None:
-    """Also if it ended before the drop was on its disk, and if its file was rewritten meanwhile."""
+    """Also if its process ended before the discard was on disk, or if its file was rewritten before."""
     a, b, c = Member("a", "a-1"), Member("b", "b-1"), Member("c", "c-1")
     recorder = Recorder()
     chain = chain_of(recorder)
     chain.install_view(View(1, (a, b, c), (a, b)))
     chain.submit(["set", 0, "c1"], lambda error: None)
     chain.install_view(View(2, (a, b, c), (b, c)))
-    assert (chain.last_index, chain.committed_index) == (1, 0)  # b may commit it yet
+    assert (chain.last_index, chain.committed_index) == (1, 0)  # b may still commit it
     for records in (list(recorder.records), chain.records()):
         again = chain_of(Recorder())
         for record in records:
--- a/tests/test_rollout_durability.py
+++ b/tests/test_rollout_durability.py
@@ -74,15 +74,15 @@
         assert node.core is not None
         node.core.campaign(self.now + node.offset, LEASE)
         steering = RolloutSteering(RegistrarEnvironment(self, node), lambda: self.now + node.offset)
-        self.steer(node, node.life, steering)
+        self.steer(node, node.generation, steering)
 
     def steer(self, node: Node, life: int, steering: RolloutSteering) -> None:
         def step() -> None:
             steering.step()
-            self.after(node)
+            self.after_step(node)
             self.at(STEP_S, lambda: self.steer(node, life, steering))
 
-        self.guard(node, life, step)
+        self.call_if_running(node, life, step)
 
     def configured(self) -> "SteeredWorld":
         self.settle()
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots between registrars: chunks requested one by one, over links that lose, duplicate and reorder."""
+"""Snapshot transfer: chunks are requested one by one, over links that lose, duplicate and reorder them."""
 
 import random
 from collections import Counter
@@ -36,12 +36,12 @@
 
 
 def transferred(receiver: SnapshotReceiver, sender: SnapshotSender) -> tuple[Any, int]:
-    """The state that arrives in wire form, and how many chunks were requested."""
+    """Return the received state in wire form, and how many chunks were requested."""
     for requests in range(1, 10_000):
         complete = receiver.add(sender.chunk_for(0.0, receiver.next_request()))
         if complete is not None:
             return complete.unpack(), requests
-    raise AssertionError("it never ends")
+    raise AssertionError("the transfer does not complete")
 
 
 def test_a_snapshot_takes_as_many_chunks_as_its_size_needs() -> None:
@@ -72,7 +72,7 @@
                 if complete is not None:
                     assert complete.unpack() == wire_of(size, complete.id.index)
                     return
-        raise AssertionError("it never ends")
+        raise AssertionError("the transfer does not complete")
 
 
 def test_a_transfer_resumes_with_another_sender_of_the_same_snapshot() -> None:
@@ -88,16 +88,16 @@
 
 
 def test_one_snapshot_serves_all_receivers_and_is_freed_when_idle() -> None:
-    made = []
+    snapshots_made = []
 
     def state() -> tuple[int, Any]:
-        made.append(1)
+        snapshots_made.append(1)
         return 7, wire_of(300_000)
 
     sender = SnapshotSender(state, lambda index: True)
     for _ in range(5):
         transferred(SnapshotReceiver(), sender)
-    assert len(made) == 1
+    assert len(snapshots_made) == 1
     sender.tick(SNAPSHOT_IDLE_S - 0.1)
     assert sender.cached is not None
     sender.tick(SNAPSHOT_IDLE_S + 0.1)
@@ -169,7 +169,7 @@
 
 @pytest.fixture
 def small_chunks() -> Iterator[None]:
-    """So small that every state takes several, as an explored one is only a few names."""
+    """Make chunks so small that even the short states of random schedules need several of them."""
     with (
         patch.object(transfer_module, "CHUNK_BYTES", 12),
         patch.object(flow_control_module, "WINDOW_BYTES", 40),
@@ -180,13 +180,13 @@
 
 @pytest.mark.usefixtures("small_chunks")
 @pytest.mark.parametrize("size", [3, 5])
-def test_explorer_finds_nothing_where_snapshots_take_many_chunks(size: int) -> None:
+def test_random_schedules_with_many_chunks_per_snapshot_violate_no_invariant(size: int) -> None:
     counts = explore(range(50_000, 50_080), size, seconds=8.0)
     assert counts["acknowledged"] > 160
 
 
 def bytes_of(world: World, *kinds: str) -> Counter[str]:
-    """Bytes that each machine was sent in messages of these kinds, since `spy` was set."""
+    """Return the bytes sent to each machine in messages of these kinds since `spy` was set."""
     found: Counter[str] = Counter()
     for _, _, to, message in world.seen:
         if message[0] in kinds:
@@ -197,8 +197,8 @@
 TRANSFER = ("chain-entry", "chain-piece", "chain-lesson")
 
 
-class Thin:
-    """Gives each link of a world a rate: a message takes its bytes' time, after those before it."""
+class LimitedRateLinks:
+    """Limits the rate of each link: a message is delayed by its size and by the messages queued before it."""
 
     def __init__(self, world: World, bytes_per_s: float) -> None:
         self.world, self.rate, self.free_at = world, bytes_per_s, {}
@@ -206,7 +206,7 @@
 
     def delayed(self, sender: str, to: str, message: list[Any]) -> None:
         size = len(ormsgpack.packb(message))
-        if message[0] not in TRANSFER:  # small ones pass between chunks
+        if message[0] not in TRANSFER:  # small messages are sent between chunks
             self.send(sender, to, message)
             return
         start = max(self.free_at.get((sender, to), 0.0), self.world.now)
@@ -221,20 +221,20 @@
 
 
 def large_change(world: World, length: int) -> list[Any]:
-    """A change whose name is long and does not compress."""
+    """Return a change whose name is long and does not compress."""
     change = world.change(len(world.ids(world.chain()[0])))
-    return [*change[:2], change[2] + random.Random(world.names).randbytes(length // 2).hex()]
+    return [*change[:2], change[2] + random.Random(world.change_count).randbytes(length // 2).hex()]
 
 
 def put_large(world: World, length: int) -> None:
-    told: list[Any] = []
-    world.submit(world.nodes[world.chain()[0]], large_change(world, length), told.append)
-    assert world.go(30.0, lambda: bool(told))
-    assert told == [None]
+    results: list[Any] = []
+    world.submit(world.nodes[world.chain()[0]], large_change(world, length), results.append)
+    assert world.go(30.0, lambda: bool(results))
+    assert results == [None]
 
 
-def without(name: str, changes: int, length: int) -> World:
-    """A world whose named machine is away while so many changes of this length are made."""
+def world_with_absent_machine(name: str, changes: int, length: int) -> World:
+    """Return a world in which this machine is down while this number of changes of this length are made."""
     world = formed()
     world.crash(world.nodes[name])
     assert world.go(3.0, lambda: name not in world.chain())
@@ -243,8 +243,8 @@
     return world
 
 
-def holds_nothing_early(world: World, node: Node, wanted: int) -> None:
-    """While it lacks something, the machine neither answers a read nor takes a change nor counts as fresh."""
+def assert_not_serving_while_behind(world: World, node: Node, wanted: int) -> None:
+    """Check that a machine that lacks changes answers no read, accepts no change and isn't up to date."""
     core = node.core
     if core is None or len(core.chain.state.ids) >= wanted:
         return
@@ -252,15 +252,15 @@
     world.read(node, answers.append)
     assert answers in ([], [None])
     assert not core.is_up_to_date(world.now + node.offset)
-    told: list[Any] = []
-    world.submit(node, world.change(len(core.chain.state.ids)), told.append)
-    assert not told or isinstance(told[0], UnavailableError)
+    results: list[Any] = []
+    world.submit(node, world.change(len(core.chain.state.ids)), results.append)
+    assert not results or isinstance(results[0], UnavailableError)
 
 
 @pytest.mark.parametrize("wiped", [False, True])
 @pytest.mark.parametrize("name", "abc")
-def test_a_member_that_was_away_for_a_thousand_changes_gets_one_snapshot(name: str, wiped: bool) -> None:
-    world = without(name, 1000, 200)
+def test_a_member_that_was_down_for_a_thousand_changes_gets_one_snapshot(name: str, wiped: bool) -> None:
+    world = world_with_absent_machine(name, 1000, 200)
     other = world.chain()[0]
     state = len(Snapshot.pack(1, world.nodes[other].core.chain.state.to_wire()).data)
     world.spy = True
@@ -270,47 +270,47 @@
     world.start(world.nodes[name])
     while len(world.chain()) < 3:
         world.go(0.02)
-        holds_nothing_early(world, world.nodes[name], 1000)
+        assert_not_serving_while_behind(world, world.nodes[name], 1000)
         assert world.now < began + 6.0
     world.settle()
-    taken = bytes_of(world, *TRANSFER)[name]
-    print("bytes", taken, "state", state, "seconds", round(world.now - began, 2))
-    assert taken < 1.1 * state + 2 * catch_up_module.CATCH_UP_BATCH_BYTES
+    received_bytes = bytes_of(world, *TRANSFER)[name]
+    print("bytes", received_bytes, "state", state, "seconds", round(world.now - began, 2))
+    assert received_bytes < 1.1 * state + 2 * catch_up_module.CATCH_UP_BATCH_BYTES
     assert world.ids(name) == world.ids(other)
 
 
-def test_changes_of_a_megabyte_leave_a_bounded_log_and_come_once() -> None:
-    world = without("c", 12, 1_000_000)
+def test_the_log_stays_bounded_with_large_changes_and_each_is_sent_once() -> None:
+    world = world_with_absent_machine("c", 12, 1_000_000)
     for name in "ab":
         assert world.nodes[name].core.chain.log.size_bytes() <= storage_module.RETAINED_BYTES
     world.spy = True
     world.start(world.nodes["c"])
     world.settle()
-    taken = bytes_of(world, *TRANSFER)["c"]
+    received_bytes = bytes_of(world, *TRANSFER)["c"]
     state = 12_000_000
-    print("bytes", taken)
-    assert taken < 1.2 * state
+    print("bytes", received_bytes)
+    assert received_bytes < 1.2 * state
     assert world.ids("c") == world.ids("a")
 
 
 def test_over_a_slow_link_a_snapshot_takes_the_time_of_its_bytes() -> None:
-    world = without("c", 600, 4_000)
-    Thin(world, 625_000)
+    world = world_with_absent_machine("c", 600, 4_000)
+    LimitedRateLinks(world, 625_000)
     world.spy = True
     began = world.now
     world.start(world.nodes["c"])
     world.settle(within=20.0)
     state = len(Snapshot.pack(1, world.nodes["a"].core.chain.state.to_wire()).data)
-    taken, took = bytes_of(world, *TRANSFER)["c"], world.now - began
-    print("bytes", taken, "state", state, "seconds", round(took, 2))
+    received_bytes, duration_s = bytes_of(world, *TRANSFER)["c"], world.now - began
+    print("bytes", received_bytes, "state", state, "seconds", round(duration_s, 2))
     assert state > 1_000_000
-    assert taken < 1.2 * state
-    assert took < state / 625_000 + 4.0
+    assert received_bytes < 1.2 * state
+    assert duration_s < state / 625_000 + 4.0
 
 
 def test_a_partitioned_transfer_resumes_where_it_was() -> None:
-    world = without("c", 600, 4_000)
-    Thin(world, 625_000)
+    world = world_with_absent_machine("c", 600, 4_000)
+    LimitedRateLinks(world, 625_000)
     world.spy = True
     c = world.nodes["c"]
     world.start(c)
@@ -320,16 +320,16 @@
     world.cut = set()
     world.settle(within=20.0)
     state = len(Snapshot.pack(1, world.nodes["a"].core.chain.state.to_wire()).data)
-    taken = bytes_of(world, *TRANSFER)["c"]
-    print("bytes", taken, "state", state)
-    assert taken < 1.3 * state
+    received_bytes = bytes_of(world, *TRANSFER)["c"]
+    print("bytes", received_bytes, "state", state)
+    assert received_bytes < 1.3 * state
     assert world.ids("c") == world.ids("a")
 
 
 def test_a_learner_is_admitted_only_when_nearly_caught_up() -> None:
-    """Else the chain could commit nothing until a new tail has all that it lacks."""
-    world = without("c", 100, 10_000)  # fewer than a learner may lack by count
-    Thin(world, 125_000)
+    """Otherwise the chain could not commit until the new tail has received all that it lacks."""
+    world = world_with_absent_machine("c", 100, 10_000)  # fewer entries than a learner may lack by count
+    LimitedRateLinks(world, 125_000)
     world.start(world.nodes["c"])
     most = 0
     while "c" not in world.chain():
@@ -341,24 +341,24 @@
 
 def test_a_slow_successor_is_sent_no_more_than_its_window() -> None:
     world = formed()
-    Thin(world, 625_000)
+    LimitedRateLinks(world, 625_000)
     world.spy = True
-    told: list[Any] = []
+    results: list[Any] = []
     names: list[str] = list(world.ids("a"))
     head = world.nodes[world.chain()[0]]
     for _ in range(40):
         change = ["set", len(names), f"x{len(names)}" + random.Random(len(names)).randbytes(50_000).hex()]
         names.append(change[2])
-        world.submit(head, change, told.append)
+        world.submit(head, change, results.append)
     most = 0
-    while len(told) < 40:
+    while len(results) < 40:
         assert world.now < 60.0
         world.go(0.005)
         chain = head.core.chain
         window = chain.send_window
         sent = chain.log.bytes_between(window.acknowledged_index, window.sent_index)
         most = max(most, sent)
-    assert told == [None] * 40
+    assert results == [None] * 40
     assert flow_control_module.WINDOW_BYTES // 2 < most <= flow_control_module.WINDOW_BYTES
     for name in "bc":
         sent = bytes_of(world, *TRANSFER)[name]
@@ -372,7 +372,7 @@
         world = formed()
         for number in range(4):
             world.put(number)
-        world.split("a", "b")  # b hears nothing of a, and is not taken out at once
+        world.split("a", "b")  # b receives nothing from a, and is not removed at once
         world.cut = {("a", "b")}
         world.cut = set()
         world.crash(world.nodes["c"])
--- a/tests/test_soft_state.py
+++ b/tests/test_soft_state.py
@@ -1,19 +1,19 @@
-"""Versioned soft state, also between two holders of a lease whose terms overlap."""
+"""Versioned soft state, also with two lease holders whose terms overlap."""
 
 from plumline.coordination.soft_state import SoftState
 
 
-def test_a_holder_whose_term_is_over_publishes_nothing_more() -> None:
+def test_a_holder_whose_term_has_ended_can_not_publish() -> None:
     earlier, later = SoftState(), SoftState()
     version = later.next_version("marks", 2)
     assert version == (2, 1) and later.update("marks", version, "new")
-    assert earlier.next_version("marks", 1) == (1, 1)  # it has not heard of the later one yet
+    assert earlier.next_version("marks", 1) == (1, 1)  # it does not know the later term yet
     assert earlier.update("marks", version, "new")
     assert earlier.next_version("marks", 1) is None
     assert earlier.get("marks") == "new"
 
 
-def test_a_late_value_of_an_earlier_holder_is_ignored() -> None:
+def test_a_late_value_of_an_earlier_term_is_ignored() -> None:
     state = SoftState()
     assert state.update("roster", (2, 1), "new")
     assert not state.update("roster", (1, 40), "old")
--- a/tests/test_stale_messages.py
+++ b/tests/test_stale_messages.py
@@ -1,5 +1,5 @@
-"""A message of an older view, or an answer from a chain that is over: directed schedules that hold one back
-for as long as it takes, each with the guard and without it."""
+"""Messages of an older view, or replies of a replaced chain, that arrive late: directed schedules, each run
+with the check that guards against them and without it."""
 
 from typing import Any
 
@@ -20,8 +20,8 @@
     return world
 
 
-def with_a_member_that_lacks_entries(**kwargs: Any) -> World:  # noqa: ANN401
-    """The chain is a, b and c; c lacks the newest change, as what is sent to it is lost."""
+def world_with_lagging_member(**kwargs: Any) -> World:  # noqa: ANN401
+    """The chain is a, b and c; c lacks the newest change, as the messages with it are lost."""
     world = formed(**kwargs)
     world.put(0)
     world.crash(world.nodes["c"])
@@ -32,11 +32,11 @@
     assert world.go(2.0, lambda: replica.status() is ReplicaStatus.LEARNER_NEARLY_CAUGHT_UP)
     send = world.send
 
-    def send_nothing_more_to_c(sender: str, to: str, message: list[Any]) -> None:
+    def drop_entries_to_c(sender: str, to: str, message: list[Any]) -> None:
         if to != "c" or message[0] not in ("chain-entry", "chain-floor", "chain-lesson"):
             send(sender, to, message)
 
-    world.send = send_nothing_more_to_c  # type: ignore[method-assign]
+    world.send = drop_entries_to_c  # type: ignore[method-assign]
     world.put(2)
     assert world.go(5.0, lambda: world.chain() == "abc")
     world.go(1.0)
@@ -44,7 +44,7 @@
 
 
 def read_after_a_stale_target(world: World) -> list[Any]:
-    """The catch-up target that b sent in view 1 reaches c now."""
+    """The catch-up target that b sent in view 1 reaches c late; then c is read."""
     world.deliver("b", "c", ["chain-floor", 1, 1])
     world.go(1.0)
     answers: list[Any] = []
@@ -54,21 +54,21 @@
 
 
 def test_a_catch_up_target_of_an_older_view_makes_nobody_caught_up() -> None:
-    assert read_after_a_stale_target(with_a_member_that_lacks_entries()) == [None]
+    assert read_after_a_stale_target(world_with_lagging_member()) == [None]
 
 
-def test_without_the_views_number_a_stale_target_shows_an_older_state() -> None:
-    world = with_a_member_that_lacks_entries(**mutation("TakesReportsOfAnyView"))
+def test_without_the_view_number_check_a_stale_target_exposes_an_older_state() -> None:
+    world = world_with_lagging_member(**mutation("TakesReportsOfAnyView"))
     with pytest.raises(ViolationError):
         read_after_a_stale_target(world)
 
 
 def commit_after_a_stale_entry(world: World) -> list[Any]:
-    """An entry that the head of view 1 ordered, and that b sent on, reaches c in a view with another head."""
+    """An entry of the head of view 1, forwarded by b, reaches c in a view with another head."""
     world.put(0)
     world.split("a", "bc")
     assert world.go(5.0, lambda: world.chain() == "bc")
-    world.go(0.5)  # both are in that view
+    world.go(0.5)  # until both have installed that view
     stale = world.change(1)
     world.deliver("b", "c", ["chain-entry", 1, 2, stale])
     world.go(0.2)
@@ -76,7 +76,7 @@
     return stale
 
 
-def test_an_entry_of_an_older_view_is_not_taken() -> None:
+def test_an_entry_of_an_older_view_is_ignored() -> None:
     world = formed()
     stale = commit_after_a_stale_entry(world)
     world.go(1.0)
@@ -84,38 +84,38 @@
     assert stale[2] not in world.ids("c")
 
 
-def test_without_the_views_number_a_stale_entry_makes_replicas_differ() -> None:
+def test_without_the_view_number_check_a_stale_entry_makes_replicas_differ() -> None:
     world = formed(**mutation("TakesEntriesOfAnyView"))
     with pytest.raises(ViolationError):
         commit_after_a_stale_entry(world)
 
 
 def refusal_by_a_head_that_was_removed(world: World) -> list[Any]:
-    """What a, cut off and still the head of view 1, answers to a change that builds on a newer state."""
+    """What a, partitioned and still the head of view 1, replies to a change based on a newer state."""
     world.put(0)
     world.split("a", "bc")
     assert world.go(5.0, lambda: world.chain() == "bc")
     world.put(1)
-    told: list[Any] = []
+    results: list[Any] = []
     change = world.change(2)
-    world.submit(world.nodes["a"], change, told.append)
+    world.submit(world.nodes["a"], change, results.append)
     world.go(0.5)
     world.submit(world.nodes["b"], change)  # the operator's next attempt
     world.go(1.0)
-    return told
+    return results
 
 
 def test_a_head_that_was_removed_refuses_nothing() -> None:
-    told = refusal_by_a_head_that_was_removed(formed())
-    assert not any(isinstance(error, VersionConflictError) for error in told)
+    results = refusal_by_a_head_that_was_removed(formed())
+    assert not any(isinstance(error, VersionConflictError) for error in results)
 
 
-def test_without_asking_a_majority_a_change_is_refused_and_in_force() -> None:
+def test_without_confirmation_of_the_view_a_change_is_refused_and_committed() -> None:
     with pytest.raises(ViolationError):
         refusal_by_a_head_that_was_removed(formed(**mutation("RefusesWithoutAsking")))
 
 
-def test_a_read_whose_question_to_the_acceptors_is_lost_is_answered_all_the_same() -> None:
+def test_a_read_is_answered_although_its_first_view_check_is_lost() -> None:
     world = formed()
     world.put(0)
     stop = lose(world, "view-check")
@@ -127,7 +127,7 @@
     assert [state.ids for state in answers] == [("c1",)]
 
 
-def test_a_question_that_nobody_answers_is_given_up() -> None:
+def test_a_view_check_without_replies_is_denied_after_the_timeout() -> None:
     world = formed()
     world.put(0)
     lose(world, "view-check")
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -48,7 +48,7 @@
 def test_dueling_proposers_decide_one_view() -> None:
     for seed in range(30):
         world = formed(seed)
-        world.jitter = 0.01
+        world.jitter_s = 0.01
         view, now = world.newest, world.now
         for name, gone in (("a", "b"), ("c", "a"), ("b", "c")):
             core = world.nodes[name].core
@@ -59,7 +59,7 @@
 
 def test_promise_and_acceptance_are_synced_before_they_are_told() -> None:
     world = formed()
-    world.spy, world.syncs = True, (0.1,)
+    world.spy, world.sync_delays = True, (0.1,)
     a, view = world.nodes["a"], world.newest
     prepare = ["view-prepare", 2, [7, "b"]]
     accept = ["view-accept", 2, [7, "b"], without(view, "c").to_wire()]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -66,7 +66,7 @@
 
     def config(self, node: Node) -> CoreConfig:
         [domain] = domains(self.layout[node.name[0]])
-        return CoreConfig(node.me, self.seeds, 2, True, {}, domain, zone_losses=1)
+        return CoreConfig(node.member, self.seeds, 2, True, {}, domain, zone_losses=1)
 
 
 def test_acceptors_that_began_in_one_zone_are_spread_one_exchange_a_view() -> None:
@@ -90,10 +90,10 @@
     world.settle("abcde", within=20.0)
     world.put(0)
     assert not world.nodes["a"].core.membership.chains.survives_losses(
-        world.newest, tuple(world.nodes[name].me for name in "ab")
+        world.newest, tuple(world.nodes[name].member for name in "ab")
     )
     assert world.nodes["a"].core.membership.chains.survives_losses(
-        world.newest, tuple(world.nodes[name].me for name in "ac")
+        world.newest, tuple(world.nodes[name].member for name in "ac")
     )
 
 
--- a/tests/zone_schedule.py
+++ b/tests/zone_schedule.py
@@ -32,7 +32,7 @@
 
     def config(self, node: Node) -> CoreConfig:
         return CoreConfig(
-            node.me, self.seeds, self.copies, self.first_start, self.leases, self.domain(node.name), 1
+            node.member, self.seeds, self.copies, self.first_start, self.leases, self.domain(node.name), 1
         )
 
     def bears(self, *more: Any) -> bool:  # noqa: ANN401
@@ -44,12 +44,12 @@
     def lost_copies(self) -> int:
         return super().lost_copies() + (1 if self.lost_places() else 0)
 
-    def trouble(self) -> None:
-        if self.troubles_on and self.random.random() < 0.5:
-            self.at(self.random.expovariate(self.troubles_per_s), self.trouble)
+    def inject_fault(self) -> None:
+        if self.faults_enabled and self.random.random() < 0.5:
+            self.at(self.random.expovariate(self.faults_per_s), self.inject_fault)
             self.lose_zone()
         else:
-            super().trouble()
+            super().inject_fault()
 
     def lose_zone(self) -> None:
         zone = self.random.choice(sorted(set(self.layout.values())))
