--- a/plumline/coordination/replica_storage.py
+++ b/plumline/coordination/replica_storage.py
@@ -239,7 +239,7 @@
         """Discard the uncommitted entries if that is pending.
 
         Called once members of a newer chain report what was committed, or when this replica joins that
-        chain. Not as soon as it leaves its chain: the old tail may still commit an entry whose only other
+        chain. Not as soon as it leaves its chain: the old tail may still commit an entry whose other
         copy is here.
         """
         if self.discard_pending:
--- a/plumline/coordination/retry_budget.py
+++ b/plumline/coordination/retry_budget.py
@@ -22,8 +22,8 @@
 RATIO_FRACTION = 0.48  # of the ratio; up to half keeps the limit, the difference is a reserve
 SLACK_FRACTION = 0.8  # of the slack that is shared out between the routers
 ROUTER_MARGIN = 2  # routers that may be running but are not known yet
-#: In windows: earned retries expire after the first, and a share of the slack is spent at most once in the
-#: second. Both leave a tenth of the window for delays between client, router and endpoint.
+#: Fractions of the window: earned retries expire after the first, and a share of the slack limits any period
+#: of the second. Both leave a tenth of the window for delays between client, router and endpoint.
 EARNED_WINDOW_FRACTION = 0.4
 SLACK_WINDOW_FRACTION = 1.1
 
