--- a/tests/core_tolerance.py
+++ b/tests/core_tolerance.py
@@ -132,9 +132,9 @@
         self.observers = [LeaseObserver(name, durations) for name, durations in LEASES.items()]
         self.places = [Place(name) for name in self.nodes]
         self.active_faults = ActiveFaults()
-        self.syncs = self.random.choice([(0.002,), (0.002, 0.01), (0.005, 0.05)])
-        self.jitter = self.random.choice([0.0, 0.004])
-        self.troubles_per_s = self.random.choice([0.3, 1.0, 3.0])
+        self.sync_delays = self.random.choice([(0.002,), (0.002, 0.01), (0.005, 0.05)])
+        self.jitter_s = self.random.choice([0.0, 0.004])
+        self.faults_per_s = self.random.choice([0.3, 1.0, 3.0])
         self.tolerance_exceeded = False  # losses went beyond the tolerance, and not all places are back
         self.killed_until = 0.0  # all machines killed together are back by then
         self.faults_held_until = 0.0  # no fault ends before
@@ -219,26 +219,26 @@
         for lease in self.leases:
             node.core.campaign(self.now + node.offset, lease)
 
-    def after(self, node: Node) -> None:
-        super().after(node)
+    def after_step(self, node: Node) -> None:
+        super().after_step(node)
         for observer in self.observers:
             observer.observe(self.now, self.holders(observer.name))
 
     def holders(self, lease: str) -> list[tuple[Holder, int]]:
         found = []
         for node in self.nodes.values():
-            if node.core and self.now >= node.thaws_at:
+            if node.core and self.now >= node.frozen_until:
                 token = node.core.lease_election.fencing_token(self.now + node.offset, lease)
                 if token is not None:
-                    found.append((Holder(node.name, node.life), token))
+                    found.append((Holder(node.name, node.generation), token))
         return found
 
     # Faults
 
     def inject_random_fault(self) -> None:
-        if not self.troubles_on:
+        if not self.faults_enabled:
             return
-        self.at(self.random.expovariate(self.troubles_per_s), self.inject_random_fault)
+        self.at(self.random.expovariate(self.faults_per_s), self.inject_random_fault)
         [kind] = self.random.choices(list(FAULT_WEIGHTS), FAULT_WEIGHTS.values())
         place = self.choose_place()
         tolerated = kind in FAULTS_WITHOUT_LOSS or (
@@ -386,17 +386,17 @@
 
     def leave(self, node: Node, on_ended: Callable[[], None]) -> None:
         """The process exits after its handover, or after LEAVE_TIMEOUT_S without it."""
-        life, deadline = node.life, self.now + LEAVE_TIMEOUT_S
+        life, deadline = node.generation, self.now + LEAVE_TIMEOUT_S
         if node.core is None:
             on_ended()
             return
         node.core.begin_draining(self.now + node.offset)
 
         def check_handover() -> None:
-            if node.life != life or node.core is None:  # killed meanwhile
+            if node.generation != life or node.core is None:  # killed meanwhile
                 on_ended()
                 return
-            thawed = self.now >= node.thaws_at
+            thawed = self.now >= node.frozen_until
             done = thawed and node.core.pending_handover(self.now + node.offset) is None
             if done or self.now >= deadline:
                 self.counts["handed over" if done else "left without handing over"] += 1
@@ -419,7 +419,7 @@
         old = self.nodes[place.name]
         place.replacing = True
         self.crash(old)
-        old.gone = True
+        old.destroyed = True
         self.begin_fault(place)
 
         def start_successor() -> None:
@@ -453,7 +453,7 @@
 
         def retire() -> None:
             self.crash(old)  # it may have been starting, with no process to drain
-            old.gone = True
+            old.destroyed = True
             place.replacing = False
 
         self.at(self.random.choice([1.0, CATCH_UP_S]), end_old)
@@ -462,7 +462,7 @@
         """Changes the seeds, and reloads the settings of some processes. At least one seed is available, or
         will be: a new machine whose seeds were all removed for good could find no other."""
         available = [each.name for each in self.places if not each.lost(self.now)]
-        available = available or [each.name for each in self.places if not self.nodes[each.name].gone]
+        available = available or [each.name for each in self.places if not self.nodes[each.name].destroyed]
         if not available:
             return
         first = self.random.choice(available)
@@ -491,7 +491,7 @@
             for node in self.nodes.values():
                 if (
                     node.core is None
-                    or self.now < node.thaws_at
+                    or self.now < node.frozen_until
                     or node.core.view_agreement.view != self.newest
                 ):
                     continue
@@ -515,7 +515,7 @@
         for node in self.nodes.values():
             if core := node.core:
                 view = core.view_agreement.view
-                parts.append(f"{node.me[1]} view {view and view.number} caught up {core.chain.caught_up}")
+                parts.append(f"{node.member[1]} view {view and view.number} caught up {core.chain.caught_up}")
         return "; ".join(parts)
 
     def await_leases(self, timeout: float) -> None:
@@ -533,11 +533,11 @@
         try:
             self.form()
             for _ in range(rounds):
-                self.troubles_on = True
+                self.faults_enabled = True
                 self.at(self.random.random(), self.inject_random_fault)
                 self.at(self.random.random(), self.send_random_request)
                 self.go(self.random.uniform(1.0, seconds))
-                self.troubles_on = False
+                self.faults_enabled = False
                 self.check_quiet_period()
             self.finish()
         except (ViolationError, AssertionError, IndexError, KeyError, TypeError, ValueError) as error:
@@ -581,11 +581,11 @@
 
     def send_random_request(self) -> None:
         """Sends a random change or read to the head or tail that a random registrar knows."""
-        if not self.troubles_on:
+        if not self.faults_enabled:
             return
         self.at(self.random.expovariate(6.0), self.send_random_request)
         asked = self.random.choice(list(self.nodes.values()))
-        if asked.core is None or self.now < asked.thaws_at:
+        if asked.core is None or self.now < asked.frozen_until:
             return
         to = asked.core.tail_address() if self.random.random() < 0.4 else asked.core.head_address()
         if not to or self.is_cut(asked.name, to):
--- a/tests/test_activation.py
+++ b/tests/test_activation.py
@@ -239,7 +239,7 @@
         kinds = [record[0] for record in world.nodes["a"].disk]
         if f"{record_kind}-base" in kinds:
             assert kinds[kinds.index(f"{record_kind}-base") + 1] == record_kind
-    restored = ViewAgreement(world.nodes["a"].me, None, lambda view: None)  # type: ignore[arg-type]
+    restored = ViewAgreement(world.nodes["a"].member, None, lambda view: None)  # type: ignore[arg-type]
     for record in world.nodes["a"].core.view_agreement.records():
         assert decode_record(record) is not None
         restored.restore(record)
@@ -288,7 +288,9 @@
 def test_schedules_detect_a_removed_activation_guard(guard: str, first: int) -> None:
     """`first`: the first seed; starting from 0 would take long."""
     with pytest.raises(ViolationError) as caught:
-        explore_schedules(range(first, first + 40), 3, seconds=30.0, any_wipe=True, **mutation(guard))
+        explore_schedules(
+            range(first, first + 40), 3, seconds=30.0, unrestricted_wipes=True, **mutation(guard)
+        )
     print(caught.value)
 
 
@@ -297,7 +299,7 @@
     """Other machines are killed, frozen and cut off meanwhile. Before views were activated, the core did not
     recover in one schedule of eighty."""
     counts = explore_schedules(
-        range(2060, 2060 + 150 // size), size, seconds=30.0, any_wipe=True, copies=(size + 1) // 2
+        range(2060, 2060 + 150 // size), size, seconds=30.0, unrestricted_wipes=True, copies=(size + 1) // 2
     )
     print(size, dict(counts))
     assert counts["wipe"] > counts["schedules"]
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -48,7 +48,7 @@
 def test_dueling_proposers_decide_one_view() -> None:
     for seed in range(30):
         world = settled_world(seed)
-        world.jitter = 0.01
+        world.jitter_s = 0.01
         view, now = world.newest, world.now
         for name, excluded in (("a", "b"), ("c", "a"), ("b", "c")):
             core = world.nodes[name].core
@@ -61,7 +61,7 @@
 
 def test_promise_and_acceptance_are_synced_before_they_are_sent() -> None:
     world = settled_world()
-    world.spy, world.syncs = True, (0.1,)
+    world.spy, world.sync_delays = True, (0.1,)
     a, view = world.nodes["a"], world.newest
     prepare = ["view-prepare", 2, [7, "b"]]
     accept = ["view-accept", 2, [7, "b"], successor_without(view, "c").to_wire()]
