--- a/plumline/registrar/rollout/__init__.py
+++ b/plumline/registrar/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-out of model versions to endpoints: the singleton job of the `weights` lease's holder."""
+"""Roll-out of model versions to endpoints: a singleton job of the holder of the `weights` lease."""
--- a/plumline/registrar/rollout/loop.py
+++ b/plumline/registrar/rollout/loop.py
@@ -1,4 +1,4 @@
-"""The reconcile loop of the roll-out: carries out the plan's steps while the `weights` lease is held."""
+"""The reconcile loop of the roll-out: executes the steps of the plan while the `weights` lease is held."""
 
 import asyncio
 import time
@@ -14,17 +14,17 @@
 from plumline.wire import calls
 from plumline.wire.calls import Caller, CallFailedError, CallWithdrawnError
 
-ACTIVE_INTERVAL_S = 0.25  # between two looks while a roll-out is in progress
-IDLE_INTERVAL_S = 1.0  # between two looks otherwise, unless woken
+ACTIVE_INTERVAL_S = 0.25  # between reconciliations while a roll-out is in progress
+IDLE_INTERVAL_S = 1.0  # between reconciliations otherwise, unless woken
 ORDER_TIMEOUT_S = 1.0
 REPORT_TIMEOUT_S = 0.8
 
 
 class RolloutEnvironment(Protocol):
-    """What the roll-out needs of the registrar that it runs in."""
+    """What the roll-out needs from the registrar that it runs in."""
 
     def fencing_token(self) -> int | None:
-        """The fencing token of the `weights` lease, None unless it is held at this moment."""
+        """The fencing token of the `weights` lease, None unless it is held now."""
 
     def endpoints(self) -> Sequence[ListedEndpoint]:
         """The newest list of endpoints, empty if there is none."""
@@ -33,11 +33,11 @@
         """The committed versions by model."""
 
     def publish(self, states: RolloutStates) -> None:
-        """Publishes the states of all endpoints that routers have to know of, if the lease is still held."""
+        """Publishes the states that routers need, if the lease is still held."""
 
 
 class RolloutController:
-    """Carries the plan out while the lease is held; it asks for that again at the moment of each sending."""
+    """Executes the plan while the lease is held; checks the lease again whenever an order is sent."""
 
     def __init__(
         self,
@@ -55,19 +55,19 @@
         self.caller, self.lease_holder, self.environment = caller, lease_holder, environment
         self.clock, self.wait = clock, wait
         self.plan = RolloutPlan(apply_timeout_s)
-        self.fencing_token: int | None = None  # of the lease that the plan was begun under
-        self.resumed = False  # under this fencing token; it takes a list of endpoints
-        self.inherited_states: RolloutStates = {}  # the newest of whoever held the lease
-        self.published: RolloutStates | None = None  # under this fencing token
+        self.fencing_token: int | None = None  # of the lease term that the plan was started under
+        self.resumed = False  # under this fencing token; requires a list of endpoints
+        self.inherited_states: RolloutStates = {}  # newest published by any lease holder
+        self.published: RolloutStates | None = None  # last states under this fencing token
         self._event = asyncio.Event()
         self._calls: set[asyncio.Task[None]] = set()
 
     def inherit(self, states: RolloutStates) -> None:
-        """Takes the states that another lease holder published; used when the lease is won next."""
+        """Stores the states that another lease holder published, for when this node wins the lease."""
         self.inherited_states = states
 
     def wake(self) -> None:
-        """Brings the next look: the configuration, the list of endpoints or the lease has changed."""
+        """Reconciles now: the configuration, the list of endpoints or the lease has changed."""
         self._event.set()
 
     async def run(self) -> None:
@@ -80,9 +80,9 @@
             self._cancel_calls()
 
     def reconcile(self) -> float:
-        """Compares desired and reported versions and begins the calls that are due.
+        """Compares desired and reported versions and starts the calls that are due.
 
-        Returns the time (s) to the next look.
+        Returns the time (s) until the next reconciliation.
         """
         now = self.clock()
         fencing_token = self.environment.fencing_token()
@@ -99,11 +99,11 @@
         if not self.resumed:
             self.resumed = True
             self.plan.resume(self.inherited_states, now)
-            self.plan.update_endpoints(endpoints)  # drops states of endpoints that are gone
+            self.plan.update_endpoints(endpoints)  # drops states of endpoints that are no longer listed
         steps = self.plan.due_steps(now)
-        self._publish_changes()  # before any order: routers are to send elsewhere by then
+        self._publish_changes()  # before any order, so that routers send elsewhere by then
         for step in steps:
-            self._begin_call(step, fencing_token)
+            self._start_call(step, fencing_token)
         return ACTIVE_INTERVAL_S if self.plan.in_progress else IDLE_INTERVAL_S
 
     def _publish_changes(self) -> None:
@@ -112,8 +112,8 @@
             self.published = self.inherited_states = states
             self.environment.publish(states)
 
-    def _begin_call(self, step: Step, fencing_token: int) -> None:
-        """Begins the call of the step, if it is one of a call."""
+    def _start_call(self, step: Step, fencing_token: int) -> None:
+        """Starts the call of the step, if its kind needs one."""
         if step.kind not in (StepKind.ORDER, StepKind.REPORT):
             return
         address = address_of(self.plan.versions.endpoints[step.endpoint_id].address)
@@ -132,9 +132,9 @@
             task.cancel()
 
     def _prepare_order(self, step: Step, fencing_token: int) -> dict[str, Any]:
-        """The body of an order, made at the moment of sending. Raises CallWithdrawnError."""
+        """The body of an order, built when it is sent. Raises CallWithdrawnError if the lease is lost."""
         if self.environment.fencing_token() != fencing_token:
-            raise CallWithdrawnError("the lease is over")
+            raise CallWithdrawnError("the lease is no longer held")
         return order_body(step.model, step.version, step.expected_count, self.lease_holder, fencing_token)
 
     async def _send_order(self, step: Step, address: Address, fencing_token: int) -> None:
--- a/plumline/registrar/rollout/orders.py
+++ b/plumline/registrar/rollout/orders.py
@@ -1,31 +1,32 @@
-"""The order that changes the version of a model's weights on an endpoint, and what came of it."""
+"""The order that changes the version of a model's weights on an endpoint, and its outcome."""
 
 from enum import Enum, auto
 from typing import Any
 
 from plumline.wire import calls
 
-UPDATE_METHOD = "waiting"  # runs finish on the weights that they began with; any other method breaks them
+#: Running requests finish on the weights that they started with; any other method breaks them.
+UPDATE_METHOD = "waiting"
 
 
 class OrderOutcome(Enum):
-    """What is known of an order after its call has ended."""
+    """What is known about an order after its call has ended."""
 
     APPLIED = auto()  # 200: the endpoint has the version already
     ACCEPTED = auto()  # 202: the update is in progress
-    CONFLICT = auto()  # 409: another order is in progress, and its end shows in reports
-    #: Not taken (400, 421, 5xx), or another lease holder's order came after this one (412): the endpoint
-    #: serves on as it is.
+    CONFLICT = auto()  # 409: another order is in progress; reports show when it ends
+    #: Not accepted (400, 421, 5xx), or superseded by another lease holder's order (412): the endpoint serves
+    #: its present version.
     REJECTED = auto()
     UNREACHABLE = auto()  # the order was not sent
-    NO_ANSWER = auto()  # the order was sent and may have been taken
+    NO_ANSWER = auto()  # the order was sent and may have been accepted
 
 
 _BY_STATUS = {200: OrderOutcome.APPLIED, 202: OrderOutcome.ACCEPTED, 409: OrderOutcome.CONFLICT}
 
 
 def outcome_of(status: int) -> OrderOutcome:
-    """The outcome that the status of an answer to `POST /order` means."""
+    """The outcome for the status of a response to `POST /order`."""
     return _BY_STATUS.get(status, OrderOutcome.REJECTED)
 
 
@@ -34,7 +35,7 @@
 ) -> dict[str, Any]:
     """The body of `POST /order`. `expected_count`: the `CallSequence` that the endpoint must have; None: any.
 
-    An earlier order that had no answer may still arrive: after this one it finds another count.
+    If an earlier order without a response arrives after this one, the count has changed and it is rejected.
     """
     body: dict[str, Any] = {}
     if expected_count is not None:
--- a/plumline/registrar/rollout/plan.py
+++ b/plumline/registrar/rollout/plan.py
@@ -1,8 +1,7 @@
-"""Decides which endpoint is brought to the desired version of its model's weights, and when.
+"""Decides which endpoint updates to the desired version of its model's weights, and when.
 
-Pure: no clock and no sockets of its own. An endpoint that is to change is first announced as updating, so
-that routers send elsewhere, then ordered, then asked for its report until that shows the new version and no
-order in progress.
+Pure: no clock and no I/O. An endpoint is first announced as updating, so that routers send elsewhere. Then
+the order is sent, and reports are fetched until one shows the new version and no order in progress.
 """
 
 from collections.abc import Iterable, Mapping
@@ -16,18 +15,18 @@
 from plumline.registrar.rollout.versions import FleetVersions
 from plumline.routing.fleet_state import ListedEndpoint, RolloutState
 
-ANNOUNCE_DELAY_S = 0.25  # from the announcement to the order: until every router has heard
-FIRST_REPORT_DELAY_S = 0.3  # from a 202 to the first report that can show it done: reports are that old
-REPORT_INTERVAL_S = 0.25  # between two reports of one endpoint
-LOST_ORDER_TIMEOUT_S = 1.0  # a report that shows nothing of an order this long after it: the order was lost
+ANNOUNCE_DELAY_S = 0.25  # from the announcement to the order: for it to reach every router
+FIRST_REPORT_DELAY_S = 0.3  # from a 202 to the first report that can show the update: the age of reports
+REPORT_INTERVAL_S = 0.25  # between reports of one endpoint
+LOST_ORDER_TIMEOUT_S = 1.0  # an order without effect in reports for this long was lost
 UNRESPONSIVE_TIMEOUT_S = 5.0  # without a report: the endpoint is no longer published as updating
-MAX_ATTEMPTS = 3  # orders in a row without effect before the endpoint is used again for a while
+MAX_ATTEMPTS = 3  # consecutive ones without effect before the endpoint serves again during a backoff
 
-RolloutStates = dict[str, RolloutState]  # by endpoint id, as they are published
+RolloutStates = dict[str, RolloutState]  # by endpoint id, as published
 
 
 class StepKind(StrEnum):
-    """What a step asks for. ANNOUNCE and DONE are in the published states; the others are calls to make."""
+    """The kind of a step. ANNOUNCE and DONE only change the published states; the others are calls."""
 
     ANNOUNCE = "announce"
     ORDER = "order"
@@ -36,7 +35,7 @@
 
 
 class Step(NamedTuple):
-    """One thing to do; the fields after `endpoint_id` are those of an order only."""
+    """One action for an endpoint; the fields after `endpoint_id` are for orders only."""
 
     kind: StepKind
     endpoint_id: str
@@ -46,27 +45,27 @@
 
 
 class RolloutPlan:
-    """Which endpoint changes its version when.
+    """Schedules the updates of all endpoints.
 
-    Fed by the `update_`, `order_` and `report_` methods, asked for `due_steps`. `now` is steady time in s
-    everywhere.
+    The `update_`, `order_` and `report_` methods are its inputs, `due_steps` its output. `now` is steady time
+    in s everywhere.
     """
 
     def __init__(self, apply_timeout_s: float) -> None:
-        """`apply_timeout_s`: VersionApplyMs in s, in which all endpoints are to have a new version."""
+        """`apply_timeout_s`: VersionApplyMs in s, within which all endpoints should have a new version."""
         self.versions = FleetVersions(initial_age_s=TARGET_SHARE * apply_timeout_s)
         self.admission = RolloutAdmission(apply_timeout_s)
         self.rollouts: dict[str, EndpointRollout] = {}  # by endpoint id
         self._completed: list[str] = []
 
-    # What is known.
+    # Inputs.
 
     def update_desired_versions(self, desired: Mapping[str, int], now: float) -> None:
-        """Takes the desired versions; also in a process that doesn't hold the lease, to know their age."""
+        """Updates the desired versions; also needed without the lease, as it determines their age."""
         self.versions.update_desired(desired, now)
 
     def update_endpoints(self, endpoints: Iterable[ListedEndpoint]) -> None:
-        """Takes the newest list. An empty one is no list yet: nothing is dropped for it."""
+        """Replaces the list of endpoints. An empty one means that there is none yet, and is ignored."""
         if not self.versions.update_endpoints(endpoints):
             return
         for endpoint_id in list(self.rollouts):
@@ -74,9 +73,9 @@
                 del self.rollouts[endpoint_id]
 
     def resume(self, states: Mapping[str, RolloutState], now: float) -> None:
-        """Starts again from what another lease holder published, which may be old or lost.
+        """Starts again from the states that another lease holder published.
 
-        Reports come before orders therefore.
+        These may be outdated or lost, so that reports are fetched before orders are sent.
         """
         self._completed.clear()
         self.rollouts.clear()
@@ -97,7 +96,7 @@
                 )
 
     def states(self) -> RolloutStates:
-        """What routers have to know beyond the platform's list."""
+        """The states that routers need in addition to the platform's list."""
         confirmed = self.versions.confirmed
         states = {
             endpoint_id: RolloutState(updating=False, models=dict(models))
@@ -114,10 +113,10 @@
         """Whether any endpoint's roll-out is in progress."""
         return bool(self.rollouts or self._completed)
 
-    # What to do.
+    # Decisions.
 
     def due_steps(self, now: float) -> list[Step]:
-        """The steps that are due. A call's step comes once and waits for its result."""
+        """The steps that are due. The step of a call is returned once; the next one follows its result."""
         steps: list[Step] = []
         for endpoint_id, rollout in list(self.rollouts.items()):
             step = self._next_step(endpoint_id, rollout, now)
@@ -143,7 +142,7 @@
             rollout.call_in_flight = True
             return Step(StepKind.REPORT, endpoint_id)
         pending = self.versions.pending_update(endpoint_id)
-        if pending is None:  # the platform has listed it in the meantime
+        if pending is None:  # the platform lists the version by now
             self._complete(endpoint_id)
             return None
         rollout.target = pending
@@ -151,19 +150,19 @@
         return Step(StepKind.ORDER, endpoint_id, pending.model, pending.version, rollout.expected_count)
 
     def _check_unresponsive(self, rollout: EndpointRollout, now: float) -> None:
-        """Lets routers use an endpoint again that gives no report; its 421s tell them its version."""
+        """Lets routers use an unresponsive endpoint again; its 421 responses show them its version."""
         if now - rollout.last_report_at >= UNRESPONSIVE_TIMEOUT_S:
             rollout.updating = False
             rollout.phase = RolloutPhase.CHECKING
 
     def _complete_up_to_date(self) -> None:
-        """Ends the backoff of endpoints that need no update any more."""
+        """Ends the backoff of endpoints that no longer need an update."""
         for endpoint_id, rollout in list(self.rollouts.items()):
             if rollout.phase is RolloutPhase.BACKING_OFF and not self.versions.pending_update(endpoint_id):
                 self._complete(endpoint_id)
 
     def _start(self, endpoint_id: str, now: float) -> None:
-        """Announces the endpoint as updating; what its earlier attempts have shown is carried over."""
+        """Announces the endpoint as updating; keeps the attempts and the count of its earlier roll-out."""
         previous = self.rollouts.get(endpoint_id)
         rollout = EndpointRollout(
             RolloutPhase.ANNOUNCED,
@@ -181,15 +180,15 @@
         del self.rollouts[endpoint_id]
         self._completed.append(endpoint_id)
 
-    # What came of it.
+    # Results of calls.
 
     def order_withdrawn(self, endpoint_id: str) -> None:
-        """The order was not sent, as the lease wasn't held at that moment."""
+        """Handles an order that was not sent, as the lease was not held."""
         if rollout := self.rollouts.get(endpoint_id):
             rollout.call_in_flight = False
 
     def order_finished(self, endpoint_id: str, outcome: OrderOutcome, now: float) -> None:
-        """The call of an order has ended."""
+        """Handles the outcome of an order."""
         rollout = self.rollouts.get(endpoint_id)
         if rollout is None:
             return
@@ -212,7 +211,7 @@
                 rollout.back_off(now)
 
     def report_finished(self, endpoint_id: str, report: EndpointReport | None, now: float) -> None:
-        """The call for a report has ended. None: without a readable one."""
+        """Handles the result of fetching a report; `report` is None if there was no valid one."""
         rollout = self.rollouts.get(endpoint_id)
         if rollout is None:
             return
@@ -229,14 +228,14 @@
         if report.busy:
             self._order_in_progress(rollout, now)
         elif rollout.phase is RolloutPhase.CHECKING:
-            self._checked(endpoint_id, rollout, now)
+            self._check_finished(endpoint_id, rollout, now)
         elif rollout.target is None or report.models.get(rollout.target.model, 0) >= rollout.target.version:
             self._version_applied(endpoint_id, rollout, now)
         else:
             self._order_without_effect(rollout, now)
 
     def _order_in_progress(self, rollout: EndpointRollout, now: float) -> None:
-        """A report says that the endpoint carries out an order, of this lease holder or another."""
+        """Handles a report with an order in progress, of this lease holder or another."""
         if rollout.phase is RolloutPhase.CHECKING:
             rollout.phase = RolloutPhase.ORDERED
             rollout.ordered_at = now
@@ -244,8 +243,8 @@
         rollout.attempts = 0
         rollout.next_step_at = now + REPORT_INTERVAL_S
 
-    def _checked(self, endpoint_id: str, rollout: EndpointRollout, now: float) -> None:
-        """A report has told that no order is in progress."""
+    def _check_finished(self, endpoint_id: str, rollout: EndpointRollout, now: float) -> None:
+        """Handles a report without an order in progress, in the CHECKING phase."""
         rollout.attempts = 0
         rollout.next_step_at = now
         if not self.versions.pending_update(endpoint_id):
@@ -256,7 +255,7 @@
             rollout.phase = RolloutPhase.BACKING_OFF
 
     def _order_without_effect(self, rollout: EndpointRollout, now: float) -> None:
-        """A report shows nothing of the order: it is too old to show it, or the order was lost."""
+        """Handles a report that doesn't show the ordered version: it is too old, or the order was lost."""
         if now - rollout.ordered_at < LOST_ORDER_TIMEOUT_S:
             rollout.next_step_at = now + REPORT_INTERVAL_S
         elif rollout.attempts >= MAX_ATTEMPTS:
@@ -266,11 +265,11 @@
             rollout.announce(now, backoff_s(rollout.attempts))
 
     def _version_applied(self, endpoint_id: str, rollout: EndpointRollout, now: float) -> None:
-        """The endpoint has the version that it was ordered to; a newer one or another model may be next."""
+        """Handles an applied order; continues with a newer version or another model, if one is pending."""
         if rollout.target is not None:
             self.versions.confirm(endpoint_id, *rollout.target)
         if not rollout.attempts and rollout.ordered_at:
-            self.admission.learn_duration(now - rollout.started_at)
+            self.admission.observe_duration(now - rollout.started_at)
         if self.versions.pending_update(endpoint_id):
             rollout.restart(now)
         else:
--- a/plumline/registrar/rollout/reports.py
+++ b/plumline/registrar/rollout/reports.py
@@ -1,4 +1,4 @@
-"""What an endpoint's `GET /report` says about the versions that it has."""
+"""Parses the versions that an endpoint reports on `GET /report`."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,22 +9,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointReport:
-    """The part of a report that the roll-out needs."""
+    """The fields of a report that the roll-out needs."""
 
     models: dict[str, int]  # version by model
     busy: bool  # an order is in progress
-    call_sequence: int | None = None  # orders taken since the endpoint's start, None if it doesn't say
+    call_sequence: int | None = None  # orders accepted since the endpoint's start; None if not reported
 
 
 def parse_report(body: Any) -> EndpointReport | None:  # noqa: ANN401 (any JSON)
-    """The report that the body is, None if it is none."""
+    """Parses the body of a report; None if it is not valid."""
     try:
-        taken = body.get(calls.CALL_SEQUENCE)
-        is_count = isinstance(taken, int) and not isinstance(taken, bool)
+        call_sequence = body.get(calls.CALL_SEQUENCE)
+        is_count = isinstance(call_sequence, int) and not isinstance(call_sequence, bool)
         return EndpointReport(
             models=parse_model_versions(body[calls.MODELS]),
             busy=bool(body[calls.BUSY]),
-            call_sequence=taken if is_count else None,
+            call_sequence=call_sequence if is_count else None,
         )
     except MALFORMED_BODY_ERRORS:
         return None
--- a/plumline/registrar/rollout/versions.py
+++ b/plumline/registrar/rollout/versions.py
@@ -1,4 +1,4 @@
-"""Which version of each model's weights the endpoints should have, and which they are known to have."""
+"""The desired and the known versions of each model's weights on the endpoints."""
 
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class VersionUpdate(NamedTuple):
-    """A model and the version of its weights that an endpoint is to be brought to."""
+    """A model and the version of its weights that an endpoint should have."""
 
     model: str
     version: int
@@ -16,22 +16,22 @@
 class FleetVersions:
     """Desired versions from the configuration, listed ones from the platform and confirmed ones from reports.
 
-    The platform lists a changed version only some time after the endpoint reports it; until then the reported
-    one is kept here as confirmed.
+    The platform lists a changed version some time after the endpoint reports it. Until then the reported one
+    is stored here as confirmed.
     """
 
     def __init__(self, initial_age_s: float) -> None:
-        """`initial_age_s`: the assumed age of the versions that are found at the first look."""
+        """`initial_age_s`: the assumed age of the versions in the first update."""
         self.initial_age_s = initial_age_s
         self.desired: dict[str, int] = {}  # by model
-        self.desired_at: dict[str, float] = {}  # steady s at which each model's version was first seen here
+        self.desired_at: dict[str, float] = {}  # steady s when this process first saw each model's version
         self.endpoints: dict[str, ListedEndpoint] = {}  # by id
-        self.confirmed: dict[str, dict[str, int]] = {}  # by id and model; reported, not listed yet
+        self.confirmed: dict[str, dict[str, int]] = {}  # by id and model; reported but not listed yet
         self._initialized = False
 
     def update_desired(self, desired: Mapping[str, int], now: float) -> None:
-        """Takes the desired versions by model; an older one than known is ignored. `now`: steady s."""
-        # At a process's first look it is unknown how long a version has been desired: it may be overdue.
+        """Updates the desired versions by model; ignores older ones. `now`: steady s."""
+        # In the first update the age of a desired version is unknown: the update may be overdue.
         seen_at = now if self._initialized else now - self.initial_age_s
         self._initialized = True
         for model, version in desired.items():
@@ -40,7 +40,7 @@
                 self.desired_at[model] = seen_at
 
     def update_endpoints(self, endpoints: Iterable[ListedEndpoint]) -> bool:
-        """Takes the newest list. Returns False for an empty one, which is no list yet and changes nothing."""
+        """Replaces the list of endpoints. Ignores an empty one, as none has arrived yet: returns False."""
         listed = {endpoint.id: endpoint for endpoint in endpoints}
         if not listed:
             return False
@@ -54,7 +54,7 @@
         return True
 
     def confirm(self, endpoint_id: str, model: str, version: int) -> None:
-        """Takes a version that the endpoint has reported."""
+        """Records a version that the endpoint has reported."""
         endpoint = self.endpoints.get(endpoint_id)
         listed = endpoint.models.get(model, 0) if endpoint is not None else 0
         if version <= listed:
@@ -68,7 +68,7 @@
         return endpoint is not None and not endpoint.draining
 
     def pending_update(self, endpoint_id: str) -> VersionUpdate | None:
-        """The first update that a listed endpoint still needs, None if it has all desired versions."""
+        """The first update that a listed endpoint needs, None if it has all desired versions."""
         confirmed = self.confirmed.get(endpoint_id, {})
         for model, listed in self.endpoints[endpoint_id].models.items():
             desired = self.desired.get(model, 0)
@@ -77,7 +77,7 @@
         return None
 
     def _unlisted(self, endpoint_id: str, confirmed: Mapping[str, int]) -> dict[str, int]:
-        """The confirmed versions that a listed endpoint's entry doesn't show yet."""
+        """The confirmed versions that the platform's list doesn't show yet; none if not listed."""
         endpoint = self.endpoints.get(endpoint_id)
         if endpoint is None:
             return {}
