--- a/plumline/registrar/service_rollout/__init__.py
+++ b/plumline/registrar/service_rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-out of service versions: the controller of each roll-out, a singleton job of the `discovery` lease."""
+"""Roll-out of service versions: a singleton job of the holder of the `discovery` lease."""
--- a/plumline/registrar/service_rollout/loop.py
+++ b/plumline/registrar/service_rollout/loop.py
@@ -1,8 +1,8 @@
-"""The loop of the roll-outs of service versions: carries out what their controllers decide.
+"""The control loop of the roll-outs of service versions: executes the decisions of their controllers.
 
-Each stage is recorded first, by a change that the chain commits, and acted on once the record shows it. A
-decision carries the term of the lease: the record takes none of an earlier term. Grants go out as soft state
-under the same term, again and again, since routers use them for a short time only.
+Each stage is recorded first, by a change that the chain commits, and takes effect once the record shows it. A
+decision carries the lease term: the record accepts none of an earlier term. Grants are published as soft
+state under the same term, and repeated, as they expire at the routers after a short time.
 """
 
 import asyncio
@@ -13,17 +13,22 @@
 from plumline import logs
 from plumline.configuration.service_rollouts import AdvanceRollout, RolloutRecord, RolloutStage
 from plumline.errors import PlumlineError
-from plumline.registrar.service_rollout.controller import Decision, ExposureBound, Fleet, RolloutController
+from plumline.registrar.service_rollout.controller import (
+    Decision,
+    ExposureBound,
+    RolloutController,
+    ServiceSnapshot,
+)
 from plumline.registrar.service_rollout.evidence import RolloutReportDirectory
 from plumline.registrar.wakeups import Wait, wait_for
 from plumline.routing.fleet_state import GRANT_DURATION_S, ListedEndpoint, RolloutGrant
 
-STEP_INTERVAL_S = 0.2  # between two decisions while a roll-out is under way
-IDLE_INTERVAL_S = 1.0  # between two looks otherwise, unless woken
-GRANT_INTERVAL_S = GRANT_DURATION_S / 4  # after which an unchanged grant goes out again
+STEP_INTERVAL_S = 0.2  # between decisions while a roll-out is in progress
+IDLE_INTERVAL_S = 1.0  # between checks otherwise, unless woken
+GRANT_INTERVAL_S = GRANT_DURATION_S / 4  # between publications of unchanged grants
 DEFAULT_EXPOSURE = ExposureBound(share=0.1, slack=50.0)
-COMPLETED_GRANT_S = 5.0  # for which a completed roll-out's grant goes out: routers may lack the record yet
-RECORD_TIMEOUT_S = 1.0  # after which a decision that was not recorded is submitted again
+COMPLETED_GRANT_S = 5.0  # how long a completed roll-out's grant is published, for routers without the record
+RECORD_TIMEOUT_S = 1.0  # until a decision that has not been recorded is submitted again
 
 log = logs.logger("registrar")
 
@@ -31,10 +36,10 @@
 
 
 class ServiceRolloutEnvironment(Protocol):
-    """What the roll-outs need of the registrar that they run in."""
+    """What the roll-outs need from the registrar that they run in."""
 
     def fencing_token(self) -> int | None:
-        """The term of the lease, None unless it is held at this moment."""
+        """The term of the lease, None unless it is held now."""
 
     def records(self) -> Mapping[str, RolloutRecord]:
         """The committed records, by service."""
@@ -43,20 +48,20 @@
         """The newest list of endpoints, empty if there is none."""
 
     def live_routers(self) -> frozenset[str]:
-        """The nodes of the routers that are alive."""
+        """The nodes of the live routers."""
 
     def publish(self, grants: Grants) -> None:
         """Publishes the grants, if the lease is still held."""
 
     def published_any(self) -> bool:
-        """Whether the newest grants that any holder has published allow anything."""
+        """Whether the newest grants published by any lease holder are non-empty."""
 
     def record(self, decision: AdvanceRollout, on_result: Callable[[PlumlineError | None], None]) -> None:
         """Submits a decision to the chain."""
 
 
 class RolloutSteering:
-    """Steers all roll-outs that are under way, while the lease is held; watches their age all the time."""
+    """Controls all roll-outs in progress while the lease is held; tracks their age also without it."""
 
     def __init__(
         self,
@@ -66,37 +71,37 @@
         exposure: ExposureBound = DEFAULT_EXPOSURE,
         wait: Wait = wait_for,
     ) -> None:
-        """`clock` is steady time in s; `exposure`: what a bad version may get."""
+        """`clock` is steady time in s; `exposure` limits the requests to a bad version."""
         self.environment, self.clock, self.wait = environment, clock, wait
         self.exposure = exposure
         self.reports = RolloutReportDirectory()
-        self.controllers: dict[str, RolloutController] = {}  # by service, of this term
+        self.controllers: dict[str, RolloutController] = {}  # by service, under this term
         self.term: int | None = None
-        self._seen_at: dict[tuple[str, str], float] = {}  # when a roll-out was seen first, less its age
-        self._granted: Grants | None = None  # the last that were published in this term
-        self._grant_at = 0.0
-        self._completed: dict[str, tuple[str, float]] = {}  # target by service, and when it was decided
-        self._submitted: dict[str, tuple[RolloutStage, float]] = {}  # by service, and when
+        self._started_at: dict[tuple[str, str], float] = {}  # earliest known start, by service and target
+        self._published_grants: Grants | None = None  # last published under this term
+        self._published_at = 0.0
+        self._completed: dict[str, tuple[str, float]] = {}  # target and time of the decision, by service
+        self._submitted: dict[str, tuple[RolloutStage, float]] = {}  # stage and time, by service
         self._event = asyncio.Event()
 
     def wake(self) -> None:
-        """Brings the next look: the records, the lease or the list of endpoints has changed."""
+        """Runs the next step now: the records, the lease or the list of endpoints has changed."""
         self._event.set()
 
     async def run(self) -> None:
-        """Steers until cancelled."""
+        """Controls the roll-outs until cancelled."""
         while True:
             self._event.clear()
             await self.wait(self._event, self.step())
 
     def step(self) -> float:
-        """Decides and carries out what is due. Returns the time (s) to the next look."""
+        """Makes and executes the decisions that are due. Returns the time (s) until the next step."""
         now = self.clock()
         running = {name: each for name, each in self.environment.records().items() if each.stage.running}
-        self._watch(running, now)
+        self._track_running(running, now)
         term = self.environment.fencing_token()
         if term != self.term:
-            self.term, self._granted = term, None
+            self.term, self._published_grants = term, None
             self.controllers.clear()
             self._submitted.clear()
             self._completed.clear()
@@ -113,44 +118,44 @@
         return STEP_INTERVAL_S if running or grants else IDLE_INTERVAL_S
 
     def _grants_of_completed(self, now: float) -> dict[str, RolloutGrant]:
-        """Grants for routers that don't know yet that a roll-out is completed: the other versions stop."""
+        """Grants for routers without the record of a completion, as endpoints of other versions stop."""
         records = self.environment.records()
-        found: dict[str, RolloutGrant] = {}
-        for service, (target, seen_at) in list(self._completed.items()):
+        grants: dict[str, RolloutGrant] = {}
+        for service, (target, decided_at) in list(self._completed.items()):
             record = records.get(service)
-            is_over = now >= seen_at + COMPLETED_GRANT_S
-            if is_over or record is None or record.target != target:
+            is_expired = now >= decided_at + COMPLETED_GRANT_S
+            if is_expired or record is None or record.target != target:
                 del self._completed[service]
             elif record.stage is RolloutStage.COMPLETED:
-                found[service] = RolloutGrant(target, RolloutStage.HOLDING, 1.0, None)
-        return found
+                grants[service] = RolloutGrant(target, RolloutStage.HOLDING, 1.0, None)
+        return grants
 
-    def _watch(self, running: Mapping[str, RolloutRecord], now: float) -> None:
-        """Keeps what is known of these roll-outs, and forgets the rest."""
+    def _track_running(self, running: Mapping[str, RolloutRecord], now: float) -> None:
+        """Updates the age and evidence of these roll-outs; drops the state of all others."""
         targets = {service: record.target for service, record in running.items()}
         self.reports.retain(targets)
-        self._seen_at = {key: at for key, at in self._seen_at.items() if targets.get(key[0]) == key[1]}
+        self._started_at = {key: at for key, at in self._started_at.items() if targets.get(key[0]) == key[1]}
         for service, record in running.items():
-            began_at = now - record.elapsed_ms / 1000
+            started_at = now - record.elapsed_ms / 1000
             key = service, record.target
-            self._seen_at[key] = min(self._seen_at.get(key, began_at), began_at)
-            self.reports.of(service, record.target).sample(now)
+            self._started_at[key] = min(self._started_at.get(key, started_at), started_at)
+            self.reports.reports_of(service, record.target).sample(now)
         for service in [service for service in self.controllers if service not in running]:
             del self.controllers[service]
 
     def _decide(self, record: RolloutRecord, now: float) -> Decision:
         service = record.service
-        elapsed_s = now - self._seen_at[service, record.target]
+        elapsed_s = now - self._started_at[service, record.target]
         controller = self.controllers.get(service)
         if controller is None:
             controller = RolloutController(record, now, self.exposure, elapsed_s)
             self.controllers[service] = controller
         endpoints = [each for each in self.environment.endpoints() if each.service == service]
-        fleet = Fleet(endpoints, self.environment.live_routers())
-        return controller.decide(record, now, fleet, self.reports.of(service, record.target))
+        snapshot = ServiceSnapshot(endpoints, self.environment.live_routers())
+        return controller.decide(record, now, snapshot, self.reports.reports_of(service, record.target))
 
     def _record(self, record: RolloutRecord, decision: Decision, term: int, now: float) -> None:
-        """Submits the stage, unless it has been a moment ago."""
+        """Submits the stage, unless it was submitted within RECORD_TIMEOUT_S."""
         assert decision.stage is not None
         service, stage = record.service, decision.stage
         submitted = self._submitted.get(service)
@@ -159,8 +164,8 @@
         self._submitted[service] = stage, now
         if stage is RolloutStage.COMPLETED:
             self._completed[service] = record.target, now
-        elapsed_s = now - self._seen_at[service, record.target]
-        self._log(record, decision, elapsed_s)
+        elapsed_s = now - self._started_at[service, record.target]
+        self._log_decision(record, decision, elapsed_s)
         advance = AdvanceRollout(service, record.target, stage, term, round(elapsed_s * 1000))
 
         def on_result(error: PlumlineError | None) -> None:
@@ -170,7 +175,7 @@
 
         self.environment.record(advance, on_result)
 
-    def _log(self, record: RolloutRecord, decision: Decision, elapsed_s: float) -> None:
+    def _log_decision(self, record: RolloutRecord, decision: Decision, elapsed_s: float) -> None:
         judgement = decision.judgement
         fields = {
             "service": record.service,
@@ -185,12 +190,12 @@
         log.info(logs.event("rollout", **fields))
 
     def _publish(self, grants: Grants, now: float) -> None:
-        """Publishes grants that have changed, or are due again; an empty one only to take others back."""
-        changed = grants != self._granted
-        if not changed and (not grants or now < self._grant_at + GRANT_INTERVAL_S):
+        """Publishes grants that have changed or are due again; empty ones only to revoke earlier ones."""
+        changed = grants != self._published_grants
+        if not changed and (not grants or now < self._published_at + GRANT_INTERVAL_S):
             return
-        if not grants and self._granted is None and not self.environment.published_any():
-            self._granted = grants
+        if not grants and self._published_grants is None and not self.environment.published_any():
+            self._published_grants = grants
             return
-        self._granted, self._grant_at = grants, now
+        self._published_grants, self._published_at = grants, now
         self.environment.publish(grants)
--- a/tests/test_rollout_guards.py
+++ b/tests/test_rollout_guards.py
@@ -80,7 +80,7 @@
 
 
 def test_without_routes_by_themselves_a_fault_of_one_route_is_found_late_or_not() -> None:
-    def together_only(weights: evidence_module.Weights) -> list[verdict_module.ScopeEvidence]:
+    def together_only(weights: evidence_module.EvidenceTable) -> list[verdict_module.ScopeEvidence]:
         return [each for each in by_scope(weights) if each.scope is evidence_module.ALL_ROUTES]
 
     by_scope = verdict_module._by_scope
@@ -93,7 +93,7 @@
 
 
 def test_without_waiting_for_all_routers_requests_run_at_endpoints_that_stop() -> None:
-    with patch.object(controller_module, "_all_moved", lambda alive, reported: True):
+    with patch.object(controller_module, "_all_routers_switched", lambda alive, reported: True):
         fleet = SimulatedFleet(sound)
         fleet.cut_off_routers = {ROUTERS[0]}  # it goes on with the old version
         fleet.run()
