--- a/tests/rollout_simulation.py
+++ b/tests/rollout_simulation.py
@@ -1,4 +1,4 @@
-"""A simulated fleet under a roll-out: endpoints of two versions, their answers, and the steering above."""
+"""A simulated fleet during a roll-out: endpoints of two versions, their answers, and the control loop."""
 
 from collections.abc import Callable, Mapping, Sequence
 from random import Random
@@ -17,8 +17,8 @@
 from plumline.routing.rollout_report import AnswerTally, RolloutReport, ServiceReport
 
 OLD, NEW = "v1", "v2"
-STEP_S = 0.1  # of the simulation
-LISTED_AFTER_S = 2.0  # the order; endpoints of the new version are on the list then
+STEP_S = 0.1  # time step of the simulation
+LISTED_AFTER_S = 2.0  # time after the start when endpoints of the new version are listed
 ROUTES = {"short": 0.8, "long": 0.2}  # shares of the requests
 ROUTERS = ("edge-1", "edge-2")
 
@@ -41,7 +41,7 @@
 
 
 class Environment:
-    """The registrar around a steering: the lease, the records of the chain, and what was published."""
+    """The registrar of the control loop: the lease, the records of the chain, and the published grants."""
 
     def __init__(self, fleet: "SimulatedFleet") -> None:
         self.fleet = fleet
@@ -77,7 +77,7 @@
 
 
 class SimulatedFleet:
-    """Requests for one service, `rate` a second, from the order on. Times in s since the order."""
+    """Requests for one service, `rate` per second. Times are in s since the start of the roll-out."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         endpoints: int = 30,
         duration_s: float = 15.0,
     ) -> None:
-        """`answers(endpoint, route, now)`: how often an answer is bad, 0 to 1."""
+        """`answers(endpoint, route, now)`: the probability of a bad answer."""
         self.answers, self.rate, self.random, self.now = answers, rate, Random(seed), 0.0
         self.old, self.new = listed(endpoints, OLD), listed(endpoints, NEW)
         self.listed = list(self.old)
@@ -98,7 +98,7 @@
         self.grants: dict[str, RolloutGrant] = {}
         self.granted_term, self.granted_at = 0, 0.0
         self.requests = self.exposed = self.bad_exposed = 0
-        self.bad_50_at: float | None = None  # the new version's 50th bad answer
+        self.bad_50_at: float | None = None  # time of the new version's 50th bad answer
         self.last_exposed_at = 0.0
         self.tallies: dict[tuple[str, str, str], list[int]] = {}  # by router, endpoint and route
         self.environment = Environment(self)
@@ -106,7 +106,7 @@
         self.cut_off_routers: set[str] = set()
 
     def new_steering(self) -> RolloutSteering:
-        """The one of another registrar, or of this one started again; it has heard of no request."""
+        """The control loop of another registrar, or of this one after a restart; it has no reports."""
         return RolloutSteering(self.environment, lambda: 1000.0 + self.now)
 
     @property
@@ -120,7 +120,7 @@
             self.history.append((self.now, self.stage))
 
     def run(self, until: float | None = None) -> None:
-        """Until the end of the roll-out, or this time (three durations at the most)."""
+        """Runs until the end of the roll-out, or until this time (by default at most three durations)."""
         end = until if until is not None else 3 * self.duration_s
         while self.now < end and self.stage.running:
             self.step()
@@ -142,13 +142,13 @@
     def request(self) -> None:
         router = self.random.choice(ROUTERS)
         grant = self.grants.get("s")
-        is_fresh = self.now < self.granted_at + GRANT_DURATION_S and router not in self.cut_off_routers
+        has_valid_grant = self.now < self.granted_at + GRANT_DURATION_S and router not in self.cut_off_routers
         self.requests += 1
         endpoint = self.random.choice(self.old)
-        if grant is not None and is_fresh and self.random.random() < grant.share:
-            names = grant.endpoints or tuple(each.id for each in self.new)
-            chosen = self.random.choice(names)
-            endpoint = next(each for each in self.new if each.id == chosen)
+        if grant is not None and has_valid_grant and self.random.random() < grant.share:
+            endpoint_ids = grant.endpoints or tuple(each.id for each in self.new)
+            endpoint_id = self.random.choice(endpoint_ids)
+            endpoint = next(each for each in self.new if each.id == endpoint_id)
         self.answer(router, endpoint)
 
     def answer(self, router: str, endpoint: ListedEndpoint) -> None:
@@ -168,15 +168,15 @@
     def report(self, router: str) -> None:
         grant = self.grants.get("s")
         stage = grant.stage if grant and self.now < self.granted_at + GRANT_DURATION_S else None
-        own = tuple(
+        tallies = tuple(
             AnswerTally(endpoint, route, *tally)
             for (name, endpoint, route), tally in self.tallies.items()
             if name == router
         )
         others_running = 0 if stage is RolloutStage.HOLDING else 3
-        report = ServiceReport(NEW, stage, others_running, own)
+        report = ServiceReport(NEW, stage, others_running, tallies)
         self.steering.reports.take(RolloutReport(router, 7, {"s": report}))
 
     def allowed_exposure(self) -> float:
-        """Requests that a bad version may get by the page: a tenth of all until the deadline, and 50."""
+        """The stated limit of requests to a bad version: a tenth of all until the deadline, plus 50."""
         return 0.1 * self.rate * self.duration_s + 50
--- a/tests/rollout_world.py
+++ b/tests/rollout_world.py
@@ -1,4 +1,4 @@
-"""What the tests of the roll-out share: a listed endpoint, and published states as they travel."""
+"""Helpers of the roll-out tests: a listed endpoint, and the wire form of published states."""
 
 from typing import Any
 
--- a/tests/test_rollout_durability.py
+++ b/tests/test_rollout_durability.py
@@ -1,5 +1,5 @@
-"""Orders of roll-outs on real cores and forwarders, in the hand-stepped world: what was acknowledged outlasts
-every loss within the tolerance, and is steered on."""
+"""Orders of roll-outs with real cores and forwarders in a stepped simulation: an acknowledged order survives
+every loss within the tolerance, and its roll-out continues."""
 
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from typing import Any
@@ -24,14 +24,14 @@
 
 LEASE = "discovery"
 ORDER = StartRollout("s", "v2", 12.0)
-FIRST = {"Version": 1, "Id": "first", "Services": [{"Name": "s"}]}
+FIRST_CONFIGURATION = {"Version": 1, "Id": "first", "Services": [{"Name": "s"}]}
 STEP_S = 0.2
 
 
 class RegistrarEnvironment:
-    """What the steering at one registrar sees of it."""
+    """The environment of the control loop at one registrar."""
 
-    def __init__(self, world: "SteeredWorld", node: Node) -> None:
+    def __init__(self, world: "RolloutWorld", node: Node) -> None:
         self.world, self.node = world, node
 
     def fencing_token(self) -> int | None:
@@ -59,8 +59,8 @@
         forwarder.submit(now, decision.to_change(), 0, lambda error, _: on_result(error))
 
 
-class SteeredWorld(ControlWorld):
-    """Every registrar stands for the lease and steers roll-outs while it holds it."""
+class RolloutWorld(ControlWorld):
+    """Every registrar is a candidate for the lease, and controls roll-outs while it holds it."""
 
     def __init__(self, seed: int, size: int = 3, **kwargs: Any) -> None:  # noqa: ANN401
         self.published: list[tuple[float, dict[str, Any]]] = []
@@ -74,27 +74,27 @@
         assert node.core is not None
         node.core.campaign(self.now + node.offset, LEASE)
         steering = RolloutSteering(RegistrarEnvironment(self, node), lambda: self.now + node.offset)
-        self.steer(node, node.life, steering)
+        self.run_steps(node, node.life, steering)
 
-    def steer(self, node: Node, life: int, steering: RolloutSteering) -> None:
+    def run_steps(self, node: Node, life: int, steering: RolloutSteering) -> None:
         def step() -> None:
             steering.step()
             self.after(node)
-            self.at(STEP_S, lambda: self.steer(node, life, steering))
+            self.at(STEP_S, lambda: self.run_steps(node, life, steering))
 
         self.guard(node, life, step)
 
-    def configured(self) -> "SteeredWorld":
+    def configured(self) -> "RolloutWorld":
         self.settle()
-        assert self.order_now(["replace", 0, FIRST]) is None
+        assert self.order_now(["replace", 0, FIRST_CONFIGURATION]) is None
         return self
 
     def order_now(self, change: list[Any], at: int = 0) -> PlumlineError | None:
         node = list(self.nodes.values())[at]
-        return self.wait(lambda told: self.submit_at(node, change, told))[0]
+        return self.wait(lambda on_result: self.submit_at(node, change, on_result))[0]
 
     def read_rollout(self, service: str = "s") -> dict[str, Any] | PlumlineError:
-        """What any registrar answers, asked until one does."""
+        """The answer of any registrar; asks them in turn until one answers."""
         for attempt in range(40):
             node = list(self.nodes.values())[attempt % len(self.nodes)]
             answer = self.read_rollout_at(node, service)
@@ -108,32 +108,32 @@
         if node.core is None:
             return UnavailableError("down")
 
-        def told(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
+        def on_result(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
             answers.append(error or result)
 
-        self.forwarders[node.name].read(self.now + node.offset, told, service)
+        self.forwarders[node.name].read(self.now + node.offset, on_result, service)
         self.go(1.0, lambda: bool(answers))
         return answers[0] if answers else UnavailableError("silent")
 
 
 @pytest.fixture(autouse=True)
 def program_state() -> Iterator[None]:
-    """The cores hold the program's own state."""
+    """The cores replicate the state type of the program."""
     with short_memory():
         yield
 
 
-# Guards against an order that the operators' API does not know (issue 49: "had no ack after N ms of calm").
+# Guards against an operators' API without this order (issue 49: "had no ack after N ms of calm").
 @pytest.mark.parametrize("at", range(3))
 def test_an_order_is_acknowledged_and_read_at_any_registrar(at: int) -> None:
-    world = SteeredWorld(1).configured()
+    world = RolloutWorld(1).configured()
     assert world.order_now(ORDER.to_change(), at) is None
     assert world.read_rollout() == {"State": "running", "TargetVersion": "v2"}
-    assert world.order_now(ORDER.to_change(), (at + 1) % 3) is None  # its acknowledgement was lost
+    assert world.order_now(ORDER.to_change(), (at + 1) % 3) is None  # a retry after a lost acknowledgement
 
 
-def test_wrong_orders_get_a_clear_answer_and_leave_no_record() -> None:
-    world = SteeredWorld(2).configured()
+def test_invalid_orders_are_rejected_and_leave_no_record() -> None:
+    world = RolloutWorld(2).configured()
     assert isinstance(world.order_now(StartRollout("x", "v2", 12.0).to_change()), RolloutInvalidError)
     assert isinstance(world.read_rollout(), RolloutNotFoundError)
     assert world.order_now(ORDER.to_change()) is None
@@ -143,10 +143,8 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("lost_disk", ["", "a", "b", "c"])
-def test_an_acknowledged_order_outlasts_a_loss_of_power_of_all_and_one_disk(
-    seed: int, lost_disk: str
-) -> None:
-    world = SteeredWorld(seed).configured()
+def test_an_acknowledged_order_survives_a_power_loss_of_all_and_one_disk(seed: int, lost_disk: str) -> None:
+    world = RolloutWorld(seed).configured()
     assert world.order_now(ORDER.to_change()) is None
     for node in world.nodes.values():
         world.crash(node, keep=0)
@@ -156,14 +154,16 @@
     for node in world.nodes.values():
         world.start(node)
     assert world.read_rollout() == {"State": "running", "TargetVersion": "v2"}
-    # And it is steered: a controller goes on to the next stage, and lets routers send to the new version.
-    began = world.now
-    assert world.go(20.0, lambda: any(grants for at, grants in world.published if at > began))
+    # The roll-out continues: a controller advances it, and lets routers send to the new version.
+    restarted_at = world.now
+    assert world.go(20.0, lambda: any(grants for at, grants in world.published if at > restarted_at))
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_an_order_taken_right_before_the_head_loses_power_is_kept_or_was_not_acknowledged(seed: int) -> None:
-    world = SteeredWorld(seed).configured()
+def test_an_order_accepted_right_before_the_head_loses_power_is_kept_or_was_not_acknowledged(
+    seed: int,
+) -> None:
+    world = RolloutWorld(seed).configured()
     head = world.nodes[world.chain()[0]]
     answers: list[PlumlineError | None] = []
     world.submit_at(head, ORDER.to_change(), lambda error, _: answers.append(error))
@@ -176,8 +176,8 @@
         assert found == {"State": "running", "TargetVersion": "v2"}
 
 
-def test_the_holder_of_the_lease_is_lost_at_each_stage_and_another_goes_on() -> None:
-    world = SteeredWorld(5).configured()
+def test_the_lease_holder_is_lost_at_each_stage_and_another_continues() -> None:
+    world = RolloutWorld(5).configured()
     assert world.order_now(ORDER.to_change()) is None
     seen: set[str] = set()
     for _ in range(30):
@@ -198,6 +198,6 @@
             world.crash(holder)
             world.go(4.0)
             world.start(holder)
-    # Nobody reports an answer in this world, so that the version can't be judged: it is taken back.
+    # No router reports answers here, so that the version can't be judged: it is reverted.
     assert world.go(20.0, lambda: world.read_rollout()["State"] == "reverted")  # type: ignore[index]
     assert "canary" in seen
--- a/tests/test_rollout_loop.py
+++ b/tests/test_rollout_loop.py
@@ -12,11 +12,11 @@
 
 
 class Engine:
-    """An endpoint on a socket that takes a version when it is ordered; orders and headers are kept."""
+    """An endpoint on a socket that applies ordered versions; records the orders and headers."""
 
     def __init__(self) -> None:
         self.version = 1
-        self.answers_orders = True  # else it takes them and resets
+        self.answers_orders = True  # else it reads an order and closes the connection
         self.orders: list[dict[str, Any]] = []
         self.instances: set[str | None] = set()
         self.reported = asyncio.Event()
@@ -47,7 +47,7 @@
 
 
 class Environment:
-    """A registrar whose lease and list the test sets; keeps what is published, as on the wire."""
+    """A registrar whose lease and endpoint list the test sets; records published states in wire form."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.token: int | None = 7
@@ -69,41 +69,41 @@
 
 
 class Rig:
-    """The loop part with a clock that the test moves, and one engine on a socket."""
+    """The control loop with a clock that the test advances, and one engine on a socket."""
 
     def __init__(self, caller: Caller, address: tuple[str, int]) -> None:
         self.now = 100.0
         self.environment = Environment(address)
         self.controller = RolloutController(caller, "node-1", self.environment, lambda: self.now)
 
-    async def turn(self, after: float = 0.0) -> float:
-        """One look, and the calls that it began."""
+    async def reconcile(self, after: float = 0.0) -> float:
+        """Reconciles once and waits for the calls that were started."""
         self.now += after
         wait = self.controller.reconcile()
         await asyncio.gather(*self.controller._calls)
         return wait
 
 
-async def with_rig(scene: Any, engine: Engine | None = None) -> None:  # noqa: ANN401
+async def run_with_rig(scenario: Any, engine: Engine | None = None) -> None:  # noqa: ANN401
     engine, caller = engine or Engine(), Caller()
     server = await asyncio.start_server(engine.serve, "127.0.0.1", 0)
     try:
         async with asyncio.timeout(10):
-            await scene(Rig(caller, server.sockets[0].getsockname()), engine)
+            await scenario(Rig(caller, server.sockets[0].getsockname()), engine)
     finally:
         caller.close()
         server.close()
 
 
 def test_the_loop_updates_an_endpoint_on_a_socket() -> None:
-    async def scene(rig: Rig, engine: Engine) -> None:
-        assert await rig.turn() == 1.0
+    async def scenario(rig: Rig, engine: Engine) -> None:
+        assert await rig.reconcile() == 1.0
         rig.environment.desired = {"m": 2}
-        assert await rig.turn() == 0.25
+        assert await rig.reconcile() == 0.25
         assert rig.environment.published[-1] == {"a": {"moving": True, "models": {}}}
-        await rig.turn(0.25)
-        await rig.turn(0.3)
-        await rig.turn()
+        await rig.reconcile(0.25)
+        await rig.reconcile(0.3)
+        await rig.reconcile()
         assert rig.environment.published == [
             {},
             {"a": {"moving": True, "models": {}}},
@@ -114,40 +114,40 @@
              "FenceNumber": 7}
         ]  # fmt: skip
         assert engine.instances == {"a"}
-        assert await rig.turn() == 1.0
-        # An order that is repeated after silence names the count of the report between them.
+        assert await rig.reconcile() == 1.0
+        # A retry of an order without a response expects the count of the report between the two.
         rig.controller.plan.versions.confirmed.clear()
         engine.version, engine.answers_orders = 1, False
         rig.environment.desired = {"m": 3}
         for _ in range(12):
-            await rig.turn(0.5)
+            await rig.reconcile(0.5)
         assert [each.get("ExpectedCount") for each in engine.orders[1:3]] == [None, 2]
 
-    asyncio.run(with_rig(scene))
+    asyncio.run(run_with_rig(scenario))
 
 
-def test_no_order_is_sent_once_the_lease_is_over_even_between_look_and_sending() -> None:
-    async def scene(rig: Rig, engine: Engine) -> None:
-        await rig.turn()
+def test_no_order_is_sent_once_the_lease_is_lost_even_between_reconciling_and_sending() -> None:
+    async def scenario(rig: Rig, engine: Engine) -> None:
+        await rig.reconcile()
         rig.environment.desired = {"m": 2}
-        await rig.turn()
+        await rig.reconcile()
         rig.now += 0.25
-        rig.controller.reconcile()  # the order's call is begun, but not a byte has gone
+        rig.controller.reconcile()  # starts the order's call, but sends no byte yet
         rig.environment.token = None
         await asyncio.gather(*rig.controller._calls)
         assert engine.orders == []
-        assert await rig.turn() == 1.0
-        rig.environment.token = 9  # won again: the report comes first, the order bears the new number
-        await rig.turn(1)
+        assert await rig.reconcile() == 1.0
+        rig.environment.token = 9  # won again: a report is fetched first, and the order carries the new token
+        await rig.reconcile(1)
         assert engine.orders == []
-        await rig.turn()
+        await rig.reconcile()
         assert [each["FenceNumber"] for each in engine.orders] == [9]
 
-    asyncio.run(with_rig(scene))
+    asyncio.run(run_with_rig(scenario))
 
 
 class SilentEngine(Engine):
-    """Takes an order in and answers nothing; notes whether the call's connection was reset."""
+    """Reads an order without responding; records whether the call's connection was reset."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -169,12 +169,12 @@
 
 @pytest.mark.parametrize("fencing_token", [None, 8])
 def test_an_order_in_flight_is_reset_once_its_fencing_token_is_over(fencing_token: int | None) -> None:
-    """Also where the same holder wins the lease again at once, under the next token."""
+    """Also if the same holder wins the lease again at once, under the next token."""
 
-    async def scene(rig: Rig, engine: SilentEngine) -> None:
-        await rig.turn()
+    async def scenario(rig: Rig, engine: SilentEngine) -> None:
+        await rig.reconcile()
         rig.environment.desired = {"m": 2}
-        await rig.turn()
+        await rig.reconcile()
         rig.now += 0.25
         rig.controller.reconcile()
         await engine.arrived.wait()
@@ -183,27 +183,27 @@
         await engine.ended.wait()
         assert engine.was_reset
 
-    asyncio.run(with_rig(scene, SilentEngine()))
+    asyncio.run(run_with_rig(scenario, SilentEngine()))
 
 
 def test_a_lease_holder_without_a_list_publishes_nothing_and_resumes_when_it_comes() -> None:
-    async def scene(rig: Rig, engine: Engine) -> None:
+    async def scenario(rig: Rig, engine: Engine) -> None:
         listed, rig.environment.listed = rig.environment.listed, []
         rig.environment.desired = {"m": 2}
         rig.controller.inherit(from_wire({"a": {"moving": True, "models": {}}}))
-        await rig.turn()
+        await rig.reconcile()
         assert rig.environment.published == []
         rig.environment.listed = listed
-        await rig.turn()
+        await rig.reconcile()
         assert rig.environment.published == [{"a": {"moving": True, "models": {}}}]
         assert engine.reported.is_set()
         assert engine.orders == []
 
-    asyncio.run(with_rig(scene))
+    asyncio.run(run_with_rig(scenario))
 
 
-def test_wake_brings_the_next_look_at_once() -> None:
-    async def scene(rig: Rig, engine: Engine) -> None:
+def test_wake_reconciles_at_once() -> None:
+    async def scenario(rig: Rig, engine: Engine) -> None:
         rig.environment.desired = {"m": 2}
         rig.controller.inherit(from_wire({"a": {"moving": True, "models": {}}}))
         fencing_token, rig.environment.token = rig.environment.token, None
@@ -221,4 +221,4 @@
         await engine.reported.wait()
         running.cancel()
 
-    asyncio.run(with_rig(scene))
+    asyncio.run(run_with_rig(scenario))
--- a/tests/test_rollout_requests.py
+++ b/tests/test_rollout_requests.py
@@ -1,4 +1,4 @@
-"""A router's requests while a version of their service is rolled out: who gets them, and what is reported."""
+"""A router's requests during a roll-out of their service: which endpoints get them, and the reports."""
 
 import asyncio
 from typing import Any
@@ -17,7 +17,7 @@
 REQUESTS = 60
 
 
-class RolledOut:
+class RolloutWorld:
     """A router with one endpoint of v1, one of v2, and a roll-out to v2."""
 
     def __init__(self, old: Peer, new: Peer, router: Router) -> None:
@@ -28,7 +28,7 @@
         self.publish()
 
     @classmethod
-    async def started(cls, old: Act | None = None, new: Act | None = None) -> "RolledOut":
+    async def started(cls, old: Act | None = None, new: Act | None = None) -> "RolloutWorld":
         first, second = Peer("old", old or answer()), Peer("new", new or answer())
         return cls(first, second, await made(document(), first, second))
 
@@ -59,64 +59,64 @@
 
 
 def test_a_version_on_trial_gets_no_request_without_a_grant() -> None:
-    async def play() -> None:
-        world = await RolledOut.started()
+    async def scenario() -> None:
+        world = await RolloutWorld.started()
         await world.ask()
         assert (len(world.old.heads), len(world.new.heads)) == (REQUESTS, 0)
 
-    within(play())
+    within(scenario())
 
 
 def test_a_version_on_trial_gets_the_share_of_its_grant() -> None:
-    async def play() -> None:
-        world = await RolledOut.started()
+    async def scenario() -> None:
+        world = await RolloutWorld.started()
         world.grant(0.3)
         await world.ask()
         assert 8 <= len(world.new.heads) <= 30
         assert len(world.old.heads) + len(world.new.heads) == REQUESTS
         assert world.report().stage is RolloutStage.CANARY
 
-    within(play())
+    within(scenario())
 
 
 @pytest.mark.parametrize(
     ("stage", "expected"), [(RolloutStage.COMPLETED, "new"), (RolloutStage.REVERTED, "old")]
 )
-def test_the_end_of_a_roll_out_holds_whatever_grant_is_left(stage: RolloutStage, expected: str) -> None:
-    async def play() -> None:
-        world = await RolledOut.started()
+def test_the_end_of_a_roll_out_overrides_any_remaining_grant(stage: RolloutStage, expected: str) -> None:
+    async def scenario() -> None:
+        world = await RolloutWorld.started()
         world.grant(0.5)
         world.advance(stage)
         await world.ask(20)
         assert len({"old": world.old, "new": world.new}[expected].heads) == 20
 
-    within(play())
+    within(scenario())
 
 
 def test_failed_answers_are_reported_by_endpoint_and_those_of_versions_in_service_together() -> None:
-    async def play() -> None:
-        world = await RolledOut.started(new=reset)
+    async def scenario() -> None:
+        world = await RolloutWorld.started(new=reset)
         world.grant(1.0, RolloutStage.GROWING)
         await world.ask(5)
         tallies = {each.endpoint: each for each in world.report().tallies}
         assert tallies["new"] == AnswerTally("new", "r", tallies["new"].answers, tallies["new"].answers)
         assert tallies["new"].answers > 0
-        # A request that failed on trial is sent again to the version in service: its route is idempotent.
+        # A request that failed on trial is retried at the version in service, as its route is idempotent.
         assert tallies[""].answers == len(world.old.heads) > 0
         assert tallies[""].bad == 0
 
-    within(play())
+    within(scenario())
 
 
 def test_requests_that_still_run_at_other_versions_are_reported() -> None:
-    async def play() -> None:
+    async def scenario() -> None:
         answered = asyncio.Event()
 
-        async def held(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+        async def delayed_answer(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
             await answered.wait()
             await answer()(peer, head, writer)
 
-        world = await RolledOut.started(old=held)
+        world = await RolloutWorld.started(old=delayed_answer)
         reader = await world.router.open()
         while not world.old.heads:
             await asyncio.sleep(0)
@@ -127,13 +127,13 @@
         await world.router.dispatcher.drained()
         assert world.report().others_running == 0
 
-    within(play())
+    within(scenario())
 
 
-# What counts as a bad answer.
+# Which answers count as bad.
 
 
-def ended(took_ms: float, endpoint: str = "old", **more: Any) -> TimedAnswer:  # noqa: ANN401
+def timed_answer(took_ms: float, endpoint: str = "old", **more: Any) -> TimedAnswer:  # noqa: ANN401
     fields: dict[str, Any] = {"failed": False, "cut_short": False, "latency_target_ms": 300.0}
     return TimedAnswer("s", endpoint, "r", took_ms, 20.0, **(fields | more))
 
@@ -144,31 +144,33 @@
 def evidence_after(*answers: TimedAnswer) -> dict[str, list[int]]:
     evidence = RolloutEvidence()
     for _ in range(50):
-        evidence.observe(ended(50.0), TRIAL)
+        evidence.observe(timed_answer(50.0), TRIAL)
     for each in answers:
         evidence.observe(each, TRIAL)
     return {endpoint: counts for endpoint, _, *counts in evidence.take_report("s", whole=True)}
 
 
 def test_an_answer_that_takes_several_times_the_usual_is_bad() -> None:
-    found = evidence_after(ended(60.0, "new"), ended(120.0, "new"), ended(600.0, "new"))
-    assert found == {"": [50, 0], "new": [3, 1]}
+    counts_by_endpoint = evidence_after(
+        timed_answer(60.0, "new"), timed_answer(120.0, "new"), timed_answer(600.0, "new")
+    )
+    assert counts_by_endpoint == {"": [50, 0], "new": [3, 1]}
 
 
 def test_a_slow_version_does_not_make_slow_answers_usual() -> None:
-    assert evidence_after(*[ended(900.0, "new")] * 40)["new"] == [40, 40]
+    assert evidence_after(*[timed_answer(900.0, "new")] * 40)["new"] == [40, 40]
 
 
 def test_an_answer_cut_short_counts_only_if_it_was_slow_by_then() -> None:
-    assert "new" not in evidence_after(ended(30.0, "new", cut_short=True))
-    assert evidence_after(ended(2000.0, "new", cut_short=True))["new"] == [1, 1]
+    assert "new" not in evidence_after(timed_answer(30.0, "new", cut_short=True))
+    assert evidence_after(timed_answer(2000.0, "new", cut_short=True))["new"] == [1, 1]
 
 
-def test_a_report_holds_what_changed_and_a_whole_one_all() -> None:
+def test_a_report_contains_changed_counts_and_a_complete_one_all() -> None:
     evidence = RolloutEvidence()
-    evidence.observe(ended(50.0), TRIAL)
+    evidence.observe(timed_answer(50.0), TRIAL)
     assert evidence.take_report("s", whole=False) == [["", "r", 1, 0]]
-    evidence.observe(ended(50.0, "new", failed=True), TRIAL)
+    evidence.observe(timed_answer(50.0, "new", failed=True), TRIAL)
     assert evidence.take_report("s", whole=False) == [["new", "r", 1, 1]]
     assert evidence.take_report("s", whole=False) == []
     assert len(evidence.take_report("s", whole=True)) == 2
@@ -176,9 +178,9 @@
     assert evidence.take_report("s", whole=True) == []
 
 
-def test_reports_keep_their_form_and_malformed_ones_are_told() -> None:
-    own = ServiceReport("v2", RolloutStage.HOLDING, 3, (AnswerTally("new", "r", 5, 1),))
-    report = RolloutReport("edge-1", 77, {"s": own, "t": ServiceReport("v9", None, 0, ())})
+def test_reports_keep_their_wire_form_and_malformed_ones_are_rejected() -> None:
+    service_report = ServiceReport("v2", RolloutStage.HOLDING, 3, (AnswerTally("new", "r", 5, 1),))
+    report = RolloutReport("edge-1", 77, {"s": service_report, "t": ServiceReport("v9", None, 0, ())})
     wire = [
         "rollout-report",
         "edge-1",
@@ -187,10 +189,10 @@
     ]
     assert report.to_wire() == wire
     assert RolloutReport.from_wire(wire) == report
-    for wrong in (
+    for malformed in (
         ["rollout-report"],
         ["rollout-report", "n", 1, {"s": []}],
         ["rollout-report", "n", 1, {"s": ["v", "x", 0, []]}],
     ):
         with pytest.raises((ValueError, TypeError)):
-            RolloutReport.from_wire(wrong)
+            RolloutReport.from_wire(malformed)
