--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -325,7 +325,7 @@
         seen = asyncio.Event()
 
         def gone_at_once(exchange: Exchange) -> None:
-            exchange.client_gone()
+            exchange.notify_client_disconnected()
             router.dispatcher.handle(exchange)
             seen.set()
 
--- a/tests/test_hostile_clients.py
+++ b/tests/test_hostile_clients.py
@@ -178,7 +178,7 @@
         assert b"\r\nContent-Length: %d\r\n" % len(text) in told  # one answer, and nothing behind it
         assert seen == []
         assert sum(server.counters.values()) == 1
-        assert server.held == 0
+        assert server.buffered_body_bytes == 0
         await serves_on(server, seen)
 
     play(scene)
@@ -246,7 +246,7 @@
             writer.write_eof()
             assert await reader.read() == b""
             writer.close()
-        assert seen == [] and server.held == 0
+        assert seen == [] and server.buffered_body_bytes == 0
         await serves_on(server, seen)
 
     play(scene)
@@ -259,7 +259,7 @@
         assert answer.startswith(b"HTTP/1.1 503 ") and b"\r\nRetry-After: 1\r\n" in answer
         answer = await talk(server, chunked(b"7d0\r\n" + b"a" * 1500))
         assert answer.startswith(b"HTTP/1.1 503 ") and b"\r\nRetry-After: 1\r\n" in answer
-        assert seen == [] and server.held == 0
+        assert seen == [] and server.buffered_body_bytes == 0
         await serves_on(server, seen)
 
     play(scene)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -10,7 +10,7 @@
 
 from plumline.router.lifecycle import Lifecycle, Phase
 from plumline.router.readiness import Readiness
-from plumline.wire.exchange import UNREAD_BYTES, AnswerInvalidError, Exchange
+from plumline.wire.exchange import MAX_UNREAD_RESPONSE_BYTES, AnswerInvalidError, Exchange
 from plumline.wire.server import FixedLimits, Server
 
 PATIENCE = 10.0  # s until a test that hangs fails
@@ -370,8 +370,8 @@
     got = await stage.seen.get()
     got.start(200)
     (connection,) = stage.server.connections
-    while connection.transport.get_write_buffer_size() <= UNREAD_BYTES:
-        got.write(b"x" * UNREAD_BYTES)
+    while connection.transport.get_write_buffer_size() <= MAX_UNREAD_RESPONSE_BYTES:
+        got.write(b"x" * MAX_UNREAD_RESPONSE_BYTES)
     return sock, got
 
 
--- a/tests/test_wire_properties.py
+++ b/tests/test_wire_properties.py
@@ -117,7 +117,7 @@
     Guard(EventJoiner, "feed", "held[:end], held[end:]", 'held, b""', streams=True),
     Guard(EventJoiner, "may_join", "return self.placed and ", "return ", streams=True),
     # One request at a time on a connection; nothing for a client that has gone, or after its time.
-    Guard(Connection, "advance", "self.phase in (Phase.ANSWER, Phase.LEAVING) or ", ""),
+    Guard(Connection, "advance", "self.phase in (Phase.ANSWER, Phase.LINGERING) or ", ""),
     Guard(RequestHandler, "client_gone", "self.progress.connection.close()", "pass"),
     Guard(RequestHandler, "work", "if progress.client_left:", "if False:"),
     Guard(RequestHandler, "expire", "self.progress.connection.close()", "pass"),
