--- a/plumline/wire/calls.py
+++ b/plumline/wire/calls.py
@@ -1,5 +1,5 @@
-"""Every HTTP call between the system and endpoints, stores, the platform and operators, in one table, the
-names of headers and fields that they use, and the client that makes the outgoing ones.
+"""A table of all HTTP calls between the system and endpoints, stores, the platform and operators, the names
+of their headers and fields, and the client for the outgoing calls.
 """
 
 import asyncio
@@ -44,12 +44,12 @@
 WAIT_MS = "Wait-Ms"
 X_API_KEY = "X-Api-Key"
 
-# Parameters of a query.
+# Query parameters.
 PAGE_TOKEN = "PageToken"
 SINCE = "Since"
 ZONE = "Zone"
 
-# Fields of bodies.
+# Body fields.
 ADDRESS = "Address"
 BUSY = "Busy"
 CALL_SEQUENCE = "CallSequence"
@@ -76,31 +76,33 @@
 VERSION = "Version"
 
 JSON = "application/json"
-MOST_ANSWER = 4 * 1024 * 1024  # bytes of one answer's body
-MOST_IDLE = 32  # idle connections kept, all addresses together
-IDLE_S = 20.0  # a connection idle for longer is not used again
-IDLE_SHARE = 0.75  # of the time that the other side gives: what is sent at the very end meets a close
-CONNECT_S = 0.4  # a machine without power says nothing, and connecting to it hangs
+MAX_RESPONSE_BODY_BYTES = 4 * 1024 * 1024
+MAX_IDLE_CONNECTIONS = 32  # over all addresses
+MAX_IDLE_S = 20.0  # a connection that was idle for longer is not reused
+# Of the server's keep-alive timeout: a request sent at its very end would meet a closing connection.
+KEEP_ALIVE_FRACTION = 0.75
+CONNECT_TIMEOUT_S = 0.4  # a machine without power doesn't respond, so connecting to it hangs
 
 Direction = Literal["out", "in"]
-Price = Literal["none", "probe", "platform", "order", "probe-or-wait"]
+CostClass = Literal["none", "probe", "platform", "order", "probe-or-wait"]
 
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One row of the table: who calls whom with what, and which statuses the pages name for it.
+    """One row of the table: the direction of the call, its request line and its documented statuses.
 
-    `matched`: its answer says what it answers, or is of no harm to another call. One that isn't goes out on a
-    new connection, where no late answer to another call can stand in for its own.
+    `response_matchable`: the response identifies its request, or does no harm if it is taken for that of
+    another call. Otherwise the call uses a new connection, where no late response to an earlier call can
+    be taken for its own.
     """
 
     name: str
     method: str
     path: str
     answers: tuple[int, ...]
-    priced: Price
+    cost_class: CostClass
     direction: Direction = "out"
-    matched: bool = True
+    response_matchable: bool = True
 
 
 CALLS: dict[str, Call] = {
@@ -108,9 +110,9 @@
     for call in (
         Call("instances", "GET", "/instances", (200, 429), "platform"),
         Call("report", "GET", "/report", (200,), "probe"),
-        Call("order", "POST", "/order", (200, 202, 400, 409, 412, 421), "order", matched=False),
+        Call("order", "POST", "/order", (200, 202, 400, 409, 412, 421), "order", response_matchable=False),
         Call("health", "GET", "/health", (200, 503), "probe"),
-        # Priced as a probe when it is over the limit or waits under 200 ms.
+        # Costs as much as a probe when it is over the limit or waits for less than 200 ms.
         Call("kv_events", "GET", "/kv-events", (200, 429), "probe-or-wait"),
         Call("kv_list", "GET", "/kv-list", (200, 429), "probe"),
         Call("configuration_replace", "POST", "/Configuration.Replace", (200, 400, 412, 503), "none", "in"),
@@ -118,7 +120,7 @@
         Call("configuration_read", "GET", "/Configuration.Read", (200, 503), "none", "in"),
         Call("version_put", "POST", "/version-put", (200, 400, 503), "none", "in"),
         Call("rollout_start", "POST", "/Rollouts.Start", (200, 400, 409, 503), "none", "in"),
-        # The path goes on with the name of a service.
+        # The name of a service is appended to the path.
         Call("rollout_read", "GET", "/Rollouts.Read/", (200, 404, 503), "none", "in"),
         Call("readiness", "GET", "/readiness", (200, 503), "none", "in"),
     )
@@ -130,7 +132,8 @@
 
 
 class CallFailedError(PlumlineError):
-    """No whole answer came. `sent`: a byte of the request may have gone out, so it may be done."""
+    """No complete response was received. `sent`: part of the request may have been sent, so the call may have
+    been executed."""
 
     code, status = "call-failed", 502
 
@@ -140,20 +143,21 @@
 
 
 class CallTimeoutError(CallFailedError):
-    """The time given for the call ran out."""
+    """The call's timeout has expired."""
 
     code, status = "call-timeout", 504
 
 
 class CallWithdrawnError(CallFailedError):
-    """The caller's own `prepare` held the call back at the moment of sending; no byte of it went."""
+    """The caller's `prepare` cancelled the call just before sending; nothing was sent."""
 
     code, status = "call-withdrawn", 503
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer. `headers`: the first of each, by lower-case name; `json`: None if it isn't JSON."""
+    """A complete response. `headers` has the first value of each header by lower-case name; `json` is None if
+    the body is not valid JSON."""
 
     status: int
     headers: dict[str, str]
@@ -161,22 +165,22 @@
 
 
 @dataclass(slots=True)
-class Idle:
-    """A kept connection and the steady time (s) after which it is not used again."""
+class IdleConnection:
+    """An idle connection and the monotonic time in s after which it is not reused."""
 
     connection: Connection
-    until: float
+    expires_at: float
 
 
 class Caller:
-    """Makes the outgoing calls of the table and keeps few idle connections, one an address.
+    """Makes the outgoing calls of the table and keeps a limited number of idle connections, one per address.
 
-    It never sends a call twice by itself, and of one that it gives up nothing leaves any more.
+    It never retries a call by itself, and sends no more bytes of a call that has failed.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.clock = clock
-        self.idle: dict[Address, Idle] = {}
+        self.idle: dict[Address, IdleConnection] = {}
 
     async def call(
         self,
@@ -189,23 +193,24 @@
         prepare: Callable[[], Any] | None = None,
         path: str = "",
         timeout_s: float,
-        connect_s: float = CONNECT_S,
+        connect_s: float = CONNECT_TIMEOUT_S,
     ) -> Answer:
-        """One call; any status is an answer. `body` goes as JSON; `path` stands in for the table's.
+        """Makes one call; any status is a response. `body` is sent as JSON; `path` overrides the table.
 
-        `prepare`, if given, is run when the connection is up, with nothing awaited between it and the first
-        byte: it returns the body, or raises CallWithdrawnError. Raises CallFailedError, CallTimeoutError.
+        `prepare`, if given, is called when the connection is established, with no await before the first
+        byte is sent. It returns the body or raises CallWithdrawnError.
 
-        Once a call has failed or was cancelled, no byte of it can arrive any more: its connection is reset.
+        After a failure or cancellation the connection is reset, so no more bytes of the call can arrive.
+        Raises CallFailedError, CallTimeoutError.
         """
         row = CALLS[name]
         target = (path or row.path) + (f"?{query}" if query else "")
         sent = False
         connection: Connection | None = None
         try:
-            async with asyncio.timeout(timeout_s) as whole:
-                connection = await self._connected(row, address, min(connect_s, timeout_s))
-                connection.give_up_after(timeout_s)
+            async with asyncio.timeout(timeout_s) as call_timeout:
+                connection = await self._connection_for(row, address, min(connect_s, timeout_s))
+                connection.set_user_timeout(timeout_s)
                 if prepare:
                     body = prepare()
                 data = b"" if body is None else json.dumps(body, separators=(",", ":")).encode()
@@ -214,37 +219,37 @@
                     lines |= {CONTENT_TYPE: JSON, CONTENT_LENGTH: str(len(data))}
                 sent = True
                 await connection.send(row.method, target, lines, data)
-                answer = await self._answer(connection, lines.get(ATTEMPT_ID))
+                answer = await self._read_answer(connection, lines.get(ATTEMPT_ID))
         except TimeoutError:
-            late = f"no answer in {timeout_s} s" if whole.expired() else "the head does not end"
-            raise CallTimeoutError(f"{name}: {late}", sent=sent) from None
+            reason = f"no answer in {timeout_s} s" if call_timeout.expired() else "the head does not end"
+            raise CallTimeoutError(f"{name}: {reason}", sent=sent) from None
         except BROKEN as error:
             raise CallFailedError(f"{name}: {error or type(error).__name__}", sent=sent) from error
         else:
-            if not self._keep(connection, answer):
+            if not self._keep_if_reusable(connection, answer):
                 connection.close()
             connection = None
             return answer
         finally:
             if connection and sent:
-                connection.reset()  # what has not left yet never will
+                connection.reset()  # drops bytes that are still in the send buffer
             elif connection:
                 connection.close()
 
-    async def _connected(self, row: Call, address: Address, connect_s: float) -> Connection:
-        """A kept connection, or a new one."""
-        kept = self._reused(address) if row.matched else None
-        return kept or await self._opened(address, connect_s)
+    async def _connection_for(self, row: Call, address: Address, connect_s: float) -> Connection:
+        """An idle connection if the call allows it, otherwise a new one."""
+        idle = self._pop_idle(address) if row.response_matchable else None
+        return idle or await self._open_connection(address, connect_s)
 
-    async def _opened(self, address: Address, connect_s: float) -> Connection:
+    async def _open_connection(self, address: Address, connect_s: float) -> Connection:
         try:
             async with asyncio.timeout(connect_s):
                 return await Connection.open(address)
         except TimeoutError:
             raise CallTimeoutError(f"no connection in {connect_s} s") from None
 
-    async def _answer(self, connection: Connection, attempt_id: str | None) -> Answer:
-        """The whole answer. Guards against bodies without measure and against another call's answer."""
+    async def _read_answer(self, connection: Connection, attempt_id: str | None) -> Answer:
+        """Reads the complete response. Rejects bodies that are too long and responses to other calls."""
         response = await connection.response()
         headers: dict[str, str] = {}
         for key, value in response.headers:
@@ -253,34 +258,36 @@
         while not isinstance(event := await connection.next_event(), h11.EndOfMessage):
             if isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > MOST_ANSWER:
-                    raise CallFailedError(f"the answer is longer than {MOST_ANSWER} bytes", sent=True)
-        told = headers.get(ATTEMPT_ID.lower())
-        if attempt_id and told and told != attempt_id:
+                if len(body) > MAX_RESPONSE_BODY_BYTES:
+                    raise CallFailedError(
+                        f"the answer is longer than {MAX_RESPONSE_BODY_BYTES} bytes", sent=True
+                    )
+        response_id = headers.get(ATTEMPT_ID.lower())
+        if attempt_id and response_id and response_id != attempt_id:
             raise CallFailedError("the answer belongs to another call", sent=True)
-        return Answer(response.status_code, headers, decoded(bytes(body)))
+        return Answer(response.status_code, headers, parse_json(bytes(body)))
 
-    def _reused(self, address: Address) -> Connection | None:
+    def _pop_idle(self, address: Address) -> Connection | None:
         idle = self.idle.pop(address, None)
         if idle is None:
             return None
-        if self.clock() < idle.until and not idle.connection.ended():
+        if self.clock() < idle.expires_at and not idle.connection.ended():
             return idle.connection
         idle.connection.close()
         return None
 
-    def _keep(self, connection: Connection, answer: Answer) -> bool:
-        """Whether the connection is kept for the next call: it is clean, and isn't said to end."""
+    def _keep_if_reusable(self, connection: Connection, answer: Answer) -> bool:
+        """Keeps the connection for the next call if it can be reused, and returns whether it does."""
         seconds = idle_seconds(answer.headers)
         if not seconds or not connection.next_cycle() or connection.address in self.idle:
             return False
-        if len(self.idle) >= MOST_IDLE:
+        if len(self.idle) >= MAX_IDLE_CONNECTIONS:
             self.idle.pop(next(iter(self.idle))).connection.close()
-        self.idle[connection.address] = Idle(connection, self.clock() + seconds)
+        self.idle[connection.address] = IdleConnection(connection, self.clock() + seconds)
         return True
 
     def forget(self, address: Address) -> None:
-        """The address is gone, or may soon be another's: its idle connection is closed."""
+        """Closes the idle connection to an address that is no longer used or may be reassigned."""
         if idle := self.idle.pop(address, None):
             idle.connection.close()
 
@@ -292,18 +299,18 @@
 
 
 def idle_seconds(headers: Mapping[str, str]) -> float:
-    """For how long (s) a connection may be kept after an answer with these headers; 0 if not at all."""
+    """How long (s) a connection may idle after a response with these headers; 0 if it can't be reused."""
     if "close" in headers.get("connection", "").lower():
         return 0.0
-    for part in headers.get("keep-alive", "").split(","):
-        name, _, value = part.partition("=")
+    for parameter in headers.get("keep-alive", "").split(","):
+        name, _, value = parameter.partition("=")
         if name.strip().lower() == "timeout" and value.strip().isdecimal() and value.isascii():
-            return min(IDLE_S, int(value.strip()[:6]) * IDLE_SHARE)
-    return IDLE_S
+            return min(MAX_IDLE_S, int(value.strip()[:6]) * KEEP_ALIVE_FRACTION)
+    return MAX_IDLE_S
 
 
-def decoded(body: bytes) -> Any:  # noqa: ANN401
-    """The JSON value in a body; None if there is none."""
+def parse_json(body: bytes) -> Any:  # noqa: ANN401
+    """The JSON value of a body, or None if it is empty or invalid."""
     try:
         return json.loads(body) if body else None
     except (ValueError, RecursionError):
--- a/plumline/wire/http.py
+++ b/plumline/wire/http.py
@@ -1,4 +1,4 @@
-"""The calling side of HTTP/1.1 on a plain socket, for receivers and for the platform."""
+"""An HTTP/1.1 client connection on a plain socket, used for receivers and for the platform."""
 
 import asyncio
 import re
@@ -10,27 +10,27 @@
 from plumline.errors import PlumlineError
 from plumline.wire.sockets import NO_LINGER
 
-HEADER_LIMIT = 16 * 1024
-BODY_LIMIT = 64 * 1024
-READ_SIZE = 64 * 1024
-HEAD_PATIENCE = 1.0  # s from an answer's first bytes to the end of its head
-MOST_INTERIM = 16  # 1xx answers that may come ahead of one answer
-FIRST_LINE = re.compile(rb"HTTP/1\.[01] (\d{3})(?: [^\r\n]*)?\r?\n")
-BEGINNING = b"HTTP/1."
-SOME_REQUEST = [("Host", "x"), ("Content-Length", "0")]
+HEADER_LIMIT = 16 * 1024  # bytes
+BODY_LIMIT = 64 * 1024  # bytes
+READ_SIZE = 64 * 1024  # bytes
+HEAD_TIMEOUT_S = 1.0  # from the first bytes of a response to the end of its head
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
+STATUS_LINE = re.compile(rb"HTTP/1\.[01] (\d{3})(?: [^\r\n]*)?\r?\n")
+STATUS_LINE_PREFIX = b"HTTP/1."
+PLACEHOLDER_HEADERS = [("Host", "x"), ("Content-Length", "0")]
 DECIMAL = re.compile(r"[0-9]{1,12}(?:\.[0-9]{0,12})?", re.ASCII)
 
 Address = tuple[str, int]
 
 
 class AddressInvalidError(PlumlineError, ValueError):
-    """What should be host:port is not."""
+    """An address that is not of the form host:port."""
 
     code, status = "address-invalid", 400
 
 
 class ResponseMalformedError(PlumlineError):
-    """An answer that cannot be read. `said` is the status in its first line, 0 if that says none."""
+    """A response that can't be parsed. `said` is the status in its status line, 0 if it has none."""
 
     code, status = "response-malformed", 502
 
@@ -39,12 +39,12 @@
         self.said = said
 
 
-#: What a broken connection or an unreadable answer raises.
+#: Raised for a broken connection or a malformed response.
 BROKEN = (OSError, ResponseMalformedError)
 
 
 def address_from(text: str) -> Address:
-    """The address that "host:port" names; AddressInvalidError for any other text."""
+    """Parses "host:port". Raises AddressInvalidError for any other text."""
     host, found, port = text.rpartition(":")
     if not found or not host or not (port.isascii() and port.isdecimal()) or int(port[:6]) > 65535:
         raise AddressInvalidError(f"{text!r} is not host:port")
@@ -57,23 +57,23 @@
 
 
 def decimal(text: str) -> float | None:
-    """A number as the protocol writes it. Guards against what only float() takes for one ('1e308', '1_0',
-    'inf', digits of other scripts) and against more digits than any clock needs."""
+    """Parses a decimal number. Returns None for forms that only float() accepts ('1e308', '1_0', 'inf',
+    digits of other scripts) and for numbers with too many digits."""
     return float(text) if DECIMAL.fullmatch(text) else None
 
 
 async def readable(sock: socket.socket) -> None:
-    """Returns once something can be read from the socket, its end included."""
+    """Waits until the socket is readable, which includes the end of the stream."""
     loop, ready, descriptor = asyncio.get_running_loop(), asyncio.Event(), sock.fileno()
     loop.add_reader(descriptor, ready.set)
     try:
         await ready.wait()
     finally:
-        loop.remove_reader(descriptor)  # by number: the socket may have been let go meanwhile
+        loop.remove_reader(descriptor)  # by number: the socket may have been closed meanwhile
 
 
 async def writable(sock: socket.socket) -> None:
-    """Returns once the socket takes bytes again."""
+    """Waits until the socket is writable."""
     loop, ready = asyncio.get_running_loop(), asyncio.Event()
     loop.add_writer(sock, ready.set)
     try:
@@ -83,17 +83,17 @@
 
 
 class Connection:
-    """One connection to a server. It never sends anything twice by itself."""
+    """A client connection to a server. It never retries a request by itself."""
 
     def __init__(self, sock: socket.socket, address: Address) -> None:
         self.sock, self.address = sock, address
         self.codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEADER_LIMIT)
         self.idle_since = 0.0
-        self.size = 0  # bytes of the answer's body so far
+        self.body_bytes = 0  # received of the current response's body
 
     @classmethod
     async def open(cls, address: Address) -> "Connection":
-        """A new connection. Raises OSError."""
+        """Opens a new connection. Raises OSError."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         try:
             sock.setblocking(False)
@@ -106,36 +106,37 @@
 
     @classmethod
     def adopt(cls, sock: socket.socket, address: Address, unread: bytes | None = None) -> "Connection":
-        """One that another process opened. With `unread`, the part of it that has come, an answer is out."""
+        """Takes over a connection that another process opened. `unread` is set if a response is outstanding
+        and holds its received part."""
         connection = cls(sock, address)
-        if unread is not None:  # the codec only has to know that a request went whole, not which
-            connection.codec.send(h11.Request(method="POST", target="/", headers=SOME_REQUEST))
+        if unread is not None:  # the codec must be in the state after a complete request, whichever
+            connection.codec.send(h11.Request(method="POST", target="/", headers=PLACEHOLDER_HEADERS))
             connection.codec.send(h11.EndOfMessage())
             if unread:
                 connection.codec.receive_data(unread)
         return connection
 
     async def send(self, method: str, target: str, headers: dict[str, str], body: bytes = b"") -> None:
-        """Returns once the last byte is written; if it raises, that byte was not."""
-        named = {"Host": f"{self.address[0]}:{self.address[1]}"} | headers
-        # Latin-1, as they were read: a client's id may hold more than ASCII and goes on unchanged.
-        lines = [(name.encode(), value.encode("latin-1")) for name, value in named.items() if value]
+        """Returns when the last byte is written; if it raises, the last byte was not written."""
+        all_headers = {"Host": f"{self.address[0]}:{self.address[1]}"} | headers
+        # Latin-1, as when reading, so that non-ASCII bytes in a client's id are forwarded unchanged.
+        lines = [(name.encode(), value.encode("latin-1")) for name, value in all_headers.items() if value]
         request = h11.Request(method=method, target=target, headers=lines)
         data = self.codec.send(request) or b""
         if body:
             data += self.codec.send(h11.Data(data=body)) or b""
         data += self.codec.send(h11.EndOfMessage()) or b""
-        left = memoryview(data)
-        while left:
+        unsent = memoryview(data)
+        while unsent:
             try:
-                left = left[self.sock.send(left) :]
+                unsent = unsent[self.sock.send(unsent) :]
             except (BlockingIOError, InterruptedError):
                 await writable(self.sock)
 
     async def receive(self) -> None:
-        """Waits for bytes, or the end, and hands them to the codec."""
-        # Bytes leave the system only in the task that handles them, and `send` is told in its own of the
-        # last one written: whoever ends a call, or hands it over, between two turns knows how far it is.
+        """Waits for bytes or the end of the stream, and passes them to the codec."""
+        # Reads and writes happen directly in the task that uses the result, without a transport in between.
+        # Code that ends a call or hands it over between two loop iterations therefore knows its exact state.
         while True:
             try:
                 self.codec.receive_data(self.sock.recv(READ_SIZE))
@@ -144,15 +145,15 @@
                 await readable(self.sock)
 
     def read_event(self) -> h11.Event | None:
-        """The next event of what has come; none if more has to come first."""
+        """The next event in the received bytes, None if more bytes are needed."""
         unread, ended = self.codec.trailing_data
         if ended and not unread:
             raise ConnectionResetError("the connection ended")
-        first = FIRST_LINE.match(unread)
+        status_line = STATUS_LINE.match(unread)
         try:
             event = self.codec.next_event()
         except h11.ProtocolError as error:
-            raise ResponseMalformedError(int(first[1]) if first else 0, str(error)) from None
+            raise ResponseMalformedError(int(status_line[1]) if status_line else 0, str(error)) from None
         if event is h11.NEED_DATA and not ended:
             return None
         if isinstance(event, h11.ConnectionClosed) or not isinstance(event, h11.Event):
@@ -160,65 +161,67 @@
         return event
 
     async def next_event(self) -> h11.Event:
-        """The next event, waited for."""
+        """Waits for the next event."""
         while (event := self.read_event()) is None:
             await self.receive()
         return event
 
     async def response(self) -> h11.Response:
-        """The head of the answer. Guards against heads that cannot be read, don't end or are noise."""
+        """Waits for the head of the response. Rejects malformed heads and heads that don't end in time."""
         if response := await self.early_response():
             return response
-        async with asyncio.timeout(HEAD_PATIENCE):
+        async with asyncio.timeout(HEAD_TIMEOUT_S):
             while not isinstance(event := await self.next_event(), h11.Response):
                 pass
         return event
 
     async def early_response(self) -> h11.Response | None:
-        """None where the head isn't here to its end, but its first line says 200: that is true already."""
+        """Like `response`, but None if the head is incomplete and its status line already says 200."""
         if not self.codec.trailing_data[0]:
             await self.receive()
         try:
-            async with asyncio.timeout(HEAD_PATIENCE):
-                for _ in range(MOST_INTERIM):
+            async with asyncio.timeout(HEAD_TIMEOUT_S):
+                for _ in range(MAX_INTERIM_RESPONSES):
                     while (event := self.read_event()) is None:
-                        if self.says_ok():
-                            self.size = 0
+                        if self.status_line_is_ok():
+                            self.body_bytes = 0
                             return None
                         await self.receive()
                     if isinstance(event, h11.Response):
-                        self.size = 0
+                        self.body_bytes = 0
                         return event
         except TimeoutError:
             raise ResponseMalformedError(0, "the head does not end") from None
         raise ResponseMalformedError(0, "too many interim answers")
 
-    def says_ok(self) -> bool:
-        """The first line of a head that is not here to its end. Noise is found here: it never ends."""
+    def status_line_is_ok(self) -> bool:
+        """Whether the status line of an incomplete head says 200. Rejects bytes that are not HTTP, whose head
+        would never end."""
         unread = self.codec.trailing_data[0]
-        if not (unread.startswith(BEGINNING) or BEGINNING.startswith(unread)):
+        if not (unread.startswith(STATUS_LINE_PREFIX) or STATUS_LINE_PREFIX.startswith(unread)):
             raise ResponseMalformedError(0, "not an answer")
-        first = FIRST_LINE.match(unread)
-        return first is not None and int(first[1]) == 200
+        status_line = STATUS_LINE.match(unread)
+        return status_line is not None and int(status_line[1]) == 200
 
     def whole(self) -> bool:
-        """Whether the answer, whose head has been read or says 200, is here to its end."""
+        """Reads the received part of the body, and returns whether the response is complete. Its head has been
+        read, or its status line says 200."""
         while (event := self.read_event()) is not None:
             if isinstance(event, h11.EndOfMessage):
                 return True
-            self.size += len(event.data) if isinstance(event, h11.Data) else 0
-            if self.size > BODY_LIMIT:
+            self.body_bytes += len(event.data) if isinstance(event, h11.Data) else 0
+            if self.body_bytes > BODY_LIMIT:
                 raise ResponseMalformedError(0, "the answer is too long")
         return False
 
     async def skip_body(self) -> None:
-        """Reads the answer to its end, so that the connection can be used again."""
+        """Reads the rest of the response, so that the connection can be reused."""
         while not self.whole():
             await self.receive()
 
     def next_cycle(self) -> bool:
-        """Whether another request may follow on this connection. What came behind the answer belongs to no
-        request: read as the next one's answer, it would end that one while it is still out."""
+        """Prepares the connection for another request, and returns whether it is possible. It isn't if bytes
+        follow the response: they would be taken for the response to the next request."""
         if self.codec.our_state is not h11.DONE or self.codec.their_state is not h11.DONE:
             return False
         if self.codec.trailing_data != (b"", False):
@@ -227,7 +230,7 @@
         return True
 
     def ended(self) -> bool:
-        """Guards a reused connection: the other side may have closed it, or said what nobody asked."""
+        """Whether an idle connection can't be reused: the peer has closed it or sent unsolicited bytes."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
@@ -237,28 +240,28 @@
         return True
 
     def close(self) -> None:
-        """Ends the connection."""
+        """Closes the connection."""
         self.sock.close()
 
     def reset(self) -> None:
-        """Closes with a reset: bytes that a cut of the network still holds up can't arrive any more."""
+        """Closes with a reset, so that bytes delayed by a network partition can't arrive later."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         self.sock.close()
 
-    def give_up_after(self, seconds: float) -> None:
-        """The system itself resets the connection if bytes stay unacknowledged for so long, also while this
-        process stands still."""
+    def set_user_timeout(self, seconds: float) -> None:
+        """Lets the kernel reset the connection if sent bytes stay unacknowledged for this long, even while
+        this process is suspended."""
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(seconds * 1000))
 
     def let_go(self) -> None:
-        """It is another process's now, which holds a descriptor of its own: this one goes at once, or the
-        connection would outlast the other's closing of it."""
+        """Closes this process's descriptor after the connection was handed to another process. Otherwise the
+        connection would stay open after the other process closes it."""
         asyncio.get_running_loop().remove_reader(self.sock.fileno())
         self.sock.close()
 
     def break_off(self) -> None:
-        """The other side hears the end at once, before whoever waits on the connection comes to close it."""
+        """Shuts the connection down at once, before the task that waits on it gets to close it."""
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            pass  # it had ended already
+            pass  # already disconnected
--- a/plumline/wire/server.py
+++ b/plumline/wire/server.py
@@ -92,7 +92,7 @@
         self.request_began_at = 0.0  # the same for the first byte of the current request
         self.head: RequestHead | None = None
         self.chunks: ChunkedBody | None = None
-        self.body_bytes = 0  # bytes of the current body that are included in the server's total
+        self.counted_body_bytes = 0  # bytes of the current body that are included in the server's total
         self.exchange: Exchange | None = None
         self.deadline = 0.0
         self.timer: asyncio.TimerHandle | None = None
@@ -233,8 +233,8 @@
             assert self.head.length is not None
             received = min(len(self.buffer), self.head.length)
             complete = received == self.head.length
-        self.server.buffered_body_bytes += received - self.body_bytes
-        self.body_bytes = received
+        self.server.buffered_body_bytes += received - self.counted_body_bytes
+        self.counted_body_bytes = received
         if complete:
             if self.chunks is not None:
                 return bytes(self.chunks.body)
@@ -341,8 +341,8 @@
 
     def release_body_bytes(self) -> None:
         """Removes the current body from the server's total."""
-        self.server.buffered_body_bytes -= self.body_bytes
-        self.body_bytes = 0
+        self.server.buffered_body_bytes -= self.counted_body_bytes
+        self.counted_body_bytes = 0
 
     def expire_in(self, delay: float) -> None:
         """Sets the deadline. A timer that is due earlier is kept and rescheduled when it fires, which avoids
--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -159,7 +159,7 @@
 def test_idle_seconds() -> None:
     assert idle_seconds({"connection": "Close"}) == 0
     assert idle_seconds({"keep-alive": "timeout=4, max=9"}) == 3
-    assert idle_seconds({"keep-alive": "timeout=x"}) == idle_seconds({}) == calls.IDLE_S
+    assert idle_seconds({"keep-alive": "timeout=x"}) == idle_seconds({}) == calls.MAX_IDLE_S
 
 
 def test_a_refused_connection_is_a_failure_with_nothing_sent() -> None:
@@ -250,7 +250,7 @@
 
 
 def test_an_answer_without_measure_fails(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(calls, "MOST_ANSWER", 10)
+    monkeypatch.setattr(calls, "MAX_RESPONSE_BODY_BYTES", 10)
 
     async def scene(caller: Caller, address: Address) -> None:
         with pytest.raises(CallFailedError, match="longer"):
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -187,7 +187,7 @@
                 assert told == answer or (told.outcome is answer and told.wait == 2_000_000)
                 await soon(receiver.ends.get())
 
-    monkeypatch.setattr(http, "HEAD_PATIENCE", 0.05)
+    monkeypatch.setattr(http, "HEAD_TIMEOUT_S", 0.05)
     monkeypatch.setattr(module, "BODY_PATIENCE", 0.05)
     play(test)(Path())
 
