--- a/plumline/wire/__init__.py
+++ b/plumline/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What goes over sockets: the calling side of HTTP/1.1, shared by the sender and the router."""
+"""Network protocols: HTTP/1.1 client and server, and frames between the processes of the system."""
--- a/plumline/wire/frame_link.py
+++ b/plumline/wire/frame_link.py
@@ -1,8 +1,8 @@
-"""A connection between two of the system's processes, over which frames go both ways.
+"""A bidirectional connection for frames between two processes of the system.
 
-The first frame of each side is its hello; another protocol or version closes the connection, counted. Chunks
-of a large body are written only as the transport takes them, so small messages pass between them and never
-wait behind more than WRITE_BUFFER_BYTES.
+The first frame of each side is its hello. A different protocol or version closes the connection and is
+counted. Chunks of a large body are written only when the transport has room, so small messages are sent
+between them and never wait behind more than WRITE_BUFFER_BYTES.
 """
 
 import asyncio
@@ -20,9 +20,9 @@
 from plumline.errors import FrameError, ProtocolVersionError
 from plumline.wire.frames import CHUNK_KIND, LENGTH_BYTES, PROTOCOL, VERSION, FrameDecoder, framed, pack
 
-CHUNK_BYTES = 16 * 1024  # of a larger body that go into one frame: 26 ms at 5 Mbit/s
-WRITE_BUFFER_BYTES = 32 * 1024  # that may wait in the transport before chunks are held back
-MAX_UNSENT_BYTES = 24 * 1024 * 1024  # that a peer may leave unread before the connection is closed
+CHUNK_BYTES = 16 * 1024  # larger bodies are split into chunks of this size: 26 ms at 5 Mbit/s
+WRITE_BUFFER_BYTES = 32 * 1024  # high-water mark of the transport, above which chunks are queued
+MAX_UNSENT_BYTES = 24 * 1024 * 1024  # buffered for a peer that does not read; above it the connection closes
 HELLO_FIELDS = ("node", "role", "address", "zone")
 
 log = logs.logger("link")
@@ -30,31 +30,31 @@
 
 @dataclass(slots=True)
 class OutgoingFrame:
-    """A frame that waits for the transport to take it, chunk by chunk if it is large."""
+    """A queued outgoing frame; a large one is written in chunks."""
 
     data: bytes
     sent_bytes: int = 0
 
     def next_frame(self) -> bytes:
-        """The bytes to write next: all of a small frame, or a chunk of a large one."""
+        """The bytes to write next: a complete small frame, or a chunk of a large one."""
         if len(self.data) <= CHUNK_BYTES:
             self.sent_bytes = len(self.data)
             return self.data
-        start = max(self.sent_bytes, LENGTH_BYTES)  # chunks are of the body
+        start = max(self.sent_bytes, LENGTH_BYTES)  # chunks don't include the length prefix
         self.sent_bytes = min(start + CHUNK_BYTES, len(self.data))
         more = self.sent_bytes < len(self.data)
         return framed(ormsgpack.packb([CHUNK_KIND, more, self.data[start : self.sent_bytes]]))
 
     def unsent_bytes(self) -> int:
-        """How much is left to write; 0: the frame is done."""
+        """The number of bytes left to write; 0 if the frame is complete."""
         return len(self.data) - self.sent_bytes
 
 
 class FrameLink(asyncio.Protocol):
-    """One connection, either side.
+    """One connection, on either side.
 
-    `on_up(link)` is called with the peer's hello, whose fields are then in `peer`; then comes
-    `on_message(link, message)` for each message; `on_down(link)` once at the end.
+    `on_up(link)` is called when the peer's hello has arrived, with its fields in `peer`, then
+    `on_message(link, message)` for each message, and `on_down(link)` once at the end.
     """
 
     def __init__(
@@ -72,26 +72,27 @@
         self.peer: dict[str, Any] | None = None
         self.down = False
         self.loop = asyncio.get_running_loop()
-        self.last_received_at = 0.0  # when the newest frame came, a chunk too
-        self.last_chunk_at = 0.0  # when the newest chunk came
-        self._send_queue: deque[OutgoingFrame] = deque()  # in order, the first perhaps sent in part
-        self._paused = False  # the transport holds as much as it should
-        #: Called when the transport has taken all that waited for it.
+        self.last_received_at = 0.0  # loop time of the latest frame, including chunks
+        self.last_chunk_at = 0.0  # loop time of the latest chunk
+        self._send_queue: deque[OutgoingFrame] = deque()  # the first one may be partly sent
+        self._paused = False  # the write buffer of the transport is over its limit
+        #: Called when the send queue has been written to the transport.
         self.on_drained: Callable[[FrameLink], None] = lambda link: None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Says hello."""
+        """Configures the socket and sends the hello."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         if (sock := transport.get_extra_info("socket")) is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            with contextlib.suppress(OSError):  # else the kernel takes megabytes in front of a small message
+            # Otherwise the kernel could queue megabytes in front of a small message.
+            with contextlib.suppress(OSError):
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, WRITE_BUFFER_BYTES)
         self.send(self.greeting)
 
     def data_received(self, data: bytes) -> None:
-        """Hands on the messages; what is no frame closes the connection."""
+        """Passes the messages on; an invalid frame closes the connection."""
         frame_count, chunk_count = self._decoder.frame_count, self._decoder.chunk_count
         try:
             messages = self._decoder.feed(data)
@@ -116,7 +117,7 @@
         match message:
             case ["hello", str(name), int(version), dict(fields)] if (name, version) == (PROTOCOL, VERSION):
                 if not all(isinstance(fields.get(field), str) for field in HELLO_FIELDS):
-                    raise FrameError("a hello without its fields")
+                    raise FrameError("the hello lacks required fields")
                 self.peer = fields
                 self.on_up(self)
             case ["hello", str(name), version, *_] if (name, version) != (PROTOCOL, VERSION):
@@ -124,10 +125,10 @@
                     f"the peer speaks {name} {version}, this release {PROTOCOL} {VERSION}"
                 )
             case _:
-                raise FrameError("no hello of this protocol and version")
+                raise FrameError("the first frame is not a valid hello")
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Reports the end to the owner, once."""
+        """Calls `on_down`, once."""
         self._send_queue.clear()
         if not self.down:
             self.down = True
@@ -137,16 +138,16 @@
 
     @property
     def busy(self) -> bool:
-        """Whether the transport has not taken what was sent before."""
+        """Whether earlier messages are still waiting for the transport."""
         return self._paused or bool(self._send_queue)
 
     def send(self, message: list[Any], *, ordered: bool = False) -> None:
-        """Sends the message, or drops it where the connection is closing; see `send_packed`."""
+        """Sends the message, or drops it if the connection is closing; see `send_packed`."""
         self.send_packed(message[0], pack(message), ordered=ordered)
 
     def send_packed(self, kind: str, data: bytes, *, ordered: bool = False) -> None:
-        """Sends the frame `data` of a message of this kind. `ordered`: it overtakes no large message that was
-        sent before it. A peer that leaves more than MAX_UNSENT_BYTES unread loses the connection."""
+        """Sends the frame `data` of a message of this kind. `ordered`: it is not sent before earlier large
+        messages. The connection is closed if more than MAX_UNSENT_BYTES are waiting for the peer."""
         self.counters.add(f"frames.bytes.{kind}", len(data))
         if self.transport is None or self.transport.is_closing():
             return
@@ -171,17 +172,17 @@
                 self._send_queue.popleft()
 
     def pause_writing(self) -> None:
-        """The transport holds as much as it should: chunks wait."""
+        """Transport callback: stops writing chunks."""
         self._paused = True
 
     def resume_writing(self) -> None:
-        """The transport takes more; reports when nothing waits any longer."""
+        """Transport callback: writes queued chunks, and calls `on_drained` if none are left."""
         self._paused = False
         self._write_queued()
         if not self.busy:
             self.on_drained(self)
 
     def abort(self) -> None:
-        """Closes the connection at once; what was not written is lost."""
+        """Closes the connection at once; unsent data is lost."""
         if self.transport is not None:
             self.transport.abort()
--- a/plumline/wire/frames.py
+++ b/plumline/wire/frames.py
@@ -1,8 +1,8 @@
-"""Frames between the system's own processes: a length (4 bytes, big-endian) and an ormsgpack array.
+"""Frames between the processes of the system: a length (4 bytes, big-endian) and an ormsgpack array.
 
-A message is an array that begins with its kind. Two kinds belong to this layer and never reach the owner of a
-link: `packed` holds another frame's body compressed, and `piece` holds a chunk of a large body. Over-long
-frames and garbage raise FrameError, and nothing of them is applied.
+A message is an array that begins with its kind. Two kinds are internal to this layer and are not passed on:
+`packed` holds the compressed body of another frame, and `piece` holds a chunk of a large body. Oversized and
+malformed frames raise FrameError and have no effect.
 """
 
 import zlib
@@ -13,19 +13,19 @@
 from plumline.errors import FrameError
 
 PROTOCOL, VERSION = "plumline", 2
-LENGTH_BYTES = 4  # before each body
-MAX_BODY_BYTES = 16 * 1024 * 1024  # a snapshot with a configuration of 4 MiB, and a reserve
-COMPRESSION_THRESHOLD_BYTES = 2 * 1024  # from this size of a body on it is compressed
-COMPRESSION_LEVEL = 1  # zlib's fastest: configurations shrink to a twentieth with it already
+LENGTH_BYTES = 4  # length prefix of each body
+MAX_BODY_BYTES = 16 * 1024 * 1024  # fits a snapshot with a configuration of 4 MiB, with a reserve
+COMPRESSION_THRESHOLD_BYTES = 2 * 1024  # bodies of at least this size are compressed
+COMPRESSION_LEVEL = 1  # zlib's fastest level already shrinks configurations to a twentieth
 COMPRESSED_KIND = "packed"  # [kind, size of the body in bytes, the compressed body]
 CHUNK_KIND = "piece"  # [kind, whether more chunks follow, bytes]
 
 
 def pack(message: list[Any]) -> bytes:
-    """The frame of a message, compressed if it is large and that makes it smaller. Raises FrameError."""
+    """Encodes a message as a frame, compressed if it is large and becomes smaller. Raises FrameError."""
     body = ormsgpack.packb(message)
     if len(body) > MAX_BODY_BYTES:
-        raise FrameError(f"a frame of {len(body)} bytes; {MAX_BODY_BYTES} at the most")
+        raise FrameError(f"the frame has {len(body)} bytes; the maximum is {MAX_BODY_BYTES}")
     if len(body) >= COMPRESSION_THRESHOLD_BYTES:
         compressed = ormsgpack.packb([COMPRESSED_KIND, len(body), zlib.compress(body, COMPRESSION_LEVEL)])
         body = min(body, compressed, key=len)
@@ -33,23 +33,23 @@
 
 
 def framed(body: bytes) -> bytes:
-    """The body with its length before it."""
+    """Adds the length prefix to a body."""
     return len(body).to_bytes(LENGTH_BYTES, "big") + body
 
 
 def hello(node: str, role: str, address: str, zone: str) -> list[Any]:
-    """The first message on a connection: the protocol, its version and who speaks."""
+    """The first message on a connection: the protocol, its version and the identity of the sender."""
     return ["hello", PROTOCOL, VERSION, {"node": node, "role": role, "address": address, "zone": zone}]
 
 
 def unpack(body: bytes) -> list[Any]:
-    """The message of a body. Raises FrameError."""
+    """Decodes a body into its message. Raises FrameError."""
     try:
         message = ormsgpack.unpackb(body)
     except ValueError as error:
         raise FrameError(f"not a frame: {error}") from None
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
-        raise FrameError("a frame that is no array with a kind")
+        raise FrameError("the frame is not an array that begins with a kind")
     if message[0] != COMPRESSED_KIND:
         return message
     match message:
@@ -61,34 +61,34 @@
 
 
 def _decompress(size: int, compressed: bytes) -> bytes:
-    """The body, if it has this size in bytes; memory for more is never taken. Raises FrameError."""
-    expander = zlib.decompressobj()
+    """Decompresses a body of exactly `size` bytes and never allocates more. Raises FrameError."""
+    decompressor = zlib.decompressobj()
     try:
-        body = expander.decompress(compressed, size)
+        body = decompressor.decompress(compressed, size)
     except zlib.error as error:
-        raise FrameError(f"a compressed frame that can't be expanded: {error}") from None
-    if len(body) != size or expander.unconsumed_tail or expander.unused_data:
-        raise FrameError("a compressed frame of another size than it tells")
+        raise FrameError(f"the compressed frame can't be decompressed: {error}") from None
+    if len(body) != size or decompressor.unconsumed_tail or decompressor.unused_data:
+        raise FrameError("the size of a compressed frame differs from its size field")
     return body
 
 
 class FrameDecoder:
-    """Bytes in, messages out."""
+    """Incremental decoder from received bytes to messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._chunks = bytearray()  # of a large body that is not complete
-        self.frame_count = 0  # all frames that came, chunks included
+        self._chunks = bytearray()  # of an incomplete large body
+        self.frame_count = 0  # all received frames, including chunks
         self.chunk_count = 0
 
     def feed(self, data: bytes) -> list[list[Any]]:
-        """The messages that are complete with these bytes. Raises FrameError: the connection must end."""
+        """Returns the messages completed by `data`. After a FrameError the connection must be closed."""
         self._buffer += data
         messages = []
         while len(self._buffer) >= LENGTH_BYTES:
             size = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
             if size > MAX_BODY_BYTES:
-                raise FrameError(f"a frame of {size} bytes is announced; {MAX_BODY_BYTES} at the most")
+                raise FrameError(f"the frame announces {size} bytes; the maximum is {MAX_BODY_BYTES}")
             if len(self._buffer) < LENGTH_BYTES + size:
                 break
             message: list[Any] | None = unpack(bytes(self._buffer[LENGTH_BYTES : LENGTH_BYTES + size]))
@@ -101,17 +101,17 @@
         return messages
 
     def _join(self, chunk: list[Any]) -> list[Any] | None:
-        """The message that this chunk completes; None while more are to come."""
+        """Adds a chunk and returns the message if it is complete, otherwise None."""
         match chunk:
             case ["piece", bool(more), bytes(data)] if len(self._chunks) + len(data) <= MAX_BODY_BYTES:
                 self._chunks += data
             case _:
-                raise FrameError("a malformed piece, or more of them than a body may have")
+                raise FrameError("a malformed chunk, or more chunks than a body may have")
         self.chunk_count += 1
         if more:
             return None
         body, self._chunks = bytes(self._chunks), bytearray()
         message = unpack(body)
         if message[0] == CHUNK_KIND:
-            raise FrameError("a piece within pieces")
+            raise FrameError("a chunk within chunks")
         return message
--- a/plumline/wire/http.py
+++ b/plumline/wire/http.py
@@ -204,7 +204,7 @@
         return status_line is not None and int(status_line[1]) == 200
 
     def whole(self) -> bool:
-        """Reads the received part of the body, and returns whether the response is complete. Its head has been
+        """Reads the received part of the body and returns whether the response is complete. Its head has been
         read, or its status line says 200."""
         while (event := self.read_event()) is not None:
             if isinstance(event, h11.EndOfMessage):
--- a/plumline/wire/mesh.py
+++ b/plumline/wire/mesh.py
@@ -1,7 +1,7 @@
-"""Links between registrars, and the listener for all of plumline's own connections.
+"""Links between registrars, and the listener for all internal connections of the system.
 
-Each registrar sends over the links that it opened itself and hears on those that others opened, so either
-side may find a dead one and open it anew without asking the other.
+Each registrar sends on the links that it opened and receives on those that others opened, so that either side
+can replace a dead link without coordinating with the other.
 """
 
 import asyncio
@@ -13,60 +13,60 @@
 from plumline.wire.frame_link import FrameLink
 from plumline.wire.frames import pack
 
-CONNECT_TIMEOUT_S = 0.5  # s for a connection to come up
-HELLO_TIMEOUT_S = 1.5  # s for the hello: what a partition held up may come long after it heals
-RECONNECT_BACKOFF_S = 0.25  # s until the next attempt, on average
-BACKOFF_JITTER = (0.6, 1.4)  # factors of the backoff
+CONNECT_TIMEOUT_S = 0.5
+HELLO_TIMEOUT_S = 1.5  # a hello delayed by a partition may arrive long after the partition heals
+RECONNECT_BACKOFF_S = 0.25  # mean delay before the next attempt
+BACKOFF_JITTER = (0.6, 1.4)  # range of the random factor of the backoff
 REGISTRAR_ROLE = "registrar"  # in a hello
-#: Kinds that are of use only after those sent before.
+#: Message kinds that are useful only after the messages sent before them.
 ORDERED_KINDS = frozenset({"chain-entry", "chain-lesson"})
 
 
 class PeerHandler(Protocol):
-    """What the mesh does with other registrars' links."""
+    """Callbacks for the links with other registrars."""
 
     def on_link_up(self, address: str) -> None:
-        """A link to the registrar at this address has come up."""
+        """A link to the registrar at this address is up."""
 
     def on_message(self, sender: str, message: list[Any]) -> None:
-        """The registrar at the address `sender`, which may be this one, has sent a message."""
+        """A message from the registrar at the address `sender`, which may be this one, has arrived."""
 
 
 class ClientHandler(Protocol):
-    """What the mesh does with the connections of those that are no registrars."""
+    """Callbacks for the connections of processes other than registrars."""
 
     def on_connected(self, link: FrameLink) -> None:
-        """The other side has said who it is."""
+        """The hello of the client has arrived."""
 
     def on_message(self, link: FrameLink, message: list[Any]) -> None:
-        """A message has come. Raises FrameError for one that ends the connection."""
+        """A message has arrived. Raises FrameError for one that must close the connection."""
 
     def on_disconnected(self, link: FrameLink) -> None:
         """The connection has ended."""
 
 
 class Mesh:
-    """Links to and from other registrars, whose messages go to one handler; those of others to another."""
+    """Links with other registrars and connections of other processes, with one handler for each group."""
 
     def __init__(self, local_address: str, greeting: list[Any], counters: Counters) -> None:
-        """`local_address` is this registrar's, and `greeting` its hello."""
+        """`local_address` is the address of this registrar, `greeting` its hello message."""
         self.local_address, self.counters = local_address, counters
-        self.links: dict[str, FrameLink] = {}  # opened here and up, by address
+        self.links: dict[str, FrameLink] = {}  # opened by this registrar and up, by address
         self.loop = asyncio.get_running_loop()
         self._greeting = greeting
         self._peer_handler: PeerHandler
         self._client_handler: ClientHandler
-        self._peers: set[str] = set()  # addresses to have links to
+        self._peers: set[str] = set()  # addresses that links are maintained to
         self._link_tasks: dict[str, asyncio.Task[None]] = {}  # by address
-        self._peer_heard: dict[str, asyncio.Event] = {}  # set when a peer without a link opens one to here
+        self._peer_connected: dict[str, asyncio.Event] = {}  # set when the peer opens a link to here
         self._incoming: set[FrameLink] = set()
         self._server: asyncio.Server | None = None
 
     def attach(self, peer_handler: PeerHandler, client_handler: ClientHandler) -> None:
-        """Sets the handlers; before the first message and before `listen`."""
+        """Sets the handlers. Must be called before `listen` and before the first message."""
         self._peer_handler, self._client_handler = peer_handler, client_handler
 
-    # Connections that others open.
+    # Incoming connections.
 
     async def listen(self, address: tuple[str, int]) -> None:
         """Accepts connections at the address. Raises OSError."""
@@ -82,8 +82,8 @@
         self._incoming.add(link)
         if link.peer["role"] != REGISTRAR_ROLE:
             self._client_handler.on_connected(link)
-        elif event := self._peer_heard.get(link.peer["address"]):
-            event.set()  # it listens by now, so the backoff of the link to it is over
+        elif event := self._peer_connected.get(link.peer["address"]):
+            event.set()  # the peer is listening by now, so skip the rest of the backoff
 
     def _on_message(self, link: FrameLink, message: list[Any]) -> None:
         assert link.peer is not None
@@ -97,10 +97,10 @@
         if link.peer is not None and link.peer["role"] != REGISTRAR_ROLE:
             self._client_handler.on_disconnected(link)
 
-    # Links that this registrar opens.
+    # Outgoing links.
 
     def set_peers(self, addresses: set[str]) -> None:
-        """Links are kept up to the registrars at these addresses, and to no others."""
+        """Maintains links to the registrars at these addresses and closes all others."""
         self._peers = addresses - {self.local_address}
         for address in self._peers:
             if address not in self._link_tasks:
@@ -109,24 +109,24 @@
             self.links[address].abort()
 
     async def _keep_linked(self, address: str) -> None:
-        """Opens the link again whenever it is down, for as long as the address is a peer's."""
-        peer_heard = self._peer_heard.setdefault(address, asyncio.Event())
+        """Reopens the link whenever it is down, for as long as the address belongs to a peer."""
+        peer_connected = self._peer_connected.setdefault(address, asyncio.Event())
         try:
             while address in self._peers:
-                peer_heard.clear()
+                peer_connected.clear()
                 try:
                     await self._run_link(address)
                 except (OSError, TimeoutError):
                     self.counters.add("links.not-up")
                 backoff_s = RECONNECT_BACKOFF_S * random.uniform(*BACKOFF_JITTER)
                 with contextlib.suppress(TimeoutError):
-                    await asyncio.wait_for(peer_heard.wait(), backoff_s)
+                    await asyncio.wait_for(peer_connected.wait(), backoff_s)
         finally:
             self._link_tasks.pop(address, None)
-            self._peer_heard.pop(address, None)
+            self._peer_connected.pop(address, None)
 
     async def _run_link(self, address: str) -> None:
-        """Opens a link and returns once it is down. Raises OSError, TimeoutError where it doesn't come up."""
+        """Opens a link and returns when it is down. Raises OSError or TimeoutError if it can't be opened."""
         host, _, port = address.rpartition(":")
         greeted, down = self.loop.create_future(), self.loop.create_future()
 
@@ -150,7 +150,7 @@
         await down
 
     def renew(self, address: str) -> None:
-        """Ends a link that nothing comes back for; it is opened anew."""
+        """Closes a link that seems dead, so that it is reopened."""
         if link := self.links.get(address):
             self.counters.add("links.renewed")
             link.abort()
@@ -158,14 +158,14 @@
     # Sending.
 
     def send(self, to: str, message: list[Any]) -> None:
-        """Sends to the registrar at the address, this one included; without a link the message is lost."""
+        """Sends to the registrar at the address, possibly this one. Without a link the message is lost."""
         if to == self.local_address:
             self.loop.call_soon(self._peer_handler.on_message, self.local_address, message)
         elif link := self.links.get(to):
             link.send(message, ordered=message[0] in ORDERED_KINDS)
 
     def send_all(self, message: list[Any]) -> None:
-        """Sends to all other registrars that are linked."""
+        """Sends to all other registrars with a link."""
         if self.links:
             data = pack(message)
             for link in list(self.links.values()):
--- a/plumline/wire/sockets.py
+++ b/plumline/wire/sockets.py
@@ -1,15 +1,15 @@
-"""What the system below knows of a connection, and does with it, beside the event loop."""
+"""Socket operations on connections that asyncio doesn't provide."""
 
 import asyncio
 import select
 import socket
 import struct
 
-NO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER: closing is a reset, and unsent bytes are dropped
+NO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER value: close sends a reset and drops unsent bytes
 
 
 def has_unread(transport: asyncio.Transport) -> bool:
-    """Whether bytes, or the other side's end, have come that the loop has not read yet."""
+    """Whether the socket has received bytes or an end of stream that the event loop has not read yet."""
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
         return False
@@ -19,7 +19,7 @@
 
 
 def reset_on_close(transport: asyncio.Transport) -> None:
-    """The connection's end will be a reset, at which bytes that have not left yet are dropped."""
+    """Makes the close of the connection send a reset and drop unsent bytes."""
     sock = transport.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
