--- a/plumline/wire/frames.py
+++ b/plumline/wire/frames.py
@@ -25,7 +25,7 @@
     """Encodes a message as a frame, compressed if it is large and becomes smaller. Raises FrameError."""
     body = ormsgpack.packb(message)
     if len(body) > MAX_BODY_BYTES:
-        raise FrameError(f"the frame has {len(body)} bytes; the maximum is {MAX_BODY_BYTES}")
+        raise FrameError(f"a frame of {len(body)} bytes; {MAX_BODY_BYTES} at the most")
     if len(body) >= COMPRESSION_THRESHOLD_BYTES:
         compressed = ormsgpack.packb([COMPRESSED_KIND, len(body), zlib.compress(body, COMPRESSION_LEVEL)])
         body = min(body, compressed, key=len)
--- a/tests/frozen_cluster.py
+++ b/tests/frozen_cluster.py
@@ -54,13 +54,13 @@
         self.context = contextvars.copy_context()
         self.context.run(HOST.set, self.host)
 
-    def pass_on(self, what: bytes | BaseException | None) -> None:
+    def transmit(self, what: bytes | BaseException | None) -> None:
         if isinstance(what, bytes):
             self.stream.sent.append((self.opener, self.loop.now, what))
         if not self.loop.is_cut(self.host, self.other.host):
-            self.other.coming.append(what)
+            self.other.in_flight.append(what)
             seconds, other = delay(self.host, self.other.host), self.other
-            self.loop.call_later(seconds, other.arrive, context=other.context)
+            self.loop.call_later(seconds, other.receive_next, context=other.context)
 
 
 class Loop(virtual_net.VirtualLoop):
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -12,12 +12,12 @@
     TIMEOUT_S,
     Answer,
     Arrival,
-    Asked,
+    ClientRequest,
     EndpointConnection,
     Headers,
     World,
-    answer_well,
-    pieces,
+    answer_correctly,
+    send_in_parts,
 )
 
 from plumline.configuration.route_table import RouteTable
@@ -39,18 +39,18 @@
     ends: list[tuple[float, float]] = []  # what the client and what the endpoint was told, in s of the run
 
     async def late_refusal(
-        connection: EndpointConnection, asked: Asked, arrival: Arrival, headers: Headers
+        connection: EndpointConnection, asked: ClientRequest, arrival: Arrival, headers: Headers
     ) -> None:
-        ends.append((asked.sent + TIMEOUT_S, arrival.at + int(headers[b"remaining-milliseconds"]) / 1000))
+        ends.append((asked.sent_at + TIMEOUT_S, arrival.at + int(headers[b"remaining-milliseconds"]) / 1000))
         await asyncio.sleep(connection.chance.uniform(0.3, 0.9))
         lines = [b"Attempt-Id: " + asked.id.encode(), b"Not-Executed: 1"]
-        await pieces(connection, Answer(503, b"", lines).framed())
+        await send_in_parts(connection, Answer(503, b"", lines).framed())
 
     repeats = 0
     for seed in range(10):
-        world = World(seed, [(late_refusal, 1), (answer_well, 1)])
+        world = World(seed, [(late_refusal, 1), (answer_correctly, 1)])
         assert world.play() == []
-        repeats += world.allowance.granted
+        repeats += world.retry_budget.granted
     assert repeats > 50
     # 10 ms on the way to the router, and up to 50 ms until an endpoint reads on behind its answer before.
     late = [(clients, ours) for clients, ours in ends if ours > clients + 0.08]
@@ -59,7 +59,7 @@
 
 def test_silent_endpoints_and_connections_that_never_come_up_end_with_the_routes_time() -> None:
     async def silence(
-        connection: EndpointConnection, asked: Asked, arrival: Arrival, headers: Headers
+        connection: EndpointConnection, asked: ClientRequest, arrival: Arrival, headers: Headers
     ) -> None:
         arrival.ran = True
         await asyncio.sleep(3 * TIMEOUT_S)
@@ -67,7 +67,7 @@
     for seed in range(10):
         world = World(seed, [(silence, 1)], unreachable=3)
         assert world.play() == []
-        waited = [each for each in world.asked.values() if not each.left and each.status]
+        waited = [each for each in world.requests.values() if not each.disconnected_at and each.status]
         assert waited and {each.status for each in waited} <= {502, 503, 504}
 
 
--- a/tests/test_wire_properties.py
+++ b/tests/test_wire_properties.py
@@ -13,7 +13,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from wire_world import World, answer_well, cut_short, resume_oddly
+from wire_world import World, answer_correctly, cut_short, resume_wrongly
 
 from plumline.router.attempt import Send
 from plumline.router.progress import Progress
@@ -37,7 +37,7 @@
     def played() -> list[tuple[str, int, bytes, float]]:
         world = World(7)
         world.play()
-        return [(each.id, each.status, each.answer, each.ended) for each in world.asked.values()]
+        return [(each.id, each.status, each.answer, each.ended_at) for each in world.requests.values()]
 
     assert played() == played()
 
@@ -49,9 +49,9 @@
     for seed in range(30):
         world = World(seed)
         world.play()
-        ends |= {(each.status, each.complete) for each in world.asked.values()}
-        gone += sum(bool(each.left) for each in world.asked.values())
-        repeats += world.allowance.granted
+        ends |= {(each.status, each.complete) for each in world.requests.values()}
+        gone += sum(bool(each.disconnected_at) for each in world.requests.values())
+        repeats += world.retry_budget.granted
     assert {(200, True), (200, False), (400, True), (502, True), (503, True), (504, True), (0, False)} <= ends
     assert repeats > 50 and gone > 20
 
@@ -59,7 +59,7 @@
 
 
 #: More of what only streams of several runs meet.
-BROKEN_STREAMS = [(answer_well, 3), (cut_short, 6), (resume_oddly, 3)]
+BROKEN_STREAMS = [(answer_correctly, 3), (cut_short, 6), (resume_wrongly, 3)]
 
 
 @dataclass(frozen=True)
--- a/tests/virtual_net.py
+++ b/tests/virtual_net.py
@@ -1,7 +1,7 @@
-"""A loop whose time jumps to the next timer, and byte streams in memory between two protocols on it.
+"""An event loop with virtual time that advances to the next timer, and in-memory streams between protocols.
 
-Nothing waits and no socket is opened: a run of many simulated seconds takes milliseconds, and the same seed
-gives the same run.
+Nothing waits in real time and no socket is opened: many simulated seconds take milliseconds, and the same
+seed gives the same run.
 """
 
 import asyncio
@@ -10,48 +10,48 @@
 from collections.abc import Callable, Coroutine
 from typing import Any
 
-LATENCY = 0.001  # s from one end of a stream to the other
-WINDOW = 2048  # bytes that the systems below hold for a reader that doesn't read
+LATENCY_S = 0.001  # one-way delay of a stream
+KERNEL_BUFFER_BYTES = 2048  # simulated kernel buffers, filled while the reader doesn't read
 
 Address = tuple[str, int]
 Accept = Callable[[], asyncio.BaseProtocol]
 
 
-class NothingLeftError(Exception):
-    """The loop waits for something that no timer will bring."""
+class DeadlockError(Exception):
+    """The loop would wait forever: no callback and no timer is left."""
 
 
-class JumpingSelector(selectors.SelectSelector):
-    """Never waits: the time that it is asked to wait for has passed."""
+class VirtualTimeSelector(selectors.SelectSelector):
+    """Never waits; instead it advances the virtual time by the requested timeout."""
 
-    passed: Callable[[float], None]
+    on_wait: Callable[[float], None]
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise NothingLeftError
+            raise DeadlockError
         if timeout > 0:
-            self.passed(timeout)
+            self.on_wait(timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """`listeners`: who accepts connections at an address; None there refuses, no entry is silent."""
+    """`listeners` maps addresses to protocol factories; None refuses connections, no entry lets them hang."""
 
     def __init__(self) -> None:
-        selector = JumpingSelector()
-        selector.passed = self.pass_time
+        selector = VirtualTimeSelector()
+        selector.on_wait = self.advance_time
         self.now = 1000.0
         self.listeners: dict[Address, Accept | None] = {}
         super().__init__(selector)
 
-    def pass_time(self, seconds: float) -> None:
+    def advance_time(self, seconds: float) -> None:
         self.now += seconds
 
     def time(self) -> float:
         return self.now
 
     async def create_connection(self, factory: Any, host: Any = None, port: Any = None, **_: Any) -> Any:  # noqa: ANN401
-        await asyncio.sleep(LATENCY)
+        await asyncio.sleep(LATENCY_S)
         if (host, port) not in self.listeners:
             await self.create_future()
         accept = self.listeners[host, port]
@@ -62,26 +62,26 @@
 
 
 class MemoryTransport(asyncio.Transport):
-    """One end of a stream. What is written comes at the other end in order, LATENCY later."""
+    """One end of a stream. Written data arrives at the other end in order, after LATENCY_S."""
 
     def __init__(self, loop: VirtualLoop, protocol: Any) -> None:  # noqa: ANN401
         super().__init__()
         self.loop, self.protocol = loop, protocol
         self.other: MemoryTransport
-        self.coming: deque[bytes | BaseException | None] = deque()  # None: the other side's end
-        self.arrived: deque[bytes | BaseException | None] = deque()  # while reading is paused
-        self.paused = self.closing = self.lost = self.said_end = False
+        self.in_flight: deque[bytes | BaseException | None] = deque()  # None: end of stream
+        self.received: deque[bytes | BaseException | None] = deque()  # queued while reading is paused
+        self.paused = self.closing = self.lost = self.eof_sent = False
 
-    # For the protocol at this end.
+    # The transport interface for the protocol at this end.
 
     def write(self, data: Any) -> None:  # noqa: ANN401
         if not self.closing and data:
-            self.pass_on(bytes(data))
+            self.transmit(bytes(data))
 
     def write_eof(self) -> None:
-        if not self.said_end:
-            self.said_end = True
-            self.pass_on(None)
+        if not self.eof_sent:
+            self.eof_sent = True
+            self.transmit(None)
 
     def can_write_eof(self) -> bool:
         return True
@@ -89,12 +89,12 @@
     def close(self) -> None:
         if not self.closing:
             self.write_eof()
-            self.lose(None)
+            self.disconnect(None)
 
     def abort(self) -> None:
         if not self.closing:
-            self.pass_on(ConnectionResetError())
-            self.lose(None)
+            self.transmit(ConnectionResetError())
+            self.disconnect(None)
 
     def is_closing(self) -> bool:
         return self.closing
@@ -105,11 +105,11 @@
     def resume_reading(self) -> None:
         if self.paused:
             self.paused = False
-            self.loop.call_soon(self.take_arrived)
+            self.loop.call_soon(self.deliver_received)
 
     def get_write_buffer_size(self) -> int:
-        unread = [*self.other.coming, *self.other.arrived]
-        return max(sum(len(each) for each in unread if isinstance(each, bytes)) - WINDOW, 0)
+        unread = [*self.other.in_flight, *self.other.received]
+        return max(sum(len(each) for each in unread if isinstance(each, bytes)) - KERNEL_BUFFER_BYTES, 0)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         pass
@@ -117,66 +117,66 @@
     def get_extra_info(self, name: str, default: Any = None) -> Any:  # noqa: ANN401
         return default
 
-    # Between the ends.
+    # Transfer between the two ends.
 
-    def pass_on(self, what: bytes | BaseException | None) -> None:
-        self.other.coming.append(what)
-        self.loop.call_later(LATENCY, self.other.arrive)
+    def transmit(self, item: bytes | BaseException | None) -> None:
+        self.other.in_flight.append(item)
+        self.loop.call_later(LATENCY_S, self.other.receive_next)
 
-    def arrive(self) -> None:
-        self.arrived.append(self.coming.popleft())
-        self.take_arrived()
+    def receive_next(self) -> None:
+        self.received.append(self.in_flight.popleft())
+        self.deliver_received()
 
-    def take_arrived(self) -> None:
-        while self.arrived:
-            if self.paused and not isinstance(self.arrived[0], BaseException):
+    def deliver_received(self) -> None:
+        while self.received:
+            if self.paused and not isinstance(self.received[0], BaseException):
                 return
-            self.take(self.arrived.popleft())
+            self.deliver(self.received.popleft())
 
-    def take(self, what: bytes | BaseException | None) -> None:
+    def deliver(self, item: bytes | BaseException | None) -> None:
         if self.lost or self.closing:
-            if isinstance(what, bytes) and not self.other.closing:
-                self.other.loop.call_later(LATENCY, self.other.lose, ConnectionResetError())
-        elif isinstance(what, BaseException):
-            self.lose(what)
-        elif what is None:
+            if isinstance(item, bytes) and not self.other.closing:
+                self.other.loop.call_later(LATENCY_S, self.other.disconnect, ConnectionResetError())
+        elif isinstance(item, BaseException):
+            self.disconnect(item)
+        elif item is None:
             if not self.protocol.eof_received():
                 self.close()
         elif isinstance(self.protocol, asyncio.BufferedProtocol):
-            while what:
-                room = memoryview(self.protocol.get_buffer(len(what)))
-                size = min(len(room), len(what))
-                room[:size] = what[:size]
+            while item:
+                target = memoryview(self.protocol.get_buffer(len(item)))
+                size = min(len(target), len(item))
+                target[:size] = item[:size]
                 self.protocol.buffer_updated(size)
-                what = what[size:]
+                item = item[size:]
         else:
-            self.protocol.data_received(what)
+            self.protocol.data_received(item)
 
-    def lose(self, error: BaseException | None) -> None:
+    def disconnect(self, error: BaseException | None) -> None:
         if not self.lost:
             self.lost = self.closing = True
             self.loop.call_soon(self.protocol.connection_lost, error)
 
 
 def connect(loop: VirtualLoop, here: Any, there: Any) -> MemoryTransport:  # noqa: ANN401
-    """Joins two protocols; returns the transport of `here`."""
-    ours, theirs = MemoryTransport(loop, here), MemoryTransport(loop, there)
-    ours.other, theirs.other = theirs, ours
-    here.connection_made(ours)
-    there.connection_made(theirs)
-    return ours
+    """Connects two protocols; returns the transport of `here`."""
+    transport, peer_transport = MemoryTransport(loop, here), MemoryTransport(loop, there)
+    transport.other, peer_transport.other = peer_transport, transport
+    here.connection_made(transport)
+    there.connection_made(peer_transport)
+    return transport
 
 
 def run(work: Callable[[VirtualLoop], Coroutine[Any, Any, Any]]) -> Any:  # noqa: ANN401
-    """Runs a coroutine to its end in virtual time."""
+    """Runs a coroutine to completion in virtual time."""
     loop = VirtualLoop()
     try:
         asyncio.set_event_loop(loop)
         return loop.run_until_complete(work(loop))
     finally:
-        left = asyncio.all_tasks(loop)
-        for task in left:
+        remaining = asyncio.all_tasks(loop)
+        for task in remaining:
             task.cancel()
-        loop.run_until_complete(asyncio.gather(*left, return_exceptions=True))
+        loop.run_until_complete(asyncio.gather(*remaining, return_exceptions=True))
         asyncio.set_event_loop(None)
         loop.close()
