--- a/tests/test_hostile_clients.py
+++ b/tests/test_hostile_clients.py
@@ -1,4 +1,4 @@
-"""Bytes of clients that mean harm, or know no better: none reaches the handler as a request it is not."""
+"""Malicious and malformed input from clients: none of it may reach the handler as a different request."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,8 +9,8 @@
 from plumline.wire.server import FixedLimits, Server
 
 LIMITS = FixedLimits(header_bytes=2048, body_bytes=4096, header_ms=200, idle_ms=400)
-PATIENCE = 10.0  # s until a test that hangs fails
-GOOD = b"POST /a/b?c=d HTTP/1.1\r\nHost: x.example\r\nContent-Length: 3\r\n\r\nabc"
+TEST_TIMEOUT_S = 10.0  # after which a hanging test fails
+VALID_REQUEST = b"POST /a/b?c=d HTTP/1.1\r\nHost: x.example\r\nContent-Length: 3\r\n\r\nabc"
 SMUGGLED = b"GET /smuggled HTTP/1.1\r\nHost: x.example\r\n\r\n"
 
 
@@ -26,27 +26,29 @@
     return b"\r\n".join((*lines, b"", b""))
 
 
-def play(scene: Callable[[Server, list[Exchange]], Awaitable[None]], limits: FixedLimits = LIMITS) -> None:
+def run_scenario(
+    scenario: Callable[[Server, list[Exchange]], Awaitable[None]], limits: FixedLimits = LIMITS
+) -> None:
     async def run() -> None:
-        seen: list[Exchange] = []
+        requests: list[Exchange] = []
 
         def handle(exchange: Exchange) -> None:
-            seen.append(exchange)
+            requests.append(exchange)
             exchange.respond(200, [(b"X-Path", exchange.path.encode())], exchange.body)
 
         server = Server(handle, lambda: limits)
         await server.listen(("127.0.0.1", 0))
         try:
-            async with asyncio.timeout(PATIENCE):
-                await scene(server, seen)
+            async with asyncio.timeout(TEST_TIMEOUT_S):
+                await scenario(server, requests)
         finally:
             server.end()
 
     asyncio.run(run())
 
 
-async def talk(server: Server, data: bytes) -> bytes:
-    """All that comes back until the server ends the connection."""
+async def exchange_bytes(server: Server, data: bytes) -> bytes:
+    """Sends `data` and returns everything received until the server closes the connection."""
     reader, writer = await asyncio.open_connection(*server.address())
     writer.write(data)
     try:
@@ -55,20 +57,20 @@
         writer.close()
 
 
-async def serves_on(server: Server, seen: list[Exchange]) -> None:
-    count = len(seen)
-    closing = GOOD.replace(b"Host", b"Connection: close\r\nHost")
-    answer = await talk(server, closing)
+async def assert_still_serving(server: Server, requests: list[Exchange]) -> None:
+    count = len(requests)
+    closing = VALID_REQUEST.replace(b"Host", b"Connection: close\r\nHost")
+    answer = await exchange_bytes(server, closing)
     assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"\r\n\r\nabc")
-    assert len(seen) == count + 1
+    assert len(requests) == count + 1
 
 
 LENGTH = b"Content-Length: "
-CODED = b"Transfer-Encoding: chunked"
-X_HOST = b"Host: x.example"
-REFUSED: dict[str, tuple[bytes, int]] = {
-    "length and chunks": (post(LENGTH + b"5", CODED, body=b"0\r\n\r\n" + SMUGGLED), 400),
-    "chunks and length": (post(CODED, LENGTH + b"5", body=b"0\r\n\r\n" + SMUGGLED), 400),
+CHUNKED = b"Transfer-Encoding: chunked"
+HOST_HEADER = b"Host: x.example"
+REJECTED: dict[str, tuple[bytes, int]] = {
+    "length and chunks": (post(LENGTH + b"5", CHUNKED, body=b"0\r\n\r\n" + SMUGGLED), 400),
+    "chunks and length": (post(CHUNKED, LENGTH + b"5", body=b"0\r\n\r\n" + SMUGGLED), 400),
     "lengths differ": (post(LENGTH + b"3", LENGTH + b"5", body=b"abcde"), 400),
     "lengths equal": (post(LENGTH + b"3", LENGTH + b"3", body=b"abc"), 400),
     "lengths listed": (post(LENGTH + b"3, 3", body=b"abc"), 400),
@@ -164,32 +166,32 @@
 }
 
 
-@pytest.mark.parametrize("name", REFUSED)
-def test_is_refused_and_the_connection_ends(name: str) -> None:
-    data, status = REFUSED[name]
+@pytest.mark.parametrize("name", REJECTED)
+def test_malformed_request_is_rejected_and_the_connection_closes(name: str) -> None:
+    data, status = REJECTED[name]
 
-    async def scene(server: Server, seen: list[Exchange]) -> None:
-        # What follows on the connection is never read as a request, wherever the bad one may have ended.
+    async def scenario(server: Server, requests: list[Exchange]) -> None:
+        # Bytes that follow on the connection must not be parsed as a request, wherever the bad one ended.
         more = b"" if status == 408 else SMUGGLED
-        answer = await talk(server, data + more)
+        answer = await exchange_bytes(server, data + more)
         assert answer.startswith(b"HTTP/1.1 %d " % status)
-        told, _, text = answer.partition(b"\r\n\r\n")
-        assert b"\r\nConnection: close" in told
-        assert b"\r\nContent-Length: %d\r\n" % len(text) in told  # one answer, and nothing behind it
-        assert seen == []
+        response_head, _, text = answer.partition(b"\r\n\r\n")
+        assert b"\r\nConnection: close" in response_head
+        assert b"\r\nContent-Length: %d\r\n" % len(text) in response_head  # nothing follows it
+        assert requests == []
         assert sum(server.counters.values()) == 1
         assert server.buffered_body_bytes == 0
-        await serves_on(server, seen)
+        await assert_still_serving(server, requests)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-@pytest.mark.parametrize("name", [name for name, (_, status) in REFUSED.items() if status != 408])
-def test_is_refused_byte_by_byte(name: str) -> None:
-    """The same, however the bytes are cut: each is read by itself."""
-    data, status = REFUSED[name]
+@pytest.mark.parametrize("name", [name for name, (_, status) in REJECTED.items() if status != 408])
+def test_malformed_request_is_rejected_when_read_byte_by_byte(name: str) -> None:
+    """The same input, received one byte at a time."""
+    data, status = REJECTED[name]
 
-    async def scene(server: Server, seen: list[Exchange]) -> None:
+    async def scenario(server: Server, requests: list[Exchange]) -> None:
         reader, writer = await asyncio.open_connection(*server.address())
         while not server.connections:
             await asyncio.sleep(0)
@@ -199,14 +201,14 @@
             connection.buffer_updated(1)
         answer = await reader.read()
         assert answer.startswith(b"HTTP/1.1 %d " % status)
-        assert seen == []
+        assert requests == []
         writer.close()
-        await serves_on(server, seen)
+        await assert_still_serving(server, requests)
 
-    play(scene, LIMITS._replace(header_ms=60000, idle_ms=60000))
+    run_scenario(scenario, LIMITS._replace(header_ms=60000, idle_ms=60000))
 
 
-INSIDE = {
+REQUESTS_IN_BODIES = {
     "in a body of told length": post(b"Content-Length: %d" % len(SMUGGLED), body=SMUGGLED),
     "in a chunk": chunked(b"%x\r\n%b\r\n0\r\n\r\n" % (len(SMUGGLED), SMUGGLED)),
     "in two chunks": chunked(
@@ -216,59 +218,59 @@
 }
 
 
-@pytest.mark.parametrize("name", INSIDE)
+@pytest.mark.parametrize("name", REQUESTS_IN_BODIES)
 def test_a_request_inside_a_body_is_data(name: str) -> None:
-    async def scene(server: Server, seen: list[Exchange]) -> None:
-        behind = head(b"GET /next HTTP/1.1", X_HOST, b"Connection: close")
-        answer = await talk(server, INSIDE[name] + behind)
-        assert [each.path for each in seen] == ["/a/", "/next"]
-        assert seen[0].body == SMUGGLED
+    async def scenario(server: Server, requests: list[Exchange]) -> None:
+        behind = head(b"GET /next HTTP/1.1", HOST_HEADER, b"Connection: close")
+        answer = await exchange_bytes(server, REQUESTS_IN_BODIES[name] + behind)
+        assert [each.path for each in requests] == ["/a/", "/next"]
+        assert requests[0].body == SMUGGLED
         assert answer.count(b"HTTP/1.1 200 ") == 2
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_get_with_a_body_hides_nothing() -> None:
-    async def scene(server: Server, seen: list[Exchange]) -> None:
+def test_the_body_of_a_get_is_not_parsed_as_a_request() -> None:
+    async def scenario(server: Server, requests: list[Exchange]) -> None:
         data = head(b"GET /a HTTP/1.0", b"Content-Length: %d" % len(SMUGGLED)) + SMUGGLED
-        await talk(server, data)
-        assert [(each.path, each.body) for each in seen] == [("/a", SMUGGLED)]
+        await exchange_bytes(server, data)
+        assert [(each.path, each.body) for each in requests] == [("/a", SMUGGLED)]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_silent_and_broken_off_clients_end_without_a_request() -> None:
-    async def scene(server: Server, seen: list[Exchange]) -> None:
-        assert await talk(server, b"") == b""  # the idle limit
-        for part in (b"GET /", post(b"Content-Length: 9", body=b"abc"), chunked(b"9\r\nabc")):
+def test_silent_and_disconnecting_clients_cause_no_request() -> None:
+    async def scenario(server: Server, requests: list[Exchange]) -> None:
+        assert await exchange_bytes(server, b"") == b""  # ended by the idle limit
+        for data in (b"GET /", post(b"Content-Length: 9", body=b"abc"), chunked(b"9\r\nabc")):
             reader, writer = await asyncio.open_connection(*server.address())
-            writer.write(part)
+            writer.write(data)
             writer.write_eof()
             assert await reader.read() == b""
             writer.close()
-        assert seen == [] and server.buffered_body_bytes == 0
-        await serves_on(server, seen)
+        assert requests == [] and server.buffered_body_bytes == 0
+        await assert_still_serving(server, requests)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_bodies_held_at_once_are_bounded() -> None:
-    async def scene(server: Server, seen: list[Exchange]) -> None:
+def test_the_total_of_buffered_bodies_is_bounded() -> None:
+    async def scenario(server: Server, requests: list[Exchange]) -> None:
         server.held_limit = 1000
-        answer = await talk(server, post(b"Content-Length: 2000", b"Expect: 100-continue"))
+        answer = await exchange_bytes(server, post(b"Content-Length: 2000", b"Expect: 100-continue"))
         assert answer.startswith(b"HTTP/1.1 503 ") and b"\r\nRetry-After: 1\r\n" in answer
-        answer = await talk(server, chunked(b"7d0\r\n" + b"a" * 1500))
+        answer = await exchange_bytes(server, chunked(b"7d0\r\n" + b"a" * 1500))
         assert answer.startswith(b"HTTP/1.1 503 ") and b"\r\nRetry-After: 1\r\n" in answer
-        assert seen == [] and server.buffered_body_bytes == 0
-        await serves_on(server, seen)
+        assert requests == [] and server.buffered_body_bytes == 0
+        await assert_still_serving(server, requests)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_a_long_refused_upload_still_gets_its_answer() -> None:
-    async def scene(server: Server, seen: list[Exchange]) -> None:
+def test_a_long_rejected_upload_still_gets_its_response() -> None:
+    async def scenario(server: Server, requests: list[Exchange]) -> None:
         size = 3 * 1024 * 1024
-        answer = await talk(server, post(b"Content-Length: %d" % size, body=b"a" * size))
+        answer = await exchange_bytes(server, post(b"Content-Length: %d" % size, body=b"a" * size))
         assert answer.startswith(b"HTTP/1.1 413 ")
 
-    play(scene)
+    run_scenario(scenario)
--- a/tests/test_wire_properties.py
+++ b/tests/test_wire_properties.py
@@ -1,5 +1,5 @@
-"""What clients, endpoints and the budget may rely on, whatever endpoints and clients do: random runs of the
-whole request path (`wire_world`), and the same runs with one guard taken out, which they must notice.
+"""Guarantees of the request path to clients, endpoints and the retry budget, checked in random runs
+(`wire_world`), and mutation tests: with one guard removed, some run must report a fault.
 """
 
 import inspect
@@ -24,7 +24,7 @@
 from plumline.wire.server import Connection
 
 RUNS = int(os.environ.get("PLUMLINE_WIRE_RUNS", "150"))
-MOST_SEEDS = 300  # within which a guard that is missing must show
+MAX_SEEDS = 300  # number of runs within which a missing guard must be detected
 
 
 @settings(max_examples=RUNS, deadline=None, derandomize=True)
@@ -33,49 +33,49 @@
     assert World(seed).play() == []
 
 
-def test_the_same_seed_is_the_same_run() -> None:
-    def played() -> list[tuple[str, int, bytes, float]]:
+def test_the_same_seed_gives_the_same_run() -> None:
+    def run_once() -> list[tuple[str, int, bytes, float]]:
         world = World(7)
         world.play()
         return [(each.id, each.status, each.answer, each.ended_at) for each in world.requests.values()]
 
-    assert played() == played()
+    assert run_once() == run_once()
 
 
-def test_the_runs_hold_every_kind_of_end() -> None:
-    """Else they would show little."""
-    ends: set[tuple[int, bool]] = set()
-    repeats = gone = 0
+def test_the_runs_cover_every_kind_of_outcome() -> None:
+    """Without this coverage the property tests would prove little."""
+    seen: set[tuple[int, bool]] = set()
+    retries = disconnects = 0
     for seed in range(30):
         world = World(seed)
         world.play()
-        ends |= {(each.status, each.complete) for each in world.requests.values()}
-        gone += sum(bool(each.disconnected_at) for each in world.requests.values())
-        repeats += world.retry_budget.granted
-    assert {(200, True), (200, False), (400, True), (502, True), (503, True), (504, True), (0, False)} <= ends
-    assert repeats > 50 and gone > 20
+        seen |= {(each.status, each.complete) for each in world.requests.values()}
+        disconnects += sum(bool(each.disconnected_at) for each in world.requests.values())
+        retries += world.retry_budget.granted
+    assert {(200, True), (200, False), (400, True), (502, True), (503, True), (504, True), (0, False)} <= seen
+    assert retries > 50 and disconnects > 20
 
-    assert not any(World(seed, BROKEN_STREAMS).play() for seed in range(30))
+    assert not any(World(seed, INTERRUPTED_STREAMS).play() for seed in range(30))
 
 
-#: More of what only streams of several runs meet.
-BROKEN_STREAMS = [(answer_correctly, 3), (cut_short, 6), (resume_wrongly, 3)]
+#: Behaviours that interrupt streams, so that more of them are resumed.
+INTERRUPTED_STREAMS = [(answer_correctly, 3), (cut_short, 6), (resume_wrongly, 3)]
 
 
 @dataclass(frozen=True)
 class Guard:
-    """A piece of a method that keeps a promise, and what stands there once it is taken out."""
+    """A fragment of a method that enforces a guarantee, and the text that replaces it to disable it."""
 
     owner: type
     method: str
     text: str
     without: str
-    streams: bool = False  # only streams of several runs show it
+    streams: bool = False  # detected only with resumed streams
 
     def __str__(self) -> str:
         return f"{self.owner.__name__}.{self.method}: {' '.join(self.text.split())[:50]}"
 
-    def taken_out(self) -> Callable[..., Any]:
+    def mutated(self) -> Callable[..., Any]:
         method = getattr(self.owner, self.method)
         source = textwrap.dedent(inspect.getsource(method))
         assert source.count(self.text) == 1, "the guard has moved"
@@ -85,7 +85,7 @@
 
 
 GUARDS = [
-    # Which request an answer belongs to.
+    # Matching responses to requests.
     Guard(Send, "is_answered_by", "return told == {self.request.id}", "return True"),
     Guard(Send, "is_answered_by", "not connection.used and ", ""),
     # What proves that a request has not run.
@@ -110,13 +110,13 @@
     Guard(Send, "relay", "if needs_end and not ends_event(tail):", "if False:"),
     Guard(UpstreamConnection, "end", "self.wake()", 'self.codec.receive_data(b"")\n        self.wake()'),
     Guard(RequestHandler, "give_up", "self.exchange.abort()", "self.exchange.finish()"),
-    # A stream of several runs.
+    # Resumed streams.
     Guard(Send, "receive", " and is_event_stream(headers)", "", streams=True),
     Guard(EventJoiner, "begin", 'self.held, self.joined = b"", ', "self.joined = ", streams=True),
     Guard(EventJoiner, "feed", "if self.joined and self.last is not None:", "if False:", streams=True),
     Guard(EventJoiner, "feed", "held[:end], held[end:]", 'held, b""', streams=True),
     Guard(EventJoiner, "may_join", "return self.placed and ", "return ", streams=True),
-    # One request at a time on a connection; nothing for a client that has gone, or after its time.
+    # One request at a time per connection; no work for disconnected clients or after the timeout.
     Guard(Connection, "advance", "self.phase in (Phase.ANSWER, Phase.LINGERING) or ", ""),
     Guard(RequestHandler, "client_gone", "self.progress.connection.close()", "pass"),
     Guard(RequestHandler, "work", "if progress.client_left:", "if False:"),
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize("guard", GUARDS, ids=str)
-def test_without_a_guard_a_run_shows_it(guard: Guard, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(guard.owner, guard.method, guard.taken_out())
-    acts = BROKEN_STREAMS if guard.streams else None
-    assert any(World(seed, acts).play() for seed in range(MOST_SEEDS))
+def test_a_removed_guard_is_detected(guard: Guard, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(guard.owner, guard.method, guard.mutated())
+    behaviours = INTERRUPTED_STREAMS if guard.streams else None
+    assert any(World(seed, behaviours).play() for seed in range(MAX_SEEDS))
