--- a/tests/test_calls.py
+++ b/tests/test_calls.py
@@ -28,8 +28,8 @@
     return "\r\n".join([*head, "", ""]).encode() + data
 
 
-async def request_from(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """First line, headers by lower-case name, body."""
+async def read_request(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+    """Returns the request line, the headers by lower-case name and the body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = head.split("\r\n")[:-2]
     headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in lines)}
@@ -37,11 +37,11 @@
 
 
 class Peer:
-    """Answers each request with the next of a script; remembers what it was asked and on which connection."""
+    """A server that sends scripted responses, and records the requests and the number of connections."""
 
     def __init__(self, *script: bytes) -> None:
         self.script = list(script)
-        self.asked: list[tuple[str, dict[str, str], bytes]] = []
+        self.requests: list[tuple[str, dict[str, str], bytes]] = []
         self.connections = 0
         self.address: Address = ("", 0)
 
@@ -49,7 +49,7 @@
         self.connections += 1
         try:
             while self.script:
-                self.asked.append(await request_from(reader))
+                self.requests.append(await read_request(reader))
                 writer.write(self.script.pop(0))
                 await writer.drain()
             await reader.read()
@@ -59,18 +59,18 @@
             writer.close()
 
 
-def play(scene: Callable[[Caller, Address], Coroutine[Any, Any, None]], peer: Handler) -> None:
-    async def whole() -> None:
+def run_scenario(scenario: Callable[[Caller, Address], Coroutine[Any, Any, None]], peer: Handler) -> None:
+    async def run() -> None:
         server = await asyncio.start_server(peer, "127.0.0.1", 0)
         caller = Caller()
         try:
             async with asyncio.timeout(10):
-                await scene(caller, server.sockets[0].getsockname())
+                await scenario(caller, server.sockets[0].getsockname())
         finally:
             caller.close()
             server.close()
 
-    asyncio.run(whole())
+    asyncio.run(run())
 
 
 def test_the_table_holds_every_call_once() -> None:
@@ -93,14 +93,14 @@
 def test_a_call_sends_json_and_gives_status_headers_and_json() -> None:
     peer = Peer(answer(202, {"A": [1]}, "Retry-After: 0.5"))
 
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         got = await caller.call(
             "order", address, headers={calls.EXPECTED_INSTANCE: "i-1"}, body={"B": 2}, timeout_s=5
         )
         assert (got.status, got.json, got.headers["retry-after"]) == (202, {"A": [1]}, "0.5")
 
-    play(scene, peer.serve)
-    first, headers, body = peer.asked[0]
+    run_scenario(scenario, peer.serve)
+    first, headers, body = peer.requests[0]
     assert first == "POST /order HTTP/1.1"
     assert (headers["expected-instance"], headers["content-type"]) == ("i-1", "application/json")
     assert json.loads(body) == {"B": 2}
@@ -109,12 +109,12 @@
 def test_query_and_another_path_go_out() -> None:
     peer = Peer(answer(), answer())
 
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         await caller.call("kv_events", address, query="Since=118", timeout_s=5)
         await caller.call("health", address, path="/well", timeout_s=5)
 
-    play(scene, peer.serve)
-    assert [each[0] for each in peer.asked] == ["GET /kv-events?Since=118 HTTP/1.1", "GET /well HTTP/1.1"]
+    run_scenario(scenario, peer.serve)
+    assert [each[0] for each in peer.requests] == ["GET /kv-events?Since=118 HTTP/1.1", "GET /well HTTP/1.1"]
     assert peer.connections == 1
 
 
@@ -126,22 +126,22 @@
         answer() + b"HTTP/1.1 200 surplus\r\n\r\n",
     ],
 )
-def test_a_connection_that_may_not_be_used_again_is_not(first: bytes) -> None:
+def test_a_connection_that_may_not_be_reused_is_not(first: bytes) -> None:
     peer = Peer(first, answer(204))
 
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         await caller.call("report", address, timeout_s=5)
         assert (await caller.call("report", address, timeout_s=5)).status == 204
 
-    play(scene, peer.serve)
+    run_scenario(scenario, peer.serve)
     assert peer.connections == 2
 
 
-def test_an_idle_connection_ends_with_the_time_given_or_when_its_address_goes() -> None:
+def test_an_idle_connection_is_dropped_after_its_timeout_or_when_its_address_is_forgotten() -> None:
     peer = Peer(answer(200, None, "Keep-Alive: timeout=4"), answer(), answer())
     now = [100.0]
 
-    async def scene(_: Caller, address: Address) -> None:
+    async def scenario(_: Caller, address: Address) -> None:
         caller = Caller(lambda: now[0])
         await caller.call("report", address, timeout_s=5)
         now[0] += 3.5
@@ -152,7 +152,7 @@
         await caller.call("report", address, timeout_s=5)
         caller.close()
 
-    play(scene, peer.serve)
+    run_scenario(scenario, peer.serve)
     assert peer.connections == 3
 
 
@@ -163,41 +163,41 @@
 
 
 def test_a_refused_connection_is_a_failure_with_nothing_sent() -> None:
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        gone = server.sockets[0].getsockname()
+        closed_address = server.sockets[0].getsockname()
         server.close()
         await server.wait_closed()
         with pytest.raises(CallFailedError) as caught:
-            await caller.call("order", gone, body={}, timeout_s=5)
+            await caller.call("order", closed_address, body={}, timeout_s=5)
         assert not caught.value.sent
 
-    play(scene, Peer().serve)
+    run_scenario(scenario, Peer().serve)
 
 
-def test_silence_is_a_timeout_and_the_request_may_be_done() -> None:
+def test_silence_is_a_timeout_and_the_request_may_have_been_executed() -> None:
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
         writer.close()
 
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         with pytest.raises(CallTimeoutError) as caught:
             await caller.call("order", address, body={}, timeout_s=0.02)
         assert caught.value.sent
         assert not caller.idle
 
-    play(scene, silent)
+    run_scenario(scenario, silent)
 
 
 @pytest.mark.parametrize("cancelled", [False, True])
-def test_a_call_that_was_given_up_can_not_arrive_later(cancelled: bool) -> None:
-    """A plain close would leave bytes that a cut holds up on their way, and an order under an old fence
-    would arrive as the cut heals."""
+def test_an_abandoned_call_can_not_arrive_later(cancelled: bool) -> None:
+    """Guards against a regular close of the connection: bytes delayed by a partition would still be sent, and
+    an order with an outdated fencing token would arrive when the partition heals."""
     ends: list[type[BaseException] | None] = []
     arrived = asyncio.Event()
 
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await request_from(reader)
+        await read_request(reader)
         arrived.set()
         try:
             await reader.read()
@@ -206,7 +206,7 @@
             ends.append(type(error))
         writer.close()
 
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         call = asyncio.ensure_future(
             caller.call("order", address, body={}, timeout_s=5 if cancelled else 0.1)
         )
@@ -219,83 +219,84 @@
             await asyncio.sleep(0)
         assert ends == [ConnectionResetError]
 
-    play(scene, silent)
+    run_scenario(scenario, silent)
 
 
-def test_the_system_ends_a_call_whose_process_stands_still() -> None:
-    async def scene(caller: Caller, address: Address) -> None:
+def test_the_kernel_ends_a_call_while_the_process_is_suspended() -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         await caller.call("report", address, timeout_s=1.5)
         sock = caller.idle[address].connection.sock
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) == 1500
 
-    play(scene, Peer(answer(200, {})).serve)
+    run_scenario(scenario, Peer(answer(200, {})).serve)
 
 
 @pytest.mark.parametrize(
-    "noise", [b"", b"nonsense\r\n\r\n", b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nshort"]
+    "response", [b"", b"nonsense\r\n\r\n", b"HTTP/1.1 200 X\r\nContent-Length: 9\r\n\r\nshort"]
 )
-def test_an_answer_that_is_none_fails(noise: bytes) -> None:
+def test_an_invalid_response_fails(response: bytes) -> None:
     async def broken(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await request_from(reader)
-        writer.write(noise)
+        await read_request(reader)
+        writer.write(response)
         writer.close()
 
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         with pytest.raises(CallFailedError) as caught:
             await caller.call("report", address, timeout_s=5)
         assert caught.value.sent
         assert not caller.idle
 
-    play(scene, broken)
+    run_scenario(scenario, broken)
 
 
-def test_an_answer_without_measure_fails(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_oversized_response_fails(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(calls, "MAX_RESPONSE_BODY_BYTES", 10)
 
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         with pytest.raises(CallFailedError, match="longer"):
             await caller.call("report", address, timeout_s=5)
 
-    play(scene, Peer(answer(200, "x" * 20)).serve)
+    run_scenario(scenario, Peer(answer(200, "x" * 20)).serve)
 
 
-def test_another_calls_answer_fails() -> None:
-    async def scene(caller: Caller, address: Address) -> None:
+def test_a_response_to_another_call_fails() -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         with pytest.raises(CallFailedError, match="another call"):
             await caller.call("health", address, headers={calls.ATTEMPT_ID: "a"}, timeout_s=5)
 
-    play(scene, Peer(answer(200, None, "Attempt-Id: b")).serve)
+    run_scenario(scenario, Peer(answer(200, None, "Attempt-Id: b")).serve)
 
 
-def test_a_body_that_is_no_json_is_none() -> None:
-    async def scene(caller: Caller, address: Address) -> None:
+def test_an_invalid_json_body_is_none() -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         assert (await caller.call("report", address, timeout_s=5)).json is None
 
-    play(scene, Peer(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{x").serve)
+    run_scenario(scenario, Peer(b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n\r\n{x").serve)
 
 
-def test_prepare_may_hold_a_call_back_after_the_connection_is_up() -> None:
+def test_prepare_may_cancel_a_call_after_the_connection_is_up() -> None:
     peer = Peer(answer())
 
     def withdraw() -> None:
         raise CallWithdrawnError("no lease")
 
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         with pytest.raises(CallWithdrawnError) as caught:
             await caller.call("order", address, prepare=withdraw, timeout_s=5)
         assert not caught.value.sent
         await caller.call("order", address, prepare=lambda: {"F": 1}, timeout_s=5)
 
-    play(scene, peer.serve)
-    assert [json.loads(each[2]) for each in peer.asked] == [{"F": 1}]
+    run_scenario(scenario, peer.serve)
+    assert [json.loads(each[2]) for each in peer.requests] == [{"F": 1}]
 
 
-def test_an_order_never_goes_where_a_late_answer_to_another_call_may_come() -> None:
-    """Its answer has nothing that tells it apart: a 200 to the report before would say that it holds."""
+def test_an_order_is_never_sent_on_a_reused_connection() -> None:
+    """The response to an order doesn't identify its request: a late 200 to an earlier report would be taken
+    as the confirmation of the order."""
     report = {"Models": [], "Busy": False}
     peer = Peer(answer(200, report), answer(202), answer(200, report))
 
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         assert (await caller.call("report", address, timeout_s=5)).status == 200
         assert address in caller.idle
         assert (await caller.call("order", address, body={}, timeout_s=5)).status == 202
@@ -303,28 +304,28 @@
         assert (await caller.call("report", address, timeout_s=5)).json == report
         assert peer.connections == 2
 
-    play(scene, peer.serve)
+    run_scenario(scenario, peer.serve)
 
 
-def test_a_call_that_is_given_up_ends_with_a_reset() -> None:
-    """What the network has held up of it is dropped: it may not come when it is forgotten."""
+def test_an_abandoned_call_ends_with_a_reset() -> None:
+    """The reset drops delayed bytes, which must not arrive after the caller has given up the call."""
     ended: list[type] = []
-    over = asyncio.Event()
+    connection_ended = asyncio.Event()
 
     async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            await request_from(reader)
+            await read_request(reader)
             await reader.read()
             ended.append(type(None))
         except ConnectionError as error:
             ended.append(type(error))
-        over.set()
+        connection_ended.set()
         writer.close()
 
-    async def scene(caller: Caller, address: Address) -> None:
+    async def scenario(caller: Caller, address: Address) -> None:
         with pytest.raises(CallTimeoutError):
             await caller.call("order", address, body={"Version": 2}, timeout_s=0.05)
-        await over.wait()
+        await connection_ended.wait()
         assert ended == [ConnectionResetError]
 
-    play(scene, silent)
+    run_scenario(scenario, silent)
--- a/tests/test_calls_properties.py
+++ b/tests/test_calls_properties.py
@@ -1,5 +1,5 @@
-"""Calls of registrars to endpoints, stores and the platform against a peer that answers at random: each call
-has its own answer or a failure, and no call goes out twice. The bytes come by hand, over loopback.
+"""Property tests of the calls to endpoints, stores and the platform, against a peer with random responses:
+each call gets its own response or fails, and no call is sent twice. Raw bytes are exchanged over loopback.
 """
 
 import asyncio
@@ -23,14 +23,14 @@
 def connected_pair() -> tuple[socket.socket, socket.socket]:
     """The two ends of a connection over loopback."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        ours = socket.create_connection(listener.getsockname())
-        theirs, _ = listener.accept()
-    return ours, theirs
+        client_socket = socket.create_connection(listener.getsockname())
+        server_socket, _ = listener.accept()
+    return client_socket, server_socket
 
 
 @dataclass
 class RandomPeer:
-    """Serves every connection, and keeps what came on each."""
+    """Serves every connection with random responses, and records the requests."""
 
     chance: random.Random
     served: list[tuple[int, int, bytes]] = field(default_factory=list)  # connection, call, first line
@@ -38,13 +38,13 @@
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     async def open(self, address: Address) -> Connection:
-        """Stands in for `Connection.open`."""
-        ours, theirs = connected_pair()
-        ours.setblocking(False)
-        theirs.setblocking(False)
+        """Replaces `Connection.open`."""
+        client_socket, server_socket = connected_pair()
+        client_socket.setblocking(False)
+        server_socket.setblocking(False)
         self.connections += 1
-        self.tasks.append(asyncio.create_task(self.serve(theirs, self.connections)))
-        return Connection.adopt(ours, address)
+        self.tasks.append(asyncio.create_task(self.serve(server_socket, self.connections)))
+        return Connection.adopt(client_socket, address)
 
     async def serve(self, sock: socket.socket, number: int) -> None:
         loop, buffer = asyncio.get_running_loop(), b""
@@ -67,34 +67,34 @@
                     return
 
     def draw(self, id_: bytes) -> tuple[bytes, bool]:
-        """The bytes of an answer, and whether the connection ends with them."""
+        """The bytes of a response, and whether the connection closes after them."""
         chance = self.chance
         body = json.dumps({"call": int(id_)}).encode()
-        named = b"Attempt-Id: %b\r\n" % id_ if chance.random() < 0.5 else b""
-        whole = b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (named, len(body), body)
+        id_header = b"Attempt-Id: %b\r\n" % id_ if chance.random() < 0.5 else b""
+        with_length = b"HTTP/1.1 200 OK\r\n%bContent-Length: %d\r\n\r\n%b" % (id_header, len(body), body)
         chunked = b"HTTP/1.1 200 OK\r\n%bTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (
-            named,
+            id_header,
             len(body),
             body,
         )
         other = b'HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{"call": 999}'
         return chance.choice(
             [
-                (whole, False),
-                (whole, False),
+                (with_length, False),
+                (with_length, False),
                 (chunked, False),
-                (whole, True),  # closed unannounced
-                (whole.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n"), True),
-                (whole.replace(b"OK\r\n", b"OK\r\nKeep-Alive: timeout=0\r\n"), False),
-                (b"HTTP/1.1 103 Early\r\n\r\n" * chance.randrange(1, 20) + whole, False),
-                (whole + other, False),
-                (whole + b"more", False),
+                (with_length, True),  # closes without Connection: close
+                (with_length.replace(b"OK\r\n", b"OK\r\nConnection: close\r\n"), True),
+                (with_length.replace(b"OK\r\n", b"OK\r\nKeep-Alive: timeout=0\r\n"), False),
+                (b"HTTP/1.1 103 Early\r\n\r\n" * chance.randrange(1, 20) + with_length, False),
+                (with_length + other, False),
+                (with_length + b"more", False),
                 (chunked + other[: chance.randrange(1, len(other))], False),
-                (whole[: chance.randrange(len(whole))], True),
+                (with_length[: chance.randrange(len(with_length))], True),
                 (chunked[: chance.randrange(len(chunked))], True),
-                (whole.replace(b"Content-Length", b"X-Length"), True),
-                (whole.replace(b"OK\r\n", b"OK\r\nContent-Length: 3\r\n"), False),
-                (whole.replace(b"OK\r\n", b"OK\r\nAttempt-Id: 999\r\n"), False),
+                (with_length.replace(b"Content-Length", b"X-Length"), True),
+                (with_length.replace(b"OK\r\n", b"OK\r\nContent-Length: 3\r\n"), False),
+                (with_length.replace(b"OK\r\n", b"OK\r\nAttempt-Id: 999\r\n"), False),
                 (b"not an answer\r\n\r\n", False),
                 (b"HTTP/1.1 200 OK\r\nX: " + b"x" * 20000, False),
             ]
@@ -136,8 +136,8 @@
         first.setdefault(connection, line)
 
 
-def failing(seeds: int) -> int:
-    """How many of so many seeds see a call's answer given to another, or a call that hangs."""
+def count_failing_seeds(seeds: int) -> int:
+    """The number of seeds for which a call hangs or gets the response to another call."""
     count = 0
     for seed in range(seeds):
         with pytest.MonkeyPatch.context() as monkeypatch:
@@ -151,10 +151,10 @@
 
 
 @pytest.mark.parametrize("guards", [("ended", "next_cycle")])
-def test_without_its_guards_a_kept_connection_gives_one_calls_answer_to_another(
+def test_without_its_guards_a_reused_connection_mixes_up_responses(
     guards: tuple[str, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each of the two finds what the other lets pass: bytes behind an answer, and bytes that came later."""
+    """Each guard detects what the other misses: bytes directly after a response, or bytes that come later."""
 
     def next_cycle(connection: Connection) -> bool:
         if connection.codec.their_state is not connection.codec.our_state:
@@ -162,7 +162,7 @@
         connection.codec.start_next_cycle()
         return True
 
-    assert failing(20) == 0
+    assert count_failing_seeds(20) == 0
     monkeypatch.setattr(Connection, "ended", lambda _: False)
     monkeypatch.setattr(Connection, "next_cycle", next_cycle)
-    assert failing(20) > 0
+    assert count_failing_seeds(20) > 0
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: compression, pieces of large bodies with small messages between them, and what is no frame."""
+"""Frames: compression, chunked large bodies with small messages in between, and malformed frames."""
 
 import asyncio
 import random
@@ -18,18 +18,18 @@
 from plumline.wire.frame_link import FrameLink, OutgoingFrame
 from plumline.wire.frames import FrameDecoder, framed, hello, pack
 
-SECONDS_OF_LINK = 0.05  # between two looks of a transport that a test plays
+STEP_S = 0.05  # time step of the simulated link
 LINK_BYTES_PER_S = 625_000  # 5 Mbit/s
-BEAT_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.4
 
 
-def noise(length: int, seed: int = 1) -> bytes:
-    """Bytes that don't compress."""
+def incompressible(length: int, seed: int = 1) -> bytes:
+    """Random bytes that can't be compressed."""
     return random.Random(seed).randbytes(length)
 
 
-class ThinTransport(asyncio.Transport):
-    """Takes what is written and passes it on at the rate of a thin link, as a test lets time go by."""
+class SlowTransport(asyncio.Transport):
+    """Buffers what is written until the test transfers it at the rate of a slow link."""
 
     def __init__(self, protocol: asyncio.Protocol) -> None:
         super().__init__()
@@ -54,8 +54,8 @@
             self.paused = True
             self.protocol.pause_writing()
 
-    def carry(self, length: int) -> bytes:
-        """What the link takes next."""
+    def transfer(self, length: int) -> bytes:
+        """Removes and returns the next bytes for the link."""
         data = bytes(self.buffer[:length])
         del self.buffer[:length]
         if self.paused and len(self.buffer) <= self.high // 4:
@@ -64,21 +64,21 @@
         return data
 
 
-def sender() -> tuple[FrameLink, ThinTransport, Counters]:
+def create_sender() -> tuple[FrameLink, SlowTransport, Counters]:
     counters = Counters()
 
-    def nothing(*_: object) -> None:
+    def ignore(*_: object) -> None:
         pass
 
-    link = FrameLink(hello("n", "registrar", "a:1", "z"), nothing, nothing, nothing, counters)
-    transport = ThinTransport(link)
+    link = FrameLink(hello("n", "registrar", "a:1", "z"), ignore, ignore, ignore, counters)
+    transport = SlowTransport(link)
     link.connection_made(transport)
     return link, transport, counters
 
 
-def test_a_hello_of_another_version_is_refused_with_both_versions() -> None:
+def test_a_hello_of_another_version_is_rejected_with_both_versions() -> None:
     async def play(greeting: list[Any]) -> tuple[bool, dict[str, int]]:
-        link, transport, counters = sender()
+        link, transport, counters = create_sender()
         link.data_received(pack(greeting))
         return transport.is_closing(), counters.snapshot()
 
@@ -94,44 +94,44 @@
     assert counted["frames.frame-invalid"] == 1
 
 
-def test_beats_pass_between_the_pieces_of_a_state_on_a_thin_link() -> None:
+def test_heartbeats_are_sent_between_the_chunks_of_a_state_on_a_slow_link() -> None:
     async def play() -> None:
-        link, transport, _ = sender()
+        link, transport, _ = create_sender()
         received, found = FrameDecoder(), []
-        state = ["state", 7, noise(4_000_000)]
+        state = ["state", 7, incompressible(4_000_000)]
         link.send(state)
-        now, beat_at = 0.0, 0.0
+        now, heartbeat_at = 0.0, 0.0
         while not any(message[0] == "state" for _, message in found):
-            if now >= beat_at:
+            if now >= heartbeat_at:
                 link.send(["beat", now])
-                beat_at = now + BEAT_S
-            data = transport.carry(int(LINK_BYTES_PER_S * SECONDS_OF_LINK))
-            now += SECONDS_OF_LINK
+                heartbeat_at = now + HEARTBEAT_INTERVAL_S
+            data = transport.transfer(int(LINK_BYTES_PER_S * STEP_S))
+            now += STEP_S
             found += [(now, message) for message in received.feed(data)]
-        assert now > 6  # it takes long, and each beat comes all the same
-        late = [at - message[1] for at, message in found if message[0] == "beat"]
-        assert len(late) > now / BEAT_S - 1
+        assert now > 6  # the transfer is slow, but every heartbeat arrives
+        delays = [at - message[1] for at, message in found if message[0] == "beat"]
+        assert len(delays) > now / HEARTBEAT_INTERVAL_S - 1
         most = (frame_link.WRITE_BUFFER_BYTES + 2 * frame_link.CHUNK_BYTES) / LINK_BYTES_PER_S
-        assert max(late) < most + 2 * SECONDS_OF_LINK
+        assert max(delays) < most + 2 * STEP_S
         assert found[-1][1] == state
         assert received.chunk_count > 200
 
     asyncio.run(play())
 
 
-def test_what_waits_in_the_transport_is_bounded_and_the_owner_is_told_when_all_is_taken() -> None:
+def test_the_write_buffer_is_bounded_and_the_owner_is_notified_when_it_is_drained() -> None:
     async def play() -> None:
-        link, transport, _ = sender()
+        link, transport, _ = create_sender()
         drained = []
         link.on_drained = drained.append
-        link.send(["state", 7, noise(1_000_000)])
+        link.send(["state", 7, incompressible(1_000_000)])
         link.send(["entry", 8, []], ordered=True)
         received, found, most = FrameDecoder(), [], 0
         while transport.buffer:
             assert link.busy or not link._send_queue
             assert not (drained and link.busy)
             most = max(most, len(transport.buffer))
-            found += received.feed(transport.carry(10_000))
+            found += received.feed(transport.transfer(10_000))
         assert [message[0] for message in found] == ["hello", "state", "entry"]
         assert most <= frame_link.WRITE_BUFFER_BYTES + frame_link.CHUNK_BYTES + 64
         assert drained == [link] and not link.busy
@@ -139,30 +139,30 @@
     asyncio.run(play())
 
 
-def test_a_message_that_is_not_ordered_passes_those_that_wait() -> None:
+def test_an_unordered_message_overtakes_queued_ones() -> None:
     async def play() -> None:
-        link, transport, _ = sender()
-        link.send(["state", 7, noise(200_000)])
+        link, transport, _ = create_sender()
+        link.send(["state", 7, incompressible(200_000)])
         link.send(["entry", 8, []], ordered=True)
         link.send(["beat"])
-        found = FrameDecoder().feed(transport.carry(10_000_000))
+        found = FrameDecoder().feed(transport.transfer(10_000_000))
         assert [message[0] for message in found] == ["hello", "beat"]
 
     asyncio.run(play())
 
 
-def test_a_peer_that_reads_nothing_is_cut_off() -> None:
+def test_a_peer_that_reads_nothing_is_disconnected() -> None:
     async def play() -> None:
-        link, transport, counters = sender()
+        link, transport, counters = create_sender()
         for _ in range(4):
-            link.send(["state", 7, noise(7_000_000)])
+            link.send(["state", 7, incompressible(7_000_000)])
         assert transport.aborted
         assert counters.get("frames.peer-does-not-read") == 1
 
     asyncio.run(play())
 
 
-def test_a_whole_configuration_shrinks_to_a_tenth() -> None:
+def test_a_complete_configuration_is_compressed_to_a_tenth() -> None:
     routes = [
         {"Name": f"r{at}", "Host": "h.example", "PathPrefix": f"/p{at}/", "Service": "s", "TimeoutMs": 3000}
         for at in range(4000)
@@ -187,7 +187,7 @@
 )
 
 
-@settings(deadline=None)  # of wall time, which says nothing on a busy machine
+@settings(deadline=None)  # wall-clock time is meaningless on a busy machine
 @given(MESSAGES, st.integers(1, 5000), st.randoms(use_true_random=False))
 def test_whatever_the_cuts_the_messages_come_whole_and_in_order(
     messages: list[list[Any]], most: int, chance: random.Random
@@ -205,12 +205,12 @@
     assert found == messages
 
 
-def bomb(size: int, told: int) -> bytes:
-    return framed(ormsgpack.packb(["packed", told, zlib.compress(bytes(size), 9)]))
+def compression_bomb(size: int, declared_size: int) -> bytes:
+    return framed(ormsgpack.packb(["packed", declared_size, zlib.compress(bytes(size), 9)]))
 
 
-def wrongly_told(difference: int) -> bytes:
-    """A sound message, compressed, with another size than it has."""
+def with_wrong_size(difference: int) -> bytes:
+    """A valid compressed message that declares a wrong size."""
     body = ormsgpack.packb(["entry", "x" * 1000])
     return framed(ormsgpack.packb(["packed", len(body) + difference, zlib.compress(body)]))
 
@@ -218,10 +218,10 @@
 @pytest.mark.parametrize(
     "data",
     [
-        bomb(100_000_000, frames.MAX_BODY_BYTES),
-        wrongly_told(1),
-        wrongly_told(1000),
-        wrongly_told(-1),
+        compression_bomb(100_000_000, frames.MAX_BODY_BYTES),
+        with_wrong_size(1),
+        with_wrong_size(1000),
+        with_wrong_size(-1),
         framed(ormsgpack.packb(["packed", 100, b"no zlib"])),
         framed(ormsgpack.packb(["packed", "100", b""])),
         framed(ormsgpack.packb(["packed", 100])),
@@ -235,13 +235,13 @@
         framed(b"\xc1"),
     ],
 )
-def test_what_is_no_frame_is_refused(data: bytes) -> None:
+def test_malformed_frames_are_rejected(data: bytes) -> None:
     with pytest.raises(FrameError):
         FrameDecoder().feed(data)
 
 
-def test_a_body_that_expands_to_more_than_it_tells_takes_no_memory() -> None:
-    data = bomb(200_000_000, 1000)
+def test_a_body_larger_than_its_declared_size_allocates_no_memory() -> None:
+    data = compression_bomb(200_000_000, 1000)
     tracemalloc.start()
     try:
         with pytest.raises(FrameError):
@@ -252,7 +252,7 @@
     assert peak < 5_000_000
 
 
-def test_pieces_of_more_than_the_largest_body_are_refused() -> None:
+def test_chunks_of_more_than_the_largest_body_are_rejected() -> None:
     received = FrameDecoder()
     piece = framed(ormsgpack.packb(["piece", True, bytes(1024 * 1024)]))
     with pytest.raises(FrameError):
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""Links between registrars: opened again when they are down, and when nobody answers on them."""
+"""Links between registrars: reopened when they are down or when the peer sends no hello."""
 
 import asyncio
 from pathlib import Path
@@ -14,8 +14,8 @@
 from plumline.wire.mesh import Mesh
 
 
-class Peers:
-    """Says when the first link is up; drops messages."""
+class RecordingPeerHandler:
+    """Reports the first link that is up; ignores messages."""
 
     def __init__(self, up: "asyncio.Future[str]") -> None:
         self.up = up
@@ -28,8 +28,8 @@
         pass
 
 
-class Clients:
-    """Drops everything."""
+class IgnoringClientHandler:
+    """Ignores everything."""
 
     def on_connected(self, link: FrameLink) -> None:
         pass
@@ -41,32 +41,32 @@
         pass
 
 
-def mesh_of(up: "asyncio.Future[str]") -> Mesh:
-    """One that wants no links yet; `up` gets the address of the first link that comes up."""
+def create_mesh(up: "asyncio.Future[str]") -> Mesh:
+    """A mesh without peers; `up` receives the address of the first link that is up."""
     mesh = Mesh("127.0.0.1:1", hello("one", "registrar", "127.0.0.1:1", "zone"), Counters())
-    mesh.attach(Peers(up), Clients())
+    mesh.attach(RecordingPeerHandler(up), IgnoringClientHandler())
     return mesh
 
 
 @patch.object(mesh_module, "HELLO_TIMEOUT_S", 0.05)
 @patch.object(mesh_module, "RECONNECT_BACKOFF_S", 0.01)
 @play
-async def test_a_link_on_which_no_hello_comes_is_opened_anew(_: Path) -> None:
-    """As where a cut began between the connection and the hello: it may be held up for long after the cut."""
+async def test_a_link_without_a_hello_is_reopened(_: Path) -> None:
+    """A partition that begins between connect and hello may delay the hello until long after it heals."""
     loop = asyncio.get_running_loop()
     silent: list[asyncio.Protocol] = []
 
-    def accepted() -> asyncio.Protocol:
+    def accept() -> asyncio.Protocol:
         if len(silent) < 2:
             silent.append(asyncio.Protocol())
             return silent[-1]
         greeting = hello("two", "registrar", address, "zone")
         return FrameLink(greeting, lambda _: None, lambda *_: None, lambda _: None, Counters())
 
-    server = await loop.create_server(accepted, "127.0.0.1", 0)
+    server = await loop.create_server(accept, "127.0.0.1", 0)
     address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
     up: asyncio.Future[str] = loop.create_future()
-    mesh = mesh_of(up)
+    mesh = create_mesh(up)
     mesh.set_peers({address})
     assert await soon(up) == address
     assert len(silent) == 2
@@ -77,10 +77,10 @@
 @patch.object(mesh_module, "RECONNECT_BACKOFF_S", 60.0)
 @play
 async def test_a_peer_that_opens_a_link_is_connected_to_without_waiting_for_the_backoff(_: Path) -> None:
-    """As after a loss of power, where the machines begin to listen one after the other."""
+    """After a power loss the machines begin to listen one after the other."""
     loop = asyncio.get_running_loop()
     up: asyncio.Future[str] = loop.create_future()
-    mesh = mesh_of(up)
+    mesh = create_mesh(up)
     await mesh.listen(("127.0.0.1", 0))
     assert mesh._server is not None
     own_port = mesh._server.sockets[0].getsockname()[1]
--- a/tests/wire_world.py
+++ b/tests/wire_world.py
@@ -729,8 +729,9 @@
 
     def check_success(self, request: ClientRequest, ran: list[Arrival]) -> None:
         if request.route == "resume":
-            events = (request.event(n, "") for n in range(1, request.event_count + 1))
-            expected = b"".join(events).replace(COMMENT, b"")
+            expected = b"".join(request.event(n, "") for n in range(1, request.event_count + 1)).replace(
+                COMMENT, b""
+            )
             received = request.answer.replace(COMMENT, b"")  # comments are not events
             right = received == expected if request.complete else expected.startswith(received)
         elif request.complete:
