--- a/plumline/router/__init__.py
+++ b/plumline/router/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane's request path after a request has been read."""
+"""The router: handling of requests after they were read, and the process around it."""
--- a/plumline/router/choice_report.py
+++ b/plumline/router/choice_report.py
@@ -1,4 +1,4 @@
-"""What operators are told of choices: why parts are read again, and why first pieces are late."""
+"""Reports on endpoint choices for operators: why parts are read again, and why first chunks are late."""
 
 from collections.abc import Sequence
 
@@ -8,13 +8,13 @@
 from plumline.router.router_state import RouterState
 from plumline.routing.endpoint_scoring import Candidate, expected_ms
 
-REPORT_INTERVAL_S = 10.0  # between two log lines that explain a late first piece
+REPORT_INTERVAL_S = 10.0  # between log lines that explain a late first chunk
 
 log = logs.logger("dispatch")
 
 
 def count_rereading(router: RouterState, salt: str, shared: Sequence[PrefixBlock], chosen: Candidate) -> None:
-    """Counts the tokens of shared parts that will be read though somebody has read them, by why."""
+    """Counts, by reason, the tokens of shared parts that will be read although they have been read before."""
     if not (tokens := round(chosen.again)):
         return
     index = router.index
@@ -30,8 +30,8 @@
 def report_if_late(
     router: RouterState, request: Request, chosen: Candidate, now: float, took_ms: float
 ) -> None:
-    """Counts a first piece that came after the route's target, and logs for a sample of them what the choice
-    was made on. `now`: steady s; `took_ms`: since the request was sent to the endpoint."""
+    """Counts a first chunk that arrived after the route's latency target, and logs the inputs of the choice
+    for a sample of them. `now`: monotonic s; `took_ms`: since the request was sent to the endpoint."""
     total_ms = (now - request.exchange.began) * 1000
     if total_ms <= request.route.latency_target_ms:
         return
--- a/plumline/router/dispatch.py
+++ b/plumline/router/dispatch.py
@@ -1,8 +1,8 @@
-"""The requests of one router: each is taken on as a job of its own, over the state that all share.
+"""Starts a handler task for each request of a router, over the state that all requests share.
 
-What keeps the rules: every attempt carries `Expected-Instance` (`attempt.py`); a second one is made only
-where the first surely has not run or the route is idempotent, and only out of the retry budget; 503 is
-answered only where surely nothing ran, 502 or 504 where something may have (`request_handler.py`).
+Every attempt carries `Expected-Instance` (`attempt.py`). A retry requires proof that the request has not run
+or an idempotent route, and is charged to the retry budget. A 503 is answered only if the request has
+certainly not run, 502 or 504 if it may have run (`request_handler.py`).
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 
 class Dispatcher(RouterState):
-    """Takes requests on and knows which are under way. `clock`: the steady clock in s."""
+    """Starts requests and tracks those in flight. `clock`: the monotonic clock in s."""
 
     def __init__(
         self,
@@ -28,31 +28,31 @@
         fleet: Fleet,
         counters: Counters,
         clock: Callable[[], float] = time.monotonic,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
         *,
         budget: Budget | None = None,
     ) -> None:
-        super().__init__(settings, fleet, counters, clock, chance, budget=budget)
+        super().__init__(settings, fleet, counters, clock, rng, budget=budget)
         self.tasks: dict[asyncio.Task[None], RequestHandler] = {}
 
     def handle(self, exchange: Exchange) -> None:
-        """Takes the request on; its answer comes by a task of its own."""
+        """Starts a task that answers the request."""
         handler = RequestHandler(self, exchange)
         task = asyncio.get_running_loop().create_task(handler.run())
         self.tasks[task] = handler
         task.add_done_callback(lambda done: self.tasks.pop(done, None))
 
     def begin_draining(self, deadlines: DrainDeadlines) -> None:
-        """The process is about to end: from now on its deadlines count at admission."""
+        """Starts to apply the deadlines of the process's shutdown at admission."""
         self.drain = deadlines
 
     def end_requests(self) -> None:
-        """Ends every request under way at once: by its final response, or by a cut if one has begun."""
+        """Ends every request in flight at once: sends its final response, or aborts one that has begun."""
         for handler in list(self.tasks.values()):
-            handler.end()
+            handler.abort()
 
     async def drained(self) -> None:
-        """Returns once every request taken on has its answer."""
+        """Waits until every started request has its answer."""
         while self.tasks:
             await asyncio.wait(self.tasks)
 
--- a/plumline/router/feed_source.py
+++ b/plumline/router/feed_source.py
@@ -8,23 +8,23 @@
 
 @dataclass(slots=True)
 class FeedSource:
-    """The connection to one registrar. Times are seconds of the steady clock."""
+    """The connection to one registrar. Times are monotonic seconds."""
 
     address: str
     connect_task: "asyncio.Task[None]"
-    link: FrameLink | None = None  # None until the registrar has said hello
+    link: FrameLink | None = None  # None until the registrar has sent its hello
     last_message_at: float = 0.0
-    is_current: bool = False  # whether the registrar says that it surely has the newest entries
-    last_current_at: float = 0.0  # when it last said so, or when the link came up
-    committed_index: int = 0  # number of the newest entry that it reported
+    is_current: bool = False  # whether the registrar reports that it certainly has the newest entries
+    last_current_at: float = 0.0  # when it last reported that, or when the link was opened
+    committed_index: int = 0  # index of the newest entry that it reported
     last_feed_at: float = 0.0  # when it last sent an entry or a snapshot, or was asked for them
 
     def last_received_at(self) -> float:
-        """When the newest bytes came; a chunk of a large frame counts."""
+        """When the newest bytes arrived, including chunks of a large frame."""
         return max(self.last_message_at, self.link.last_received_at if self.link is not None else 0.0)
 
     def last_progress_at(self) -> float:
-        """When it last sent, or was asked for, an entry or a snapshot; a chunk of one counts."""
+        """When it last sent an entry, a snapshot or a chunk of one, or was asked for them."""
         return max(self.last_feed_at, self.link.last_chunk_at if self.link is not None else 0.0)
 
 
@@ -32,16 +32,16 @@
 class FeedLag:
     """Entries that a source has reported as committed and that have not arrived."""
 
-    missing_index: int = 0  # number of the entry that ends the lag
+    missing_index: int = 0  # index of the entry that ends the lag
     began_at: float | None = None  # None: nothing is missing
 
     def on_committed(self, committed_index: int, applied_index: int, now: float) -> None:
-        """A source reports its newest entry."""
+        """Handles a source's report of its newest entry."""
         if committed_index > applied_index and self.began_at is None:
             self.missing_index, self.began_at = committed_index, now
 
     def on_applied(self, applied_index: int) -> None:
-        """The router has applied the feed up to this entry."""
+        """Handles that the router has applied the feed up to this entry."""
         if applied_index >= self.missing_index:
             self.began_at = None
 
--- a/plumline/router/lifecycle.py
+++ b/plumline/router/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a router towards its clients: when it is ready, and how it ends without losing a request."""
+"""A router's lifecycle: when it is ready for clients, and how it shuts down without losing a request."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,11 +7,11 @@
 from plumline.router.drain import DrainDeadlines
 from plumline.wire.server import Server
 
-IDLE_CHECK_S = 0.3  # between two looks for kept connections that have become idle
+IDLE_CHECK_INTERVAL_S = 0.3  # between checks for connections that have become idle
 
 
 class Phase(Enum):
-    """How far a router's life has come."""
+    """Phases of a router's lifecycle."""
 
     STARTING = "starting"
     READY = "ready"
@@ -20,22 +20,22 @@
 
 
 class Lifecycle:
-    """Starting, until `is_equipped()` (a configuration and a list of endpoints are known); ready from then
-    on, on what was known last if need be; draining from `begin_shutdown`; stopped once nobody is owed an
-    answer, or shortly before `grace_s` are over."""
+    """Starting until `is_initialized()`: a configuration and a list of endpoints are known. Ready from then
+    on, if necessary with outdated state. Draining from `begin_shutdown`. Stopped once all requests are
+    answered, or shortly before `grace_s` has passed."""
 
     def __init__(
         self,
         server: Server,
-        is_equipped: Callable[[], bool],
+        is_initialized: Callable[[], bool],
         grace_s: float,
         *,
         on_drain: Callable[[DrainDeadlines], None] = lambda _: None,
         end_requests: Callable[[], None] = lambda: None,
     ) -> None:
-        """`on_drain` is told the deadlines as the shutdown begins; `end_requests` gives every request that is
-        still unanswered its final response, or cuts one whose response has begun."""
-        self.server, self.is_equipped, self.grace_s = server, is_equipped, grace_s
+        """`on_drain` receives the deadlines when the shutdown begins; `end_requests` sends every unanswered
+        request its final response, or aborts a response that has begun."""
+        self.server, self.is_initialized, self.grace_s = server, is_initialized, grace_s
         self.on_drain, self.end_requests = on_drain, end_requests
         self.loop = asyncio.get_running_loop()
         self.phase = Phase.STARTING
@@ -44,13 +44,13 @@
         self.unanswered = 0  # requests that had no complete response when the responses were due
 
     def ready(self) -> bool:
-        """Whether it may be given new connections; the first time it may, it is ready from then on."""
-        if self.phase is Phase.STARTING and self.is_equipped():
+        """Whether the router may receive new connections. Once ready, it stays so until the shutdown."""
+        if self.phase is Phase.STARTING and self.is_initialized():
             self.phase = Phase.READY
         return self.phase is Phase.READY
 
     def begin_shutdown(self) -> None:
-        """From now on not ready, and each answer ends its connection. A second call changes nothing."""
+        """Starts the shutdown: not ready any more, and each answer closes its connection. Idempotent."""
         if self.phase in (Phase.DRAINING, Phase.STOPPED):
             return
         self.phase = Phase.DRAINING
@@ -60,7 +60,7 @@
         self._shutdown_requested.set()
 
     async def run_until_stopped(self) -> None:
-        """Returns when the process may end. Nothing that was read is left unanswered while there is time."""
+        """Returns when the process may end. Every request that was read is answered, if time permits."""
         await self._shutdown_requested.wait()
         assert self.deadlines is not None
         await asyncio.sleep(max(self.deadlines.notice_ends_at - self.loop.time(), 0.0))
@@ -73,16 +73,16 @@
         self.phase = Phase.STOPPED
 
     async def _drain_until(self, deadline: float) -> bool:
-        """Whether all connections have ended by then. Those that owe nobody an answer are closed."""
+        """Closes idle connections. Returns whether all connections have ended by the deadline."""
         while (left := deadline - self.loop.time()) > 0:
-            # One that was read as it was to be closed is answered, and closes by itself.
+            # A connection on which a request arrives meanwhile is closed after its answer.
             self.server.close_idle()
-            if await self.server.drained(min(left, IDLE_CHECK_S)):
+            if await self.server.drained(min(left, IDLE_CHECK_INTERVAL_S)):
                 return True
         return not self.server.busy()
 
     def drain_summary(self) -> dict[str, float]:
-        """For the log: what the shutdown took on and what it cut. Times in s from its start."""
+        """Log fields: the requests during the shutdown and those it cut. Times in s from its start."""
         drain = self.server.drain
         if drain is None:
             return {}
--- a/plumline/router/process.py
+++ b/plumline/router/process.py
@@ -1,4 +1,4 @@
-"""The router's process: joins the feed, the serving side and the request path."""
+"""The router process: connects the feed, the HTTP server and the request path."""
 
 import asyncio
 
@@ -14,10 +14,11 @@
 from plumline.settings import Settings, SettingsFile
 from plumline.wire.server import FixedLimits, Server
 
-MEMORY_SHARE = 1 / 4  # of the process's memory that bodies may take at once
-SUMMARY = 10.0  # s between summaries of the counters
-#: Until a configuration is known: wide, so that a request that it will allow is told 503, not 413 or 431.
-UNTOLD_LIMITS = FixedLimits(header_bytes=64 * 1024, body_bytes=16 * 1024 * 1024)
+BODY_MEMORY_SHARE = 1 / 4  # of the process's memory that request bodies may occupy together
+SUMMARY_INTERVAL_S = 10.0  # between log summaries of the counters
+#: Used until a configuration is known. Generous, so that requests which the configuration will allow are
+#: answered with 503, not with 413 or 431.
+UNCONFIGURED_LIMITS = FixedLimits(header_bytes=64 * 1024, body_bytes=16 * 1024 * 1024)
 
 log = logs.logger("router")
 
@@ -33,53 +34,53 @@
         bounds = settings.bounds
         self.budget = retry_budget(settings, self.loop.time())
         self.dispatcher = Dispatcher(settings, self.fleet, self.counters, self.loop.time, budget=self.budget)
-        self.dispatcher.tell = self.subscriber.publish_prompt_event
+        self.dispatcher.publish_prompt_event = self.subscriber.publish_prompt_event
         self.subscriber.local_loads = self.dispatcher.work_rates
         self.subscriber.rollout_reports = self.dispatcher.rollout_reports
-        self.subscriber.on_fleet_loads = self.dispatcher.told_work
-        self.subscriber.on_prompt_events = self.dispatcher.told_news
+        self.subscriber.on_fleet_loads = self.dispatcher.on_fleet_work
+        self.subscriber.on_prompt_events = self.dispatcher.on_prompt_events
         self.server = Server(
             self.dispatcher.handle,
-            lambda: self.fleet.table.limits if self.fleet.table else UNTOLD_LIMITS,
+            lambda: self.fleet.table.limits if self.fleet.table else UNCONFIGURED_LIMITS,
             self.counters.group("clients"),
-            held_limit=int(settings.limits.memory_mb * 1024 * 1024 * MEMORY_SHARE),
+            held_limit=int(settings.limits.memory_mb * 1024 * 1024 * BODY_MEMORY_SHARE),
         )
         self.lifecycle = Lifecycle(
             self.server,
-            self.is_equipped,
+            self.is_initialized,
             bounds.grace_period_s,
             on_drain=self.dispatcher.begin_draining,
             end_requests=self.dispatcher.end_requests,
         )
         self.readiness = Readiness(self.lifecycle.ready)
 
-    def is_equipped(self) -> bool:
+    def is_initialized(self) -> bool:
         """Whether a configuration and a list of endpoints are known."""
         return self.fleet.table is not None and bool(self.fleet.endpoints)
 
-    async def summarise(self) -> None:
-        """Logs now and then which counters have changed."""
+    async def log_counters(self) -> None:
+        """Logs changed counters at regular intervals."""
         while True:
-            await asyncio.sleep(SUMMARY)
+            await asyncio.sleep(SUMMARY_INTERVAL_S)
             for line in self.counters.changed_lines():
                 log.info(line)
 
     async def run(self) -> None:
-        """Until SIGTERM, and then until nobody is owed an answer."""
+        """Runs until SIGTERM, and then until all requests are answered or the grace period ends."""
         handle_signals(self.loop, self.lifecycle.begin_shutdown, self.file.request_reload)
         if self.settings.front_http is not None:
             await self.server.listen(self.settings.front_http)
         if self.settings.readiness is not None:
             await self.readiness.listen(self.settings.readiness)
         log.info(logs.event("started", node=self.settings.node_name))
-        work = [self.loop.create_task(each) for each in (self.subscriber.run(), self.summarise())]
-        stop = self.loop.create_task(self.lifecycle.run_until_stopped())
-        done, _ = await asyncio.wait([*work, stop], return_when=asyncio.FIRST_COMPLETED)
-        for task in done - {stop}:
+        tasks = [self.loop.create_task(each) for each in (self.subscriber.run(), self.log_counters())]
+        stopped = self.loop.create_task(self.lifecycle.run_until_stopped())
+        done, _ = await asyncio.wait([*tasks, stopped], return_when=asyncio.FIRST_COMPLETED)
+        for task in done - {stopped}:
             task.result()
         self.subscriber.close()
         self.readiness.end()
-        for task in work:
+        for task in tasks:
             task.cancel()
         for line in self.counters.changed_lines():
             log.info(line)
--- a/plumline/router/progress.py
+++ b/plumline/router/progress.py
@@ -1,4 +1,4 @@
-"""How far a request has come: its sends so far, what they prove, and who has given it up."""
+"""Progress of one request: its attempts so far, what they prove, and whether it was given up."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,13 +8,13 @@
 from plumline.router.upstream import UpstreamConnection
 from plumline.routing.mechanisms import MECHANISMS
 
-MAX_FAILED_CONNECTS = 3  # connections that may fail under one request
-RESPONSE_MARGIN_S = 0.02  # s of a request's time that the way back may take
-RETRY_AFTER_RANGE_S = (0.2, 1.0)  # s, the least and the most that a refused client is told
+MAX_FAILED_CONNECTS = 3  # per request
+RESPONSE_MARGIN_S = 0.02  # of a request's time, reserved for the answer's way back
+RETRY_AFTER_RANGE_S = (0.2, 1.0)  # least and greatest `Retry-After` for a refused client
 
 
 class Proof(Enum):
-    """What the end of one send proves."""
+    """What the end of one attempt proves."""
 
     ANSWERED = "answered"  # the client has its answer, or its connection was cut
     NOT_RUN = "not-run"
@@ -23,24 +23,26 @@
 
 @dataclass(slots=True)
 class Progress:
-    """Kept by the job, changed by its choices and sends as well."""
-
-    expired: bool = False  # its time is up
-    client_left: bool = False  # its client is
-    may_have_run: bool = False  # it may have run at some endpoint
-    retry_granted: bool = False  # the budget has given the next send
-    response_started: bool = False  # the head of an answer has gone to the client
-    quota_exceeded: bool = False  # and not sent for it
+    """Owned by the request handler; its selection and its attempts change it too."""
+
+    expired: bool = False  # the deadline has passed
+    client_left: bool = False  # the client has disconnected
+    may_have_run: bool = False  # at some endpoint
+    retry_granted: bool = False  # the retry budget has allowed the next attempt
+    response_started: bool = False  # the head of an answer was sent to the client
+    quota_exceeded: bool = False  # by the tenant; the request was not sent because of it
     attempts: int = 0
-    trial_draw: float | None = None  # 0 to 1: below the share of a version on trial, it goes there
-    failed_connects: int = 0  # connections that failed, or never carried it
-    attempted: set[str] = field(default_factory=set)  # endpoints that were sent it, or couldn't be
-    retry_after_s: float = RETRY_AFTER_RANGE_S[0]  # s that a refused client is told
+    trial_draw: float | None = None  # 0 to 1; a draw below the trial share goes to the version on trial
+    failed_connects: int = 0  # connections that failed, or on which the request was not sent
+    attempted: set[str] = field(
+        default_factory=set
+    )  # endpoints that received the request or could not be reached
+    retry_after_s: float = RETRY_AFTER_RANGE_S[0]  # for a refused client
     joiner: EventJoiner | None = None
-    connection: UpstreamConnection | None = None  # of the send under way
+    connection: UpstreamConnection | None = None  # of the current attempt
 
     def may_send(self, route: Route) -> bool:
-        """Whether one more send is allowed, by its route and by what the sends before it proved."""
+        """Whether another attempt is allowed, by the route and by what earlier attempts proved."""
         if self.attempts and not MECHANISMS.second_attempts:
             return False
         if self.attempts >= route.attempt_limit or self.failed_connects >= MAX_FAILED_CONNECTS:
--- a/plumline/router/readiness.py
+++ b/plumline/router/readiness.py
@@ -1,4 +1,4 @@
-"""Answers the platform's question whether this process may be given new connections."""
+"""Readiness endpoint: tells the platform whether this process may receive new connections."""
 
 from collections.abc import Callable
 
@@ -9,18 +9,18 @@
 
 
 class Readiness:
-    """`GET /readiness` is 200 while `ready()` holds, else 503."""
+    """Answers `GET /readiness` with 200 while `ready()` is true, else with 503."""
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         self.ready = ready
         self.server = Server(self.answer, lambda: LIMITS)
 
     async def listen(self, address: tuple[str, int]) -> None:
-        """Raises OSError."""
+        """Opens the port. Raises OSError."""
         await self.server.listen(address)
 
     def answer(self, exchange: Exchange) -> None:
-        """Answers one question of the platform."""
+        """Answers one readiness request."""
         if exchange.path != "/readiness":
             exchange.respond(404)
         elif exchange.method not in ("GET", "HEAD"):
@@ -29,5 +29,5 @@
             exchange.respond(200 if self.ready() else 503)
 
     def end(self) -> None:
-        """Closes the port and what is open."""
+        """Closes the port and all connections."""
         self.server.end()
--- a/plumline/router/request_handler.py
+++ b/plumline/router/request_handler.py
@@ -1,11 +1,11 @@
-"""One request's life: admission, the loop of choices and sends, holding, and the answers of our own."""
+"""Handles one request: admission, selections and attempts, waiting, and the router's own answers."""
 
 import asyncio
 import contextlib
 
 from plumline import logs
 from plumline.router.admission import Denial, Request, admit, remaining_ms
-from plumline.router.attempt import attempt
+from plumline.router.attempt import run_attempt
 from plumline.router.progress import RESPONSE_MARGIN_S, RETRY_AFTER_RANGE_S, Progress, Proof
 from plumline.router.relay import Headers, value_of
 from plumline.router.router_state import RouterState
@@ -14,21 +14,21 @@
 from plumline.routing.reserved_quota import CALM
 from plumline.wire.exchange import Exchange
 
-#: Of the aim: how long a request may wait, in all, while others' prompts with its shared part are read. Sent
-#: at once it would be read beside them, and be no earlier.
+#: Share of the latency target that a request may wait, in total, while other prompts with its shared part are
+#: read. Sent at once, it would be read beside them and finish no earlier.
 MAX_READING_WAIT_SHARE = 1 / 2
-MAX_READING_WAIT_S = 1.0  # the same, whatever the aim is
-READING_POLL_S = 0.005  # between two looks whether that is over
-STARTING_S = 3.0  # from a process's start: what it does not know by then may be long in coming
-MAX_START_WAIT_S = 1.0  # that a request waits for what a process that has just started lacks
-MAX_START_WAIT_SHARE = 1 / 2  # the same, of what its client has left
-MAX_HOLD_SHARE = 1 / 8  # of the aim: how long a request may be held, once, for an endpoint to be ready
+MAX_READING_WAIT_S = 1.0  # the same, whatever the latency target is
+READING_POLL_S = 0.005  # between checks whether that reading is done
+STARTUP_S = 3.0  # from a process's start; state that is still missing then may take long to arrive
+MAX_START_WAIT_S = 1.0  # that a request waits for the initial state of a process that has just started
+MAX_START_WAIT_SHARE = 1 / 2  # the same, as a share of its client's remaining time
+MAX_READY_WAIT_SHARE = 1 / 8  # of the latency target; a request may wait once for an endpoint to be ready
 
 log = logs.logger("dispatch")
 
 
 class RequestHandler:
-    """One request."""
+    """Handles one request."""
 
     def __init__(self, router: RouterState, exchange: Exchange) -> None:
         self.router, self.exchange = router, exchange
@@ -36,88 +36,88 @@
         self.progress = Progress()
         self.standing = CALM
         self.timer: asyncio.TimerHandle | None = None
-        self.reading_wait_began: float | None = None  # steady s
-        self.ended = False  # given up: the final answer, or none any more, has gone out
+        self.reading_wait_began_at: float | None = None  # monotonic s
+        self.finished = False  # the final answer was sent, or none will be
 
     async def run(self) -> None:
-        """From admission to the one answer that the exchange is owed."""
+        """Runs from admission to the final answer."""
         exchange, progress = self.exchange, self.progress
-        if self.ended:  # before its first step
+        if self.finished:  # aborted before the task's first step
             return
         try:
-            if not self.router.equipped.is_set():
-                await self.wait_until_equipped()
-                if self.ended or exchange.gone:
+            if not self.router.initialized.is_set():
+                await self.wait_until_initialized()
+                if self.finished or exchange.gone:
                     return
             admitted = admit(self.router, exchange, self.id)
             if isinstance(admitted, Denial):
                 self.answer(admitted.status, admitted.name, admitted.retry_after_s)
                 return
             self.standing = admitted.standing
-            exchange.on_gone = self.client_gone
+            exchange.on_gone = self.on_client_gone
             progress.client_left = exchange.gone
-            left = admitted.until - self.router.clock()
-            self.timer = asyncio.get_running_loop().call_later(max(left, 0), self.expire)
-            await self.work(admitted)
+            left = admitted.deadline - self.router.clock()
+            self.timer = asyncio.get_running_loop().call_later(max(left, 0), self.on_deadline)
+            await self.run_attempts(admitted)
         except Exception:
             self.count("failed")
             log.exception("a request could not be handled")
             progress.may_have_run = progress.may_have_run or progress.attempts > 0
             if not exchange.done:
-                self.give_up()
+                self.send_final_answer()
         finally:
             if self.timer:
                 self.timer.cancel()
             exchange.on_gone = None
 
-    async def wait_until_equipped(self) -> None:
-        """Waits for the configuration and the endpoints of a process that has just started: they are a few
-        tenths of a second away, and a client that is refused until then may have no other try."""
+    async def wait_until_initialized(self) -> None:
+        """Waits for the configuration and the endpoints in a process that has just started. They arrive in a
+        few tenths of a second, and a client that is refused before may have no other attempt."""
         router = self.router
         client_s = remaining_ms(self.exchange.headers) / 1000 * MAX_START_WAIT_SHARE
-        start_s = router.started_at + STARTING_S - router.clock()
+        start_s = router.started_at + STARTUP_S - router.clock()
         wait_s = min(MAX_START_WAIT_S, client_s, start_s)
         if wait_s <= 0:
             return
         self.count("waited-for-start")
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(router.equipped.wait(), wait_s)
+            await asyncio.wait_for(router.initialized.wait(), wait_s)
 
     def count(self, name: str) -> None:
-        """One more request that ended so."""
+        """Counts a request under `request-{name}`."""
         self.router.counters.add(f"request-{name}")
 
-    # The ends that come from outside.
+    # Ends from outside: deadline, client, shutdown.
 
-    def expire(self) -> None:
-        """Its time is up."""
+    def on_deadline(self) -> None:
+        """The deadline has passed."""
         self.progress.expired = True
         if self.progress.connection:
             self.progress.connection.close()
         if self.progress.response_started and not self.exchange.done:
-            self.exchange.abort()  # also wakes who waits for a client that doesn't read
+            self.exchange.abort()  # also wakes a task that waits for a client to read
 
-    def client_gone(self) -> None:
-        """Its client has left."""
+    def on_client_gone(self) -> None:
+        """The client has disconnected."""
         self.progress.client_left = True
         if self.progress.connection:
             self.progress.connection.close()  # the endpoint drops the request
 
-    def end(self) -> None:
-        """The process is about to end: the final answer goes out now, or what has begun of one is cut."""
+    def abort(self) -> None:
+        """Ends the request as the process stops: sends the final answer, or aborts one that has begun."""
         progress = self.progress
         progress.expired = True
         if not (self.exchange.done or self.exchange.gone):
             progress.may_have_run = progress.may_have_run or progress.connection is not None
-            self.give_up()
+            self.send_final_answer()
         if progress.connection:
             progress.connection.close()
 
-    # Sends.
+    # Attempts.
 
-    async def work(self, request: Request) -> None:
-        """Sends until one of them brought the answer, or none may follow."""
-        router, progress, held = self.router, self.progress, False
+    async def run_attempts(self, request: Request) -> None:
+        """Makes attempts until one brings the answer, or no other may follow."""
+        router, progress, has_waited = self.router, self.progress, False
         selection = Selection(router, request, progress)
         selection.count_request(router.clock())
         route = request.route
@@ -126,17 +126,21 @@
             if progress.client_left:
                 self.count("client-gone")
                 return
-            if progress.expired or request.until - now <= RESPONSE_MARGIN_S or not progress.may_send(route):
+            if (
+                progress.expired
+                or request.deadline - now <= RESPONSE_MARGIN_S
+                or not progress.may_send(route)
+            ):
                 break
-            picked, wait = selection.pick(now)
+            picked, wait = selection.select_endpoint(now)
             if picked is None:
-                if held or wait > self.longest_hold_s(request, now):
+                if has_waited or wait > self.max_ready_wait_s(request, now):
                     progress.retry_after_s = wait if wait < float("inf") else progress.retry_after_s
                     break
-                held = True
+                has_waited = True
                 await asyncio.sleep(wait)
                 continue
-            if self.pauses_for_reading(selection, picked, now):
+            if self.must_wait_for_reading(selection, picked, now):
                 await asyncio.sleep(READING_POLL_S)
                 continue
             if progress.attempts and not progress.retry_granted:
@@ -144,37 +148,38 @@
                     self.count("over-budget")
                     break
                 progress.retry_granted = True
-            proof = await attempt(selection, picked)
+            proof = await run_attempt(selection, picked)
             if proof is Proof.ANSWERED:
                 return
             progress.may_have_run |= proof is Proof.MAY_HAVE_RUN
-        self.give_up()
+        self.send_final_answer()
 
-    def longest_hold_s(self, request: Request, now: float) -> float:
-        """How long the request may be held for an endpoint to be ready."""
+    def max_ready_wait_s(self, request: Request, now: float) -> float:
+        """How long the request may wait for an endpoint to be ready."""
         if not MECHANISMS.holding:
             return 0.0
-        share_s = request.route.latency_target_ms / 1000 * MAX_HOLD_SHARE
-        return min(share_s, request.until - now - RESPONSE_MARGIN_S)
+        share_s = request.route.latency_target_ms / 1000 * MAX_READY_WAIT_SHARE
+        return min(share_s, request.deadline - now - RESPONSE_MARGIN_S)
 
-    def pauses_for_reading(self, selection: Selection, picked: EndpointChoice, now: float) -> bool:
-        """Whether the request waits on while another prompt's reading of its shared part goes on."""
-        if not selection.awaits_reading(picked):
+    def must_wait_for_reading(self, selection: Selection, picked: EndpointChoice, now: float) -> bool:
+        """Whether the request must wait for another prompt with its shared part to be read."""
+        if not selection.should_wait_for_reading(picked):
             return False
-        if self.reading_wait_began is None:
+        if self.reading_wait_began_at is None:
             self.count("waited-for-reading")
-            self.reading_wait_began = now
+            self.reading_wait_began_at = now
         share_s = selection.request.route.latency_target_ms / 1000 * MAX_READING_WAIT_SHARE
-        return now - self.reading_wait_began < min(share_s, MAX_READING_WAIT_S)
+        return now - self.reading_wait_began_at < min(share_s, MAX_READING_WAIT_S)
 
-    # Answers of our own.
+    # The router's own answers.
 
-    def give_up(self) -> None:
-        """The final answer at once: a promise only where surely nothing has run."""
+    def send_final_answer(self) -> None:
+        """Ends the request with the router's own answer; it promises that the request has not run only if
+        that is certain."""
         progress = self.progress
-        if self.ended:
+        if self.finished:
             return
-        self.ended = True
+        self.finished = True
         if self.exchange.done or progress.client_left:
             self.count("client-gone")
         elif progress.response_started:
@@ -189,7 +194,7 @@
             self.answer(504 if progress.expired else 502, "late" if progress.expired else "unclear")
 
     def answer(self, status: int, name: str, retry_after_s: float | None = None) -> None:
-        """An answer of our own, with `Retry-After` where `retry_after_s` is given."""
+        """Sends an answer of the router's own, with `Retry-After` if `retry_after_s` is given."""
         self.count(name)
         headers: Headers = [(b"content-type", b"text/plain; charset=utf-8")]
         if self.id is not None:
--- a/plumline/router/router_state.py
+++ b/plumline/router/router_state.py
@@ -1,5 +1,5 @@
-"""What a router knows of the fleet and what its requests share: loads, the prefix cache index, prefix homes,
-stores, versions, shares; and how the fleet's news changes them."""
+"""State shared by all requests of a router: loads, the prefix cache index, prefix homes, stores, versions and
+shares; and its updates when the fleet changes."""
 
 import asyncio
 import itertools
@@ -18,7 +18,7 @@
 from plumline.prefix_cache.index import Placement, PrefixCacheIndex
 from plumline.router.drain import DrainDeadlines
 from plumline.router.relay import Headers, value_of
-from plumline.router.upstream import Pool
+from plumline.router.upstream import ConnectionPool
 from plumline.routing.cache_salt import NamedVersions
 from plumline.routing.endpoint_load import Affinity, Load
 from plumline.routing.fleet import Address, Endpoint, Fleet
@@ -32,9 +32,9 @@
 from plumline.routing.version_gate import VersionGate
 from plumline.settings import Settings
 
-CONNECT_TIMEOUT = 0.3  # s
-REVOCATION_SHARE = 0.8  # of RevocationMs: what a request takes on its way is left
-UNTOLD_STORE = StoreStatus(up=True, epoch=0)  # one that nobody told of
+CONNECT_TIMEOUT_S = 0.3
+REVOCATION_SHARE = 0.8  # of RevocationMs; the rest is left for a request's time in transit
+UNREPORTED_STORE = StoreStatus(up=True, epoch=0)  # assumed until the core reports the store
 
 log = logs.logger("dispatch")
 
@@ -45,17 +45,17 @@
 
 
 class Budget(Protocol):
-    """What bounds second sends, see `plumline.coordination.retry_budget`."""
+    """Limits retries, see `plumline.coordination.retry_budget`."""
 
     def record_request(self, now: float, service: str) -> None:
-        """A request for the service has come."""
+        """Counts a request for the service."""
 
     def try_spend(self, now: float, service: str, routers: int) -> bool:
-        """Whether one more send beyond the first is allowed; if so, it counts as made."""
+        """Whether one more attempt beyond the first is allowed; if so, it is counted."""
 
 
 def retry_budget(settings: Settings, now: float) -> RetryBudget:
-    """This router's share of the fleet's budget for second sends, by the settings' bounds."""
+    """This router's share of the fleet's retry budget, from the settings' bounds."""
     bounds = settings.bounds
     return RetryBudget(
         bounds.retry_budget_ratio,
@@ -67,7 +67,7 @@
 
 
 class RouterState:
-    """One for all requests of a router. `clock`: the steady clock in s."""
+    """Shared by all requests of a router. `clock`: the monotonic clock in s."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         fleet: Fleet,
         counters: Counters,
         clock: Callable[[], float] = time.monotonic,
-        chance: random.Random | None = None,
+        rng: random.Random | None = None,
         *,
         budget: Budget | None = None,
     ) -> None:
@@ -83,111 +83,111 @@
         self.bounds = bounds
         self.fleet, self.counters, self.clock = fleet, counters, clock
         self.node, self.zone, self.regions = settings.node_name, settings.zone, settings.zones
-        self.chance = chance or random.Random()
+        self.rng = rng or random.Random()
         self.budget: Budget = budget or retry_budget(settings, clock())
-        self.outcomes = Outcomes(lambda: self.fleet.routers, self.chance)
-        self.pool = Pool(CONNECT_TIMEOUT)
+        self.outcomes = Outcomes(lambda: self.fleet.routers, self.rng)
+        self.pool = ConnectionPool(CONNECT_TIMEOUT_S)
         self.drain: DrainDeadlines | None = None  # while the process shuts down
         self.affinity = Affinity()
         self.read_rates: dict[str, ServiceReadRates] = {}  # by service
-        self.index = PrefixCacheIndex(self.memory_of, self.observe_reading)
-        self.serials = itertools.count(1)
-        #: Tells the other routers of a prompt placed, read or ended; the process sets it.
-        self.tell: Callable[[list[Any]], None] = lambda _: None
-        self.stores: dict[str, StoreStatus] = {}  # what the core tells of stores, by name
-        self.versions = NamedVersions(self.told_versions, bounds.version_apply_ms / 1000)
-        self.shares = Shares(self.surge)
+        self.index = PrefixCacheIndex(self.cache_capacity_of, self.observe_reading)
+        self.placement_numbers = itertools.count(1)
+        #: Publishes to the other routers that a prompt was placed, read or done; set by the process.
+        self.publish_prompt_event: Callable[[list[Any]], None] = lambda _: None
+        self.stores: dict[str, StoreStatus] = {}  # by name, as the core reports them
+        self.versions = NamedVersions(self.named_versions, bounds.version_apply_ms / 1000)
+        self.shares = Shares(self.log_surge)
         self.version_gate = VersionGate(clock)
         self.rollout_evidence = RolloutEvidence()
         self.shortest_latency_targets: dict[str, float] = {}  # ms, by service
-        self.by_service: dict[str, list[Endpoint]] = {}
+        self.endpoints_by_service: dict[str, list[Endpoint]] = {}
         self.prefix_homes: dict[str, PrefixHomes] = {}  # by service
         # By endpoint id:
-        self.models: dict[str, dict[str, int]] = {}  # weights, as listed
+        self.models: dict[str, dict[str, int]] = {}  # versions of the weights, as listed
         self.loads: dict[str, Load] = {}
-        self.learned: dict[str, dict[str, int]] = {}  # {model: version} that its answers told
-        self.shunned: dict[str, float] = {}  # until when
-        self.gone: set[str] = set()  # those whose address answered for another incarnation
-        #: Set once a configuration and endpoints are known, for the first time in this process's life.
-        self.equipped = asyncio.Event()
+        self.reported_versions: dict[str, dict[str, int]] = {}  # {model: version}, from its answers
+        self.backoff_until: dict[str, float] = {}  # monotonic s
+        self.replaced: set[str] = set()  # those whose address is now used by another incarnation
+        #: Set as soon as a configuration and endpoints are known for the first time in this process.
+        self.initialized = asyncio.Event()
         self.started_at = clock()
-        self.next_late_report_at = 0.0  # steady s: no log line explains a late first piece before
-        self.told("configuration")
-        self.told("endpoints")
-        fleet.watchers.append(self.told)
+        self.next_late_report_at = 0.0  # monotonic s; no late first chunk is logged before
+        self.on_fleet_change("configuration")
+        self.on_fleet_change("endpoints")
+        fleet.watchers.append(self.on_fleet_change)
 
-    def told_versions(self) -> dict[str, int] | None:
+    def named_versions(self) -> dict[str, int] | None:
         """The named version of each model's weights; None while no configuration is known."""
         return self.fleet.state.weight_versions if self.fleet.state else None
 
-    def told(self, topic: str) -> None:
-        """The fleet's news."""
+    def on_fleet_change(self, topic: str) -> None:
+        """Updates the state after a change of the fleet."""
         if topic == "configuration":
-            self.told_configuration()
+            self.on_configuration()
         elif topic == "stores":
-            self.told_stores(self.fleet.stores)
+            self.on_stores(self.fleet.stores)
         elif topic == "endpoints":
-            self.told_endpoints(self.fleet.endpoints)
+            self.on_endpoints(self.fleet.endpoints)
         elif topic == "grants":
             self.version_gate.grant(self.fleet.grants)
-            self.set_usable()
-        if self.fleet.table is not None and self.fleet.endpoints and not self.equipped.is_set():
+            self.update_usable_endpoints()
+        if self.fleet.table is not None and self.fleet.endpoints and not self.initialized.is_set():
             log.info(logs.event("equipped", endpoints=len(self.fleet.endpoints)))
-            self.equipped.set()
+            self.initialized.set()
 
-    def told_configuration(self) -> None:
-        """Another configuration is in force."""
+    def on_configuration(self) -> None:
+        """Applies a new configuration."""
         table = self.fleet.table
         self.versions.look(self.clock())
         self.shares.set_reserved(table.reserved_shares if table else {})
         self.shortest_latency_targets = table.shortest_latency_targets() if table else {}
-        self.set_version_traffic()
-        self.set_usable()
+        self.update_version_traffic()
+        self.update_usable_endpoints()
 
-    def told_endpoints(self, listed: dict[str, Endpoint]) -> None:
-        """The endpoints have changed: what is known of those that are gone is forgotten."""
+    def on_endpoints(self, listed: dict[str, Endpoint]) -> None:
+        """Applies a changed list of endpoints and deletes the state of removed ones."""
         now = self.clock()
         self.index.set_endpoints(listed)
         for key, models in self.models.items():
             if key in listed and listed[key].models != models:
-                self.index.clear_endpoint(key)  # other weights: all that it kept is dropped
+                self.index.clear_endpoint(key)  # other weights: its cache was dropped
         self.models = {key: each.models for key, each in listed.items()}
-        self.by_service = {}
+        self.endpoints_by_service = {}
         for each in listed.values():
-            self.by_service.setdefault(each.service, []).append(each)
-        self.set_version_traffic()
-        self.set_usable()
-        self.pool.sweep(now, listed)
+            self.endpoints_by_service.setdefault(each.service, []).append(each)
+        self.update_version_traffic()
+        self.update_usable_endpoints()
+        self.pool.close_expired(now, listed)
         self.outcomes.age(listed, now)
-        self.gone &= listed.keys()
-        for known in (self.loads, self.learned, self.shunned):
+        self.replaced &= listed.keys()
+        for known in (self.loads, self.reported_versions, self.backoff_until):
             for key in [key for key in known if key not in listed]:
                 del known[key]
 
-    def set_version_traffic(self) -> None:
-        """Works out anew which versions of the services take requests."""
+    def update_version_traffic(self) -> None:
+        """Recomputes which versions of the services receive requests."""
         records = self.fleet.state.rollouts.records if self.fleet.state else {}
-        self.version_gate.update(self.by_service, records)
+        self.version_gate.update(self.endpoints_by_service, records)
         running = {name: each.target for name, each in records.items() if each.stage.running}
         self.rollout_evidence.retain(running)
 
-    def rollout_reports(self, whole: bool) -> dict[str, ServiceReport]:
-        """What this router has seen of the roll-outs under way, by service; `whole`: not only changes."""
+    def rollout_reports(self, full: bool) -> dict[str, ServiceReport]:
+        """This router's reports on running roll-outs, by service; `full`: not only changes."""
         reports: dict[str, ServiceReport] = {}
-        for service, endpoints in self.by_service.items():
+        for service, endpoints in self.endpoints_by_service.items():
             traffic = self.version_gate.traffic(service)
             if traffic is None or traffic.target is None:
                 continue
             others = [each.id for each in endpoints if each.version != traffic.target]
             running = sum(self.loads[key].running for key in others if key in self.loads)
-            tallies = tuple(AnswerTally(*each) for each in self.rollout_evidence.take_report(service, whole))
+            tallies = tuple(AnswerTally(*each) for each in self.rollout_evidence.take_report(service, full))
             reports[service] = ServiceReport(traffic.target, traffic.stage, running, tallies)
         return reports
 
-    def set_usable(self) -> None:
-        """PrefixHomes and shares reckon with the endpoints that take requests."""
+    def update_usable_endpoints(self) -> None:
+        """Updates prefix homes, shares and read rates to the endpoints that accept requests."""
         counts: dict[str, int] = {}
-        for service, endpoints in self.by_service.items():
+        for service, endpoints in self.endpoints_by_service.items():
             traffic = self.version_gate.traffic(service)
             homes = traffic.homes() if traffic else frozenset()
             usable = [
@@ -197,24 +197,26 @@
             counts[service] = len(usable)
         self.shares.set_endpoints(counts)
         self.prefix_homes = {
-            name: each for name, each in self.prefix_homes.items() if name in self.by_service
+            name: each for name, each in self.prefix_homes.items() if name in self.endpoints_by_service
         }
-        for service, endpoints in self.by_service.items():
+        for service, endpoints in self.endpoints_by_service.items():
             self.read_rates_of(service).retain(each.id for each in endpoints)
-        self.read_rates = {name: each for name, each in self.read_rates.items() if name in self.by_service}
+        self.read_rates = {
+            name: each for name, each in self.read_rates.items() if name in self.endpoints_by_service
+        }
 
     def read_rates_of(self, service: str) -> ServiceReadRates:
-        """How fast the service's endpoints read prompts."""
+        """Read rates of the service's endpoints."""
         return self.read_rates.get(service) or self.read_rates.setdefault(service, ServiceReadRates())
 
     def observe_reading(self, endpoint: str, tokens: float, ms: float) -> None:
-        """A prompt that found no other to be read at the endpoint had its first piece after this time."""
+        """Records the time to the first chunk of a prompt that had no other prompt to be read before it."""
         if listed := self.fleet.endpoints.get(endpoint):
             self.read_rates_of(listed.service).observe(endpoint, tokens, ms)
 
     def work_rates(self) -> dict[str, list[Any]]:
-        """This router's work by service, for its heartbeats: [short, long] in ms a second, and what tenants
-        ask for where shares are reserved."""
+        """This router's work by service, for its heartbeats: [short, long] in ms per second, and the tenants'
+        demand if shares are reserved."""
         now = self.clock()
         found: dict[str, list[Any]] = {}
         for name, each in self.prefix_homes.items():
@@ -223,36 +225,36 @@
                 found[name].append(demand)
         return found
 
-    def told_work(self, work: dict[str, list[Any]]) -> None:
-        """The whole fleet's."""
+    def on_fleet_work(self, work: dict[str, list[Any]]) -> None:
+        """Applies the whole fleet's work by service."""
         for name, (_, _, *demand) in work.items():
             if demand:
                 self.shares.take(self.clock(), name, demand[0])
 
-    def surge(self, service: str, on: bool, times: float) -> None:
-        """A service's surge has begun or is over; `times`: the demand in multiples of what it can do."""
+    def log_surge(self, service: str, on: bool, times: float) -> None:
+        """Logs the start or the end of a service's surge; `times`: demand as a multiple of its capacity."""
         log.info(logs.event("surge", service=service, on=on, demand=round(times, 2)))
 
-    def told_stores(self, stores: dict[str, StoreStatus]) -> None:
-        """By name: one that was down, or began anew, holds nothing any more."""
+    def on_stores(self, stores: dict[str, StoreStatus]) -> None:
+        """Applies the stores' states, by name. A store that went down or restarted has lost its contents."""
         for name, status in stores.items():
             known = self.stores.get(name)
             service = self.fleet.table.services.get(name) if self.fleet.table else None
-            began_anew = known is not None and (not status.up or status.epoch != known.epoch)
-            if began_anew and service and service.cache_store_address:
+            lost_contents = known is not None and (not status.up or status.epoch != known.epoch)
+            if lost_contents and service and service.cache_store_address:
                 self.index.store(address_text(service.cache_store_address)).clear()
         self.stores = stores
 
-    def memory_of(self, endpoint: str) -> float:
-        """Tokens of the endpoint's memory; 0 where that is not known."""
+    def cache_capacity_of(self, endpoint: str) -> float:
+        """The endpoint's cache capacity in tokens; 0 if it is unknown."""
         listed = self.fleet.endpoints.get(endpoint)
         table = self.fleet.table
         service = table.services.get(listed.service) if listed and table else None
         return service.cache_token_capacity if service else 0.0
 
-    def told_news(self, node: str, events: list[Any]) -> None:
-        """What another router tells of its prompts, or a registrar of the store at the address `node`. Raises
-        ValueError, TypeError for what is no news."""
+    def on_prompt_events(self, node: str, events: list[Any]) -> None:
+        """Applies another router's prompt events, or a registrar's events of the store at the address `node`.
+        Raises ValueError or TypeError for malformed events."""
         now = self.clock()
         for event in events:
             match news_from(event):
@@ -269,38 +271,39 @@
                 case Stored(epoch, changes):
                     self.index.store(node).changed(epoch, changes)
 
-    def may_know_revoked_keys(self) -> bool:
-        """Where revocation is closed, a router that has been out of touch for long takes no key any more."""
-        bounds, since = self.bounds, self.clock() - self.fleet.fresh_at
-        return bounds.revocation_closed and since > bounds.revocation_ms / 1000 * REVOCATION_SHARE
+    def may_accept_revoked_keys(self) -> bool:
+        """Whether this router may have missed the revocation of a key. With `RevocationClosed`, a router that
+        has been out of date for too long accepts no keys."""
+        bounds, stale_s = self.bounds, self.clock() - self.fleet.fresh_at
+        return bounds.revocation_closed and stale_s > bounds.revocation_ms / 1000 * REVOCATION_SHARE
 
     def load(self, key: str) -> Load:
         """This router's load on the endpoint with this id."""
         return self.loads.get(key) or self.loads.setdefault(key, Load())
 
     def version_at(self, endpoint: Endpoint, model: str) -> int | None:
-        """The newest version of the model's weights known to be at the endpoint."""
+        """The newest version of the model's weights that the endpoint is known to have."""
         listed = endpoint.models.get(model)
-        told = self.learned.get(endpoint.id, {}).get(model)
-        return max(listed or 0, told or 0) or None
-
-    def learn_version(self, endpoint: Endpoint, model: str, headers: Headers) -> None:
-        """Takes note of the version of the weights that an answer tells."""
-        told = value_of(headers, b"versions")
-        if model and told and told.isdigit() and len(told) < 10:
-            # Only what was named: an endpoint with a version taken for another one would be of no use.
+        reported = self.reported_versions.get(endpoint.id, {}).get(model)
+        return max(listed or 0, reported or 0) or None
+
+    def record_version(self, endpoint: Endpoint, model: str, headers: Headers) -> None:
+        """Records the version of the weights that an answer reports."""
+        reported = value_of(headers, b"versions")
+        if model and reported and reported.isdigit() and len(reported) < 10:
+            # Only up to the named version: an endpoint recorded with a wrong one could not be used.
             known = self.version_at(endpoint, model) or 0
-            if known < int(told) <= self.fleet.named_version(model):
-                self.learned.setdefault(endpoint.id, {})[model] = int(told)
+            if known < int(reported) <= self.fleet.named_version(model):
+                self.reported_versions.setdefault(endpoint.id, {})[model] = int(reported)
 
     def store_for(self, parts: list[PrefixBlock]) -> Service | None:
-        """The store that holds a prompt's shared parts: the same for all routers, of those that are up."""
+        """The store for a prompt's shared parts, of those that are up; all routers choose the same one."""
         stores = self.fleet.table.cache_stores
         up = [
             name
             for name, each in stores.items()
             if each.cache_store_address
-            and self.stores.get(name, UNTOLD_STORE).up
+            and self.stores.get(name, UNREPORTED_STORE).up
             and not self.outcomes.is_open(store_key(each.cache_store_address))
         ]
         if len(up) > 1:
--- a/plumline/router/selection.py
+++ b/plumline/router/selection.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint for one request: who may be sent it, and what each would cost."""
+"""Selects an endpoint for one request: which endpoints are eligible, and the expected cost of each."""
 
 import math
 from dataclasses import dataclass, field
@@ -17,35 +17,35 @@
 from plumline.routing.prefix_homes import AWAY_SHARE, SHORT_AWAY_SHARE
 from plumline.routing.read_rates import ServiceReadRates
 
-LEAST_CONNECTIONS = 2  # to an endpoint, however many routers share its limit
-SILENCE_SHARE = 0.8  # of the silence that a client bears, in which a first piece must be expected
-RESIDENT_SHARE = 0.8  # of an endpoint's memory that prompts may take before others go elsewhere
+MIN_CONNECTIONS_PER_ENDPOINT = 2  # allowed to each router, however many share the endpoint's limit
+SILENCE_LIMIT_SHARE = 0.8  # of the client's silence limit; the first chunk must be expected within it
+MEMORY_FILL_SHARE = 0.8  # of an endpoint's cache capacity; long prompts that exceed it go elsewhere
 
 
 @dataclass(slots=True)
 class EndpointChoice:
-    """An endpoint that may be sent the request, and what that would cost."""
+    """An eligible endpoint for the request, and the expected cost of sending it there."""
 
     endpoint: Endpoint
-    salt: Salt | None  # with its version; None: nothing may be shared
+    salt: Salt | None  # for its version of the weights; None: the cache may not be shared
     candidate: Candidate
 
 
 @dataclass(slots=True)
 class ChoiceContext:
-    """What holds for all endpoints during one choice."""
+    """Values common to all endpoints during one selection."""
 
     now: float
-    most_connections: int  # of this router to one endpoint
-    store: Service | None  # that keeps this prompt's shared parts
+    max_connections: int  # from this router to one endpoint
+    store: Service | None  # the cache store for this prompt's shared parts
     rates: ServiceReadRates
-    reading_ms: float  # of a usual long prompt of the service
+    reading_ms: float  # of a typical long prompt of the service
     salts: dict[int, Salt] = field(default_factory=dict)  # by version of the weights
     holders: dict[str, list[Holder]] = field(default_factory=dict)  # by salt
 
 
 class Selection:
-    """One for a request, asked before each of its sends: its progress says what has been tried."""
+    """Selects endpoints for one request, anew before each attempt; its progress records earlier attempts."""
 
     def __init__(self, router: RouterState, request: Request, progress: Progress) -> None:
         self.router, self.request, self.progress = router, request, progress
@@ -54,27 +54,29 @@
         self.shared_tokens = size_of(self.shared)
 
     def count_request(self, now: float) -> None:
-        """Tells the breakers of all endpoints that a request has come which could go to any of them; once for
-        each request, however often it is looked for an endpoint."""
+        """Reports one request to the circuit breakers of all endpoints that could receive it. Called once per
+        request, however often an endpoint is selected for it."""
         traffic = self.router.version_gate.traffic(self.request.service)
         usable = traffic.in_use() if traffic else frozenset()
         self.router.outcomes.asked(usable, max(len(usable), 1), now)
 
-    def pick(self, now: float) -> tuple[EndpointChoice | None, float]:
-        """The endpoint to send to; if there is none, s until one may be ready (infinite: not by waiting)."""
+    def select_endpoint(self, now: float) -> tuple[EndpointChoice | None, float]:
+        """The endpoint to send to. If there is none: seconds until one may be ready, infinite if waiting does
+        not help."""
         picked, wait = None, math.inf
         for allowed in self.allowed_endpoints():
-            picked, ready = self.pick_among(allowed, now)
+            picked, ready_s = self.select_among(allowed, now)
             if picked is not None:
                 return picked, 0.0
-            wait = min(wait, ready)
+            wait = min(wait, ready_s)
         return None, wait
 
     def allowed_endpoints(self) -> list[frozenset[str]]:
         """The ids of the endpoints that the request may be sent to: one set, or two of which the second is
-        used only if none of the first can be.
+        used only if no endpoint of the first is available.
 
-        A request is drawn once for the version on trial; one that was sent already goes to those in service.
+        Each request is assigned to the version on trial by one random draw. A retry goes to the versions in
+        service.
         """
         traffic = self.router.version_gate.traffic(self.request.service)
         if traffic is None:
@@ -84,67 +86,70 @@
                 [traffic.trial] if traffic.stage is RolloutStage.HOLDING else [traffic.trial, traffic.serving]
             )
         if self.progress.trial_draw is None:
-            self.progress.trial_draw = self.router.chance.random() if traffic.share else None
+            self.progress.trial_draw = self.router.rng.random() if traffic.share else None
         draw = self.progress.trial_draw
         if draw is None or draw >= traffic.share or self.progress.attempts:
             return [traffic.serving]
         return [traffic.trial, traffic.serving]
 
-    def pick_among(self, allowed: frozenset[str], now: float) -> tuple[EndpointChoice | None, float]:
-        """The best of these endpoints; if none can be sent the request, s until one may be ready."""
+    def select_among(self, allowed: frozenset[str], now: float) -> tuple[EndpointChoice | None, float]:
+        """The best of these endpoints. If none is available: seconds until one may be ready."""
         router = self.router
-        listed = router.by_service.get(self.request.service, ())
+        listed = router.endpoints_by_service.get(self.request.service, ())
         endpoints = [each for each in listed if each.id in allowed]
         router.index.age(now)
-        look = self.look(now)
+        context = self.build_context(now)
         wait = math.inf
-        found: dict[str, EndpointChoice] = {}
+        choices: dict[str, EndpointChoice] = {}
         for endpoint in endpoints:
-            if (ready := self.ready_in(endpoint, look)) > 0:
-                wait = min(wait, ready)
+            if (ready_s := self.ready_in(endpoint, context)) > 0:
+                wait = min(wait, ready_s)
             elif not self.memory_is_full(endpoint):
-                salt = self.salt_at(endpoint, look)
-                found[endpoint.id] = EndpointChoice(endpoint, salt, self.candidate(endpoint, salt, look))
-        candidates = [each.candidate for each in found.values()]
-        self.add_away_costs(candidates, look)
-        best = choose(candidates, router.chance)
+                salt = self.salt_at(endpoint, context)
+                choices[endpoint.id] = EndpointChoice(endpoint, salt, self.candidate(endpoint, salt, context))
+        candidates = [each.candidate for each in choices.values()]
+        self.add_away_costs(candidates, context)
+        best = choose(candidates, router.rng)
         if best is None:
             return None, wait
         if self.is_over_share(best):
             return None, math.inf
         if self.is_too_late(best, now):
             return None, wait
-        return found[best.id], 0.0
+        return choices[best.id], 0.0
 
-    def look(self, now: float) -> ChoiceContext:
-        """What this choice needs to know once."""
+    def build_context(self, now: float) -> ChoiceContext:
+        """Computes the values common to all endpoints for one selection."""
         router, parts = self.router, self.request.prompt.parts
-        most = LEAST_CONNECTIONS
+        max_connections = MIN_CONNECTIONS_PER_ENDPOINT
         if self.service:
-            most = max(self.service.connection_limit // max(router.fleet.routers, 1), most)
+            max_connections = max(
+                self.service.connection_limit // max(router.fleet.routers, 1), max_connections
+            )
         store = router.store_for(parts) if parts else None
         rates = router.read_rates_of(self.request.service)
-        return ChoiceContext(now, most, store, rates, rates.typical_reading_ms())
+        return ChoiceContext(now, max_connections, store, rates, rates.typical_reading_ms())
 
-    # Who may be sent it.
+    # Eligibility.
 
-    def ready_in(self, endpoint: Endpoint, look: ChoiceContext) -> float:
-        """S until the endpoint may be sent the request; 0: now, infinite: not by waiting."""
+    def ready_in(self, endpoint: Endpoint, context: ChoiceContext) -> float:
+        """Seconds until the endpoint may be sent the request; 0: now, infinite: waiting does not help."""
         router, key, model = self.router, endpoint.id, self.request.prompt.model
-        if endpoint.draining or endpoint.moving or key in self.progress.attempted or key in router.gone:
+        if endpoint.draining or endpoint.moving or key in self.progress.attempted or key in router.replaced:
             return math.inf
-        if (shunned_until := router.shunned.get(key, 0.0)) > look.now:
-            return shunned_until - look.now
+        if (shunned_until := router.backoff_until.get(key, 0.0)) > context.now:
+            return shunned_until - context.now
         if model:
             version = router.version_at(endpoint, model) or 1
-            if not router.versions.usable(model, version, look.now):
+            if not router.versions.usable(model, version, context.now):
                 return math.inf
-        if (ready := router.outcomes.ready_in(key, look.now)) > 0:
-            return ready
-        return 0.0 if router.pool.room(key, look.most_connections, look.now) else math.inf
+        if (ready_s := router.outcomes.ready_in(key, context.now)) > 0:
+            return ready_s
+        return 0.0 if router.pool.has_capacity(key, context.max_connections, context.now) else math.inf
 
     def memory_is_full(self, endpoint: Endpoint) -> bool:
-        """Whether a long prompt finds no room beside those that the endpoint has; an idle one takes any."""
+        """Whether a long prompt does not fit beside the prompts in the endpoint's memory. An endpoint without
+        any accepts every prompt."""
         prompt = self.request.prompt
         if not MECHANISMS.memory_limit or not prompt.long:
             return False
@@ -152,67 +157,69 @@
             return False
         occupied = self.router.index.occupied(endpoint.id)
         full = (
-            bool(occupied) and prompt.tokens > self.service.cache_token_capacity * RESIDENT_SHARE - occupied
+            bool(occupied)
+            and prompt.tokens > self.service.cache_token_capacity * MEMORY_FILL_SHARE - occupied
         )
         if full:
             self.router.counters.add("request-memory-full")
         return full
 
-    def salt_at(self, endpoint: Endpoint, look: ChoiceContext) -> Salt | None:
-        """The salt for the version of the weights there; None where that is not known."""
+    def salt_at(self, endpoint: Endpoint, context: ChoiceContext) -> Salt | None:
+        """The salt for the endpoint's version of the weights; None if the version is unknown."""
         version = self.version_at(endpoint)
         if version is None:
             return None
-        salt = look.salts.get(version)
+        salt = context.salts.get(version)
         if salt is None:
-            salt = look.salts[version] = self.salt_of(version)
+            salt = context.salts[version] = self.salt_of(version)
         return salt
 
-    def is_in_force(self, salt: Salt, endpoint: Endpoint) -> bool:
-        """Whether the salt, of an earlier choice, is still the one for this endpoint."""
+    def is_salt_valid(self, salt: Salt, endpoint: Endpoint) -> bool:
+        """Whether a salt from an earlier selection is still valid for this endpoint."""
         version = self.version_at(endpoint)
         return version is not None and salt == self.salt_of(version)
 
     def version_at(self, endpoint: Endpoint) -> int | None:
-        """The version there of the weights that the request is for; None where that is not known."""
+        """The endpoint's version of the weights that the request asks for; None if it is unknown."""
         model = self.request.prompt.model
         return self.router.version_at(endpoint, model) if model else None
 
     def salt_of(self, version: int) -> Salt:
-        """The salt for this version of the weights, by the configuration in force now: the request may have
-        been admitted by an earlier one."""
+        """The salt for this version of the weights under the current configuration; the request may have been
+        admitted under an earlier one."""
         fleet = self.router.fleet
         generation = fleet.state.shared_cache_generation if fleet.state else 0
         return salt_for(version, generation, cache_owner_of(self.request.tenant, fleet.table))
 
-    # What each would cost.
+    # Cost estimates.
 
-    def candidate(self, endpoint: Endpoint, salt: Salt | None, look: ChoiceContext) -> Candidate:
-        """The endpoint as this request sees it, but for what it costs to be away from its home."""
+    def candidate(self, endpoint: Endpoint, salt: Salt | None, context: ChoiceContext) -> Candidate:
+        """The endpoint's scoring input for this request, without the cost of leaving the prompt's home, which
+        `add_away_costs` sets."""
         router, prompt = self.router, self.request.prompt
         load = router.load(endpoint.id)
-        read_rate = look.rates.of(endpoint.id)
-        kept = self.kept_at(endpoint, salt, look.now)
-        fetch = self.fetch_to(endpoint, salt, kept, read_rate, look)
+        read_rate = context.rates.of(endpoint.id)
+        cached = self.cached_tokens_at(endpoint, salt, context.now)
+        fetch = self.best_fetch_to(endpoint, salt, cached, read_rate, context)
         return Candidate(
             id=endpoint.id,
             unread=load.unread + router.index.backlog(endpoint.id),
             running=load.running,
             slots=endpoint.slots,
-            missing=max(prompt.tokens - kept, 0),
+            missing=max(prompt.tokens - cached, 0),
             movable=fetch.tokens if fetch else 0.0,
             moved_ms=fetch.ms if fetch else 0.0,
-            excess_ms=load.excess(look.now),
+            excess_ms=load.excess(context.now),
             same_zone=endpoint.zone == router.zone,
-            connected=router.pool.has_idle(endpoint.id, look.now),
+            connected=router.pool.has_idle(endpoint.id, context.now),
             read_rate=read_rate,
-            reading_ms=look.reading_ms,
+            reading_ms=context.reading_ms,
             source=fetch.source if fetch else None,
-            again=self.read_again(salt, kept + (fetch.tokens if fetch else 0)),
+            again=self.tokens_read_again(salt, cached + (fetch.tokens if fetch else 0)),
         )
 
-    def kept_at(self, endpoint: Endpoint, salt: Salt | None, now: float) -> int:
-        """Tokens at the prompt's start that the endpoint likely keeps, or is reading already."""
+    def cached_tokens_at(self, endpoint: Endpoint, salt: Salt | None, now: float) -> int:
+        """Tokens at the prompt's start that the endpoint has probably cached, or is already reading."""
         router, prompt = self.router, self.request.prompt
         if salt is None or not prompt.parts:
             return 0
@@ -220,107 +227,113 @@
             return router.index.coming(endpoint.id, salt.text, prompt.parts)
         return router.affinity.kept(salt.text, prompt.parts, endpoint.id, now)
 
-    def fetch_to(
-        self, endpoint: Endpoint, salt: Salt | None, kept: int, read_rate: float, look: ChoiceContext
+    def best_fetch_to(
+        self, endpoint: Endpoint, salt: Salt | None, cached: int, read_rate: float, context: ChoiceContext
     ) -> Fetch | None:
-        """The best move of shared parts to the endpoint; None where none is faster than to read them."""
+        """The best transfer of shared parts to the endpoint; None if reading them is faster."""
         service = self.service
         if not MECHANISMS.prefix_fetch:
             return None
-        if salt is None or service is None or not may_gain(self.shared_tokens - kept, read_rate):
+        if salt is None or service is None or not may_gain(self.shared_tokens - cached, read_rate):
             return None
         return best_fetch(
-            self.holders_of(salt, service, look),
+            self.known_holders(salt, service, context),
             endpoint.address,
             endpoint.zone,
-            kept,
+            cached,
             service.cache_token_bytes,
             service.link_speed_mbps,
             read_rate,
             self.router.regions,
         )
 
-    def read_again(self, salt: Salt | None, spared: float) -> float:
-        """Tokens of shared parts that would be read though somebody has read them."""
+    def tokens_read_again(self, salt: Salt | None, spared: float) -> float:
+        """Tokens of shared parts that would be read although they have been read before."""
         if salt is None or not self.request.prompt.long:
             return 0.0
         return max(self.router.index.read_before(salt.text, self.shared) - spared, 0.0)
 
-    def holders_of(self, salt: Salt, service: Service, look: ChoiceContext) -> list[Holder]:
-        """Who is known to hold a beginning of this prompt's shared parts: endpoints and the store."""
-        if (found := look.holders.get(salt.text)) is not None:
-            return found
-        found = look.holders[salt.text] = []
+    def known_holders(self, salt: Salt, service: Service, context: ChoiceContext) -> list[Holder]:
+        """The endpoints and the cache store known to hold a prefix of this prompt's shared parts."""
+        if (holders := context.holders.get(salt.text)) is not None:
+            return holders
+        holders = context.holders[salt.text] = []
         if self.request.prompt.long:
-            for each in self.router.by_service.get(self.request.service, ()):
+            for each in self.router.endpoints_by_service.get(self.request.service, ()):
                 if held := self.router.index.kept(each.id, salt.text, self.shared):
-                    found.append(Holder(each.address, each.zone, held, service.link_speed_mbps))
-        store = look.store
-        if store and store.cache_store_address and (held := self.held_by(store.cache_store_address, salt)):
-            found.append(
+                    holders.append(Holder(each.address, each.zone, held, service.link_speed_mbps))
+        store = context.store
+        if (
+            store
+            and store.cache_store_address
+            and (held := self.tokens_in_store(store.cache_store_address, salt))
+        ):
+            holders.append(
                 Holder(store.cache_store_address, store.cache_store_zone, held, store.link_speed_mbps)
             )
-        return found
+        return holders
 
-    def held_by(self, store: Address, salt: Salt) -> int:
-        """Tokens at the prompt's start that the store holds; of short ones nobody tells."""
+    def tokens_in_store(self, store: Address, salt: Salt) -> int:
+        """Tokens at the prompt's start that the store holds. It reports only those of long prompts; for short
+        ones, prompts sent before stand in."""
         if self.request.prompt.long:
             return self.router.index.store(address_text(store)).held(salt.text, self.shared)
         return self.router.affinity.seen(salt.text, self.shared)
 
-    def add_away_costs(self, candidates: list[Candidate], look: ChoiceContext) -> None:
-        """What it costs to send the request elsewhere than to the home of its shared parts."""
+    def add_away_costs(self, candidates: list[Candidate], context: ChoiceContext) -> None:
+        """Adds the cost of sending the request to an endpoint other than the home of its shared parts."""
         prompt = self.request.prompt
         homes = self.router.prefix_homes.get(self.request.service)
         home = homes.home(prompt.parts) if homes and prompt.model else None
         if home is None:
             return
-        away_ms = look.reading_ms * (AWAY_SHARE if prompt.long else SHORT_AWAY_SHARE)
+        away_ms = context.reading_ms * (AWAY_SHARE if prompt.long else SHORT_AWAY_SHARE)
         for each in candidates:
             each.away_ms = away_ms if each.id != home else 0.0
 
-    # Whether it is worth sending, and now.
+    # Whether to send the request now.
 
-    def awaits_reading(self, picked: EndpointChoice) -> bool:
-        """Whether the endpoint would read shared parts that are being read just now, there or elsewhere.
+    def should_wait_for_reading(self, picked: EndpointChoice) -> bool:
+        """Whether the endpoint would read shared parts that it or another endpoint is currently reading.
 
-        An endpoint that is sent two prompts with one shared part while it keeps that part for neither reads
-        it for both. Once the first has been read the part is found there, or can be moved.
+        An endpoint that receives two prompts with the same uncached shared part reads that part twice. Once
+        the first prompt has been read, the part is cached there or can be transferred.
         """
         prompt, salt, index = self.request.prompt, picked.salt, self.router.index
         if not MECHANISMS.reading_waits or not prompt.long or salt is None or not self.shared:
             return False
         if not index.is_being_read(salt.text, self.shared[-1]):
             return False
-        found = index.kept(picked.endpoint.id, salt.text, self.shared) + picked.candidate.movable
-        return self.shared_tokens - found >= TRACKED_TOKENS
+        available = index.kept(picked.endpoint.id, salt.text, self.shared) + picked.candidate.movable
+        return self.shared_tokens - available >= TRACKED_TOKENS
 
     def is_over_share(self, best: Candidate) -> bool:
-        """Whether its tenant is over its share in a surge and it would be late even where it costs least."""
+        """Whether the tenant exceeds its share in a surge, and the request would miss its latency target even
+        at the cheapest endpoint."""
         request = self.request
-        over = (
+        rejected = (
             request.standing.over
             and expected_ms(best) > request.route.latency_target_ms
             and not self.progress.attempts
         )
-        if over:
+        if rejected:
             self.progress.quota_exceeded = True
-        return over
+        return rejected
 
     def is_too_late(self, best: Candidate, now: float) -> bool:
-        """Whether a long prompt would be given up before its first piece: its reading is spared, and it may
-        come back."""
+        """Whether the client of a long prompt would give up before the first chunk. The request is refused
+        then, with a `Retry-After`, instead of being read in vain."""
         if not self.request.prompt.long or not MECHANISMS.shedding:
             return False
-        late_ms = expected_ms(best) - self.patience_ms(now)
+        late_ms = expected_ms(best) - self.first_chunk_timeout_ms(now)
         if late_ms <= 0:
             return False
         self.router.counters.add("request-shed")
         self.progress.retry_after_s = min(max(late_ms / 1000, RETRY_AFTER_RANGE_S[0]), RETRY_AFTER_RANGE_S[1])
         return True
 
-    def patience_ms(self, now: float) -> float:
-        """How long the client waits for the first piece: PROTOCOL's bound on silence, or what is left."""
+    def first_chunk_timeout_ms(self, now: float) -> float:
+        """How long the client waits for the first chunk: PROTOCOL's limit on silence, or its deadline."""
         route = self.request.route
-        silence = max(2000.0, 4 * route.latency_target_ms, 8 * route.gap_target_ms)
-        return min(silence * SILENCE_SHARE, (self.request.until - now) * 1000)
+        silence_limit_ms = max(2000.0, 4 * route.latency_target_ms, 8 * route.gap_target_ms)
+        return min(silence_limit_ms * SILENCE_LIMIT_SHARE, (self.request.deadline - now) * 1000)
--- a/plumline/router/subscriber.py
+++ b/plumline/router/subscriber.py
@@ -1,12 +1,12 @@
 """Subscribes to the configuration feed of two registrars at a time, and keeps `Fleet` up to date from it.
 
-A rendezvous hash of this router's name over the registrars chooses the two, in two zones where it can. They
-also receive this router's heartbeats. A source that times out, or says for long that it is not current, is
-replaced by the next one in the order.
+A rendezvous hash of this router's name over the registrars selects the two, in different zones if possible.
+Both also receive this router's heartbeats. A source that times out, or reports for too long that it is not
+current, is replaced by the next one in the order.
 
-One of the two is the primary: it sends the entries. The other one's heartbeats tell how far the core is, and
-it becomes the primary where that one lags. Entries are applied by number, so a router never goes back to an
-older configuration while it runs.
+One of the two is the primary, which sends the entries. The other one's heartbeats report the core's newest
+entry; it becomes the primary if the primary lags. Entries are applied in order of their index, so a running
+router never reverts to an older configuration.
 """
 
 import asyncio
@@ -32,16 +32,16 @@
 from plumline.wire.frames import hello
 
 SOURCE_COUNT = 2
-RECONCILE_INTERVAL_S = 0.2  # s between looks at the sources
-CONNECT_TIMEOUT_S = 0.4  # s for a connection to come up
+RECONCILE_INTERVAL_S = 0.2
+CONNECT_TIMEOUT_S = 0.4  # for opening a connection and receiving the hello
 HELLO_POLL_S = CONNECT_TIMEOUT_S / 8
-SILENCE_TIMEOUT_S = 1.2  # s without a frame after which a source is replaced: three heartbeats
-LAG_TIMEOUT_S = 0.5  # s for a reported entry, or a chunk of it, to arrive: a little over a heartbeat
-STALE_TIMEOUT_S = 1.0  # s that a source may say that it is not current
-BACKOFF_S = 2.0  # s for which a replaced source is not tried while there are others
-WHOLE_REPORT_INTERVAL_S = 1.5  # s between reports of all that was seen of a roll-out
-LIFE_BITS = 48  # of the number that tells one life of the process from another
-RECONNECT_BACKOFF_S = BACKOFF_S / 4  # s after a connection that ended or did not come up
+SILENCE_TIMEOUT_S = 1.2  # without a frame, after which a source is replaced: three heartbeats
+LAG_TIMEOUT_S = 0.5  # for a reported entry, or a chunk of it, to arrive: slightly over one heartbeat
+STALE_TIMEOUT_S = 1.0  # for which a source may report that it is not current
+BACKOFF_S = 2.0  # for which a replaced source is not tried while there are others
+FULL_REPORT_INTERVAL_S = 1.5  # between full reports on a roll-out
+INCARNATION_BITS = 48  # of the random number that identifies one run of the process
+RECONNECT_BACKOFF_S = BACKOFF_S / 4  # after a connection that ended or could not be opened
 
 LoadReports = dict[str, list[Any]]  # by service, see plumline.registrar.service_load
 
@@ -49,7 +49,7 @@
 
 
 class FeedSubscriber:
-    """A router's side of the feed. Its owner runs `run`, and sets the callbacks before."""
+    """A router's side of the feed. The owner sets the callbacks, then runs `run`."""
 
     def __init__(
         self,
@@ -58,26 +58,26 @@
         counters: Counters,
         settings_file: SettingsFile | None = None,
     ) -> None:
-        """`settings_file` is polled for other seeds."""
+        """`settings_file` is polled for changed seeds."""
         self.settings_file = settings_file or SettingsFile(None)
         self.settings, self.fleet, self.counters = settings, fleet, counters
         self.loop = asyncio.get_running_loop()
         self.seeds = settings.seeds
-        self.registrars: dict[str, str] = {}  # zone by address, as the newest heartbeat reports
+        self.registrars: dict[str, str] = {}  # zone by address, from the newest heartbeat
         self.soft_state = SoftState()
         self.sources: dict[str, FeedSource] = {}  # by address
         self.primary: FeedSource | None = None  # sends entries, and carries prompt events both ways
         self.backoff_until: dict[str, float] = {}  # by address
         self.lag = FeedLag()
-        self.state = ReplicatedConfiguration()  # the newest that has arrived
-        self.applied_index = 0  # number of its newest entry
-        #: What this router has seen of the roll-outs under way, by service; True: all of it.
-        self.rollout_reports: Callable[[bool], dict[str, ServiceReport]] = lambda whole: {}
-        self._life = random.getrandbits(LIFE_BITS)
-        self._reported_to: FeedSource | None = None  # got the last report of a roll-out
-        self._whole_report_at = 0.0  # steady s
+        self.state = ReplicatedConfiguration()  # the newest received
+        self.applied_index = 0  # index of its newest entry
+        #: Returns this router's reports on running roll-outs, by service; True: full reports.
+        self.rollout_reports: Callable[[bool], dict[str, ServiceReport]] = lambda full: {}
+        self._incarnation = random.getrandbits(INCARNATION_BITS)
+        self._reported_to: FeedSource | None = None  # received the last roll-out report
+        self._next_full_report_at = 0.0  # monotonic s
         self._reported: dict[str, ServiceReport] = {}  # the last report, without its tallies
-        #: Called with the router, or the address of the cache store, that events are about.
+        #: Called with the name of the router, or the address of the cache store, that the events concern.
         self.on_prompt_events: Callable[[str, list[Any]], None] = lambda origin, events: None
         self.local_loads: Callable[[], LoadReports] = dict  # this router's, for its heartbeats
         self.on_fleet_loads: Callable[[LoadReports], None] = lambda loads: None
@@ -85,10 +85,10 @@
         port = settings.internal_ports[0]
         self._greeting = hello(settings.node_name, "router", f"{settings.ip_address}:{port}", settings.zone)
 
-    # Which registrars to subscribe to.
+    # Selection of the registrars to subscribe to.
 
     def reconcile_sources(self, now: float) -> None:
-        """Replaces sources that failed, connects to those that should be, and chooses the primary."""
+        """Replaces failed sources, connects to the desired ones, and chooses the primary."""
         self._remove_failed_sources(now)
         desired = self._candidates(now)[:SOURCE_COUNT]
         for address in desired:
@@ -100,7 +100,7 @@
         self._choose_primary(now)
 
     def _candidates(self, now: float) -> list[str]:
-        """All addresses, best first: the known registrars, or the seeds before any are known."""
+        """All addresses in order of preference: the known registrars, or the seeds before any are known."""
         known = dict(self.registrars) or {seed: "" for seed in self.seeds}
         candidates = [Candidate(address, zone) for address, zone in known.items()]
         order = choose_across_zones(self.settings.node_name, candidates, len(known))
@@ -123,7 +123,7 @@
                 del self.sources[address]
 
     def _close_surplus_sources(self, desired: list[str]) -> None:
-        """A source that is no longer desired stays until those that are have become current."""
+        """Closes sources that are no longer desired, once the desired ones are current."""
         current = self._current_sources()
         for address, source in list(self.sources.items()):
             if address in desired:
@@ -136,14 +136,14 @@
         return [source for source in self.sources.values() if source.is_current and source.link is not None]
 
     def _update_freshness(self, now: float) -> None:
-        """The router's configuration counts as the newest if a source is current and none reports more."""
+        """The configuration counts as fresh if a source is current and no reported entry is overdue."""
         self.fleet.fresh = bool(self._current_sources()) and self.lag.duration_s(now) <= LAG_TIMEOUT_S
         if self.fleet.fresh:
             self.fleet.fresh_at = now
 
-    def _replace_source(self, source: FeedSource, now: float, why: str) -> None:
-        self.counters.add(f"feed.left.{why}")
-        log.info(logs.event("source-left", address=source.address, why=why))
+    def _replace_source(self, source: FeedSource, now: float, reason: str) -> None:
+        self.counters.add(f"feed.left.{reason}")
+        log.info(logs.event("source-left", address=source.address, why=reason))
         self.backoff_until[source.address] = now + BACKOFF_S
         self._close_source(source)
 
@@ -175,20 +175,20 @@
             self._subscribe_as_primary(chosen, now)
 
     def _primary_lags(self, now: float) -> bool:
-        """Whether entries are missing, and the primary has sent nothing for long."""
+        """Whether entries are missing and the primary has made no progress for `LAG_TIMEOUT_S`."""
         if self.primary is None or self.lag.began_at is None:
             return False
         return now - max(self.lag.began_at, self.primary.last_progress_at()) > LAG_TIMEOUT_S
 
     def _nearest(self, sources: list[FeedSource]) -> FeedSource | None:
-        """The first in this router's own zone, else the first."""
+        """The first source in this router's zone, else the first one."""
         same_zone = [
             source for source in sources if self.registrars.get(source.address) == self.settings.zone
         ]
         return next(iter(same_zone or sources), None)
 
     def _subscribe_as_primary(self, source: FeedSource, now: float) -> None:
-        """Asks for all entries after the newest that is here."""
+        """Requests all entries after the newest applied one."""
         source.last_feed_at = now
         if source.link is not None:
             source.link.send(["follow", self.applied_index])
@@ -197,8 +197,8 @@
     # Prompt events of this router.
 
     def publish_prompt_event(self, event: list[Any]) -> None:
-        """Sends the event to the other routers: a prompt that is placed at once, as choices depend on it;
-        others together with all of this turn of the loop."""
+        """Sends the event to the other routers. The placement of a prompt is sent at once, as other routers'
+        choices depend on it; other events are batched per turn of the event loop."""
         self._unsent_prompt_events.append(event)
         if event[0] == PLACED_KIND:
             self._send_prompt_events()
@@ -226,7 +226,7 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self.loop.create_connection(lambda: link, host, int(port))
-                # A registrar says hello at once; otherwise something else has the port now.
+                # A registrar sends its hello at once; without one, another process uses the port now.
                 while link.peer is None and not link.down:
                     await asyncio.sleep(HELLO_POLL_S)
         except (OSError, TimeoutError):
@@ -255,7 +255,7 @@
     # Messages of registrars.
 
     def _on_message(self, link: FrameLink, message: list[Any]) -> None:
-        """Dispatches a message. Raises FrameError for one that can't be applied: the link ends with it."""
+        """Dispatches a message. Raises FrameError, which ends the link, if it cannot be applied."""
         source = self._source_of(link)
         if source is None:
             return
@@ -302,9 +302,10 @@
             source.link.send(["follow", self.applied_index])
 
     def _apply(self, index: int, state: ReplicatedConfiguration, change: list[Any] | None = None) -> None:
-        """Takes on the state after the entry `index`; `change`: what led to it from the present one.
+        """Applies the state after the entry `index`; `change`: what leads to it from the present one;
+        None for a snapshot.
 
-        A router that starts shows no state to its requests before it has all entries that the first heartbeat
+        A starting router exposes no state to its requests before it has all entries that the first heartbeat
         reported.
         """
         previous, self.state, self.applied_index = self.state, state, index
@@ -318,12 +319,12 @@
             log.info(
                 logs.event("configuration", version=state.version, place=index, routes=table.route_count)
             )
-        # Both at once: requests put together what they take from the state and from its table.
+        # Set together, as requests combine values from the state and from its table.
         self.fleet.state, self.fleet.table, self.fleet.place = state, table, index
         self.fleet.tell("configuration")
 
     def _route_table(self, document: Document, change: list[Any] | None) -> RouteTable:
-        """The document's table; after an amendment only what it changed is built anew."""
+        """Builds the document's route table; after an amendment only its changes are rebuilt."""
         table: RouteTable | None = self.fleet.table
         if table is not None and change is not None and change[0] == "amend":
             return table.with_amendment(document, change[2])
@@ -349,25 +350,25 @@
                 source.link.send(["heartbeat", self.applied_index, self.local_loads()])
 
     def _report_rollouts(self, now: float) -> None:
-        """Reports to the primary what requests have shown of the versions on trial, if any is."""
+        """Sends the primary this router's observations of the versions on trial, if there are any."""
         primary = self.primary
         if primary is None or primary.link is None:
             return
-        whole = primary is not self._reported_to or now >= self._whole_report_at
-        reports = self.rollout_reports(whole)
+        full = primary is not self._reported_to or now >= self._next_full_report_at
+        reports = self.rollout_reports(full)
         without_tallies = {name: each._replace(tallies=()) for name, each in reports.items()}
-        if not whole and reports == without_tallies == self._reported:
+        if not full and reports == without_tallies == self._reported:
             return
         self._reported = without_tallies
         if not reports:
             return
-        if whole:
-            self._reported_to, self._whole_report_at = primary, now + WHOLE_REPORT_INTERVAL_S
-        report = RolloutReport(self.settings.node_name, self._life, reports)
+        if full:
+            self._reported_to, self._next_full_report_at = primary, now + FULL_REPORT_INTERVAL_S
+        report = RolloutReport(self.settings.node_name, self._incarnation, reports)
         primary.link.send(report.to_wire())
 
     async def run(self) -> None:
-        """Until cancelled."""
+        """Runs until cancelled."""
         next_heartbeat_at = 0.0
         while True:
             now = self.loop.time()
--- a/plumline/router/upstream.py
+++ b/plumline/router/upstream.py
@@ -1,8 +1,8 @@
-"""The calling side of one HTTP/1.1 connection to an endpoint: h11 on an asyncio transport.
+"""The client side of HTTP/1.1 connections to endpoints: h11 on an asyncio transport, and the connection pool.
 
-A connection never sends anything twice by itself, never serves another incarnation than the one that it was
-opened for, and notices the peer's end at once, also while it is idle. An answer without a length ends with a
-connection that is closed; where that is reset, the answer is not complete.
+A connection never resends anything by itself, is used only for the incarnation that it was opened for, and
+notices at once when the peer ends it, also while idle. An answer without a length is complete when the
+connection is closed, and incomplete when it is reset.
 """
 
 import asyncio
@@ -16,27 +16,27 @@
 Address = tuple[str, int]
 Headers = list[tuple[bytes, bytes]]
 
-HEAD_LIMIT = 64 * 1024  # bytes of an answer's head, and of any one incomplete event
-READ_AHEAD = 256 * 1024  # bytes that may wait unread before the endpoint is held up
-TOLD_MARGIN = 1.0  # s by which a connection is let go before the endpoint's told idle time is over
-ANSWER_OVER = (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)  # states of the endpoint's side
-UNTOLD_IDLE = 4.0  # s a connection is kept where the endpoint tells no time
+MAX_HEAD_BYTES = 64 * 1024  # of an answer's head, and of any incomplete h11 event
+READ_AHEAD_BYTES = 256 * 1024  # unread bytes above which reading from the endpoint pauses
+KEEP_ALIVE_MARGIN_S = 1.0  # a connection is dropped this long before the endpoint's keep-alive timeout
+ANSWER_ENDED_STATES = (h11.DONE, h11.MUST_CLOSE, h11.CLOSED)  # of the endpoint's side
+DEFAULT_IDLE_S = 4.0  # for which a connection is kept if the endpoint sends no keep-alive timeout
 
 
 class UpstreamError(PlumlineError):
-    """The connection ended or its bytes are no answer; what was sent on it may have run."""
+    """The connection ended or the answer is malformed; a request sent on it may have run."""
 
     code, status = "upstream-broken", 502
 
 
 class UpstreamUnsentError(UpstreamError):
-    """The connection was over before a byte of the request was written: it has surely not run."""
+    """The connection ended before a byte of the request was written: the request has not run."""
 
     code, status = "upstream-unsent", 503
 
 
 class UpstreamConnectError(UpstreamUnsentError):
-    """No connection came up."""
+    """No connection could be opened."""
 
     code, status = "upstream-connect", 503
 
@@ -46,57 +46,57 @@
     for name, value in headers:
         if name == b"keep-alive":
             for part in value.split(b","):
-                key, _, told = part.strip().partition(b"=")
-                if key.strip().lower() == b"timeout" and told.strip().isdigit():
-                    return max(float(told[:9]) - TOLD_MARGIN, 0.0)
-    return UNTOLD_IDLE
+                key, _, timeout = part.strip().partition(b"=")
+                if key.strip().lower() == b"timeout" and timeout.strip().isdigit():
+                    return max(float(timeout[:9]) - KEEP_ALIVE_MARGIN_S, 0.0)
+    return DEFAULT_IDLE_S
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One request at a time. `kept_until` is in steady seconds and set by the pool."""
+    """A connection that carries one request at a time."""
 
     def __init__(self) -> None:
-        self.codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT)
+        self.codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.transport: asyncio.Transport | None = None
         self.waiter: asyncio.Future[None] | None = None
-        self.busy = False  # a request is out whose answer hasn't been read to its end
+        self.busy = False  # a request was sent whose answer has not been read completely
         self.ended = False  # the peer has ended its side, or the connection is lost
-        self.used = False  # an answer came whole before
+        self.used = False  # it has carried a complete answer before
         self.paused = False
         self.unread = 0
-        self.kept_until = 0.0
-        self.on_idle_end: Callable[[], None] | None = None  # the pool's, while it is kept
+        self.idle_until = 0.0  # monotonic s, set by the pool
+        self.on_idle_end: Callable[[], None] | None = None  # set by the pool while the connection is idle
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The transport's call: the connection is up."""
+        """asyncio callback: the connection is open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """The transport's call. What comes while no request is out ends the connection."""
-        if not self.busy:  # nobody asked: these bytes belong to no request
+        """asyncio callback. Bytes that arrive while no request is outstanding end the connection."""
+        if not self.busy:  # the bytes belong to no request
             self.close()
             return
         self.codec.receive_data(data)
         self.unread += len(data)
-        if self.unread > READ_AHEAD and not self.paused and self.transport:
+        if self.unread > READ_AHEAD_BYTES and not self.paused and self.transport:
             self.paused = True
             self.transport.pause_reading()
         self.wake()
 
     def eof_received(self) -> bool:
-        """The transport's call: the peer has closed its side."""
+        """asyncio callback: the peer has closed its side."""
         if self.busy and not self.ended:
-            self.codec.receive_data(b"")  # the end of an answer that tells no length
+            self.codec.receive_data(b"")  # the end of an answer without a length
         self.end()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The transport's call, after a reset too: no answer is whole by it."""
+        """asyncio callback, also after a reset, which never completes an answer."""
         self.end()
 
     def end(self) -> None:
-        """Tells whoever waits for an event, or keeps the idle connection, that it is over."""
+        """Notifies the task that waits for an event, or the pool that holds the idle connection."""
         if not self.ended:
             self.ended = True
             self.wake()
@@ -104,20 +104,20 @@
                 self.on_idle_end()
 
     def wake(self) -> None:
-        """Lets whoever waits for an event look again."""
+        """Wakes the task that waits for an event."""
         if self.waiter and not self.waiter.done():
             self.waiter.set_result(None)
 
     def usable(self) -> bool:
-        """Whether a request could be sent now, as far as the loop knows."""
+        """Whether a request could be sent now, as far as the event loop knows."""
         return not (self.ended or self.busy or self.transport is None or self.transport.is_closing())
 
     def has_unread(self) -> bool:
-        """Whether the peer has ended the connection, or said something, that the loop has not read yet."""
+        """Whether the peer has closed the connection or sent bytes that the event loop has not read yet."""
         return self.transport is not None and has_unread(self.transport)
 
     def send(self, method: bytes, target: bytes, headers: Headers, body: bytes) -> None:
-        """Writes a whole request at once. Raises UpstreamUnsentError if surely no byte of it left."""
+        """Writes a complete request. Raises UpstreamUnsentError if certainly no byte of it was sent."""
         if not self.usable() or self.transport is None:
             raise UpstreamUnsentError("the connection has ended")
         try:
@@ -130,11 +130,11 @@
             raise UpstreamUnsentError(str(error)) from None
         self.busy = True
         self.transport.write(data)
-        if self.transport.is_closing():  # the first write failed: the system took no byte of it
+        if self.transport.is_closing():  # the first write failed: the kernel accepted no byte of it
             raise UpstreamUnsentError("the connection had ended")
 
     async def event(self) -> h11.Response | h11.Data | h11.EndOfMessage:
-        """The next event of the answer; interim answers are passed over. Raises UpstreamError."""
+        """The next event of the answer; interim answers are skipped. Raises UpstreamError."""
         while True:
             try:
                 event = self.codec.next_event()
@@ -157,8 +157,8 @@
             elif not isinstance(event, h11.InformationalResponse):
                 raise UpstreamError("the connection ended")
 
-    def finish_now(self) -> bool:
-        """Whether the rest of the answer is here; it is thrown away."""
+    def discard_rest(self) -> bool:
+        """Discards the buffered rest of the answer. Returns whether the answer is complete."""
         try:
             while (event := self.codec.next_event()) is not h11.NEED_DATA:
                 if isinstance(event, h11.EndOfMessage):
@@ -170,7 +170,8 @@
         return False
 
     def next_cycle(self) -> bool:
-        """Whether another request may follow. Bytes behind the answer belong to no request: never again."""
+        """Prepares the connection for another request. False if none may follow, as after bytes behind the
+        answer, which belong to no request."""
         codec, transport = self.codec, self.transport
         if self.ended or transport is None or transport.is_closing() or transport.get_write_buffer_size():
             return False
@@ -186,46 +187,46 @@
         return True
 
     def close(self) -> None:
-        """Ends the connection at once; whoever waits for an event meets UpstreamError. Of a request that is
-        given up nothing leaves any more, also when the network has held it up."""
+        """Ends the connection at once; a task that waits for an event gets UpstreamError. Unsent bytes of an
+        unanswered request are dropped by a reset, also if the network has delayed them."""
         if self.transport:
-            if self.busy and self.codec.their_state not in ANSWER_OVER:
+            if self.busy and self.codec.their_state not in ANSWER_ENDED_STATES:
                 reset_on_close(self.transport)
             self.transport.abort()
         self.end()
 
 
-class Pool:
-    """The connections of this router, by endpoint incarnation. Times are steady seconds."""
+class ConnectionPool:
+    """The connections of this router, by endpoint incarnation. Times are monotonic seconds."""
 
     def __init__(self, connect_timeout: float = 0.3) -> None:
         self.connect_timeout = connect_timeout
         self.idle: dict[str, list[UpstreamConnection]] = {}
-        self.open: dict[str, int] = {}  # taken, idle and coming up
+        self.open: dict[str, int] = {}  # in use, idle and being opened
 
     def has_idle(self, key: str, now: float) -> bool:
-        """Whether a kept connection to `key` could be used now."""
-        kept = self.idle.get(key)
-        return bool(kept) and any(each.usable() and each.kept_until > now for each in kept or ())
+        """Whether an idle connection to `key` could be used now."""
+        idle = self.idle.get(key)
+        return bool(idle) and any(each.usable() and each.idle_until > now for each in idle or ())
 
-    def room(self, key: str, most: int, now: float) -> bool:
-        """Whether a request could have a connection to `key` now, kept or new."""
-        return self.open.get(key, 0) < most or self.has_idle(key, now)
+    def has_capacity(self, key: str, max_connections: int, now: float) -> bool:
+        """Whether a request could get a connection to `key` now, idle or new."""
+        return self.open.get(key, 0) < max_connections or self.has_idle(key, now)
 
     def take_idle(self, key: str, now: float) -> UpstreamConnection | None:
-        """The most lately used kept connection; those that are over, or on which the peer has spoken, are
-        closed on the way."""
-        kept = self.idle.get(key, [])
-        while kept:
-            connection = kept.pop()
+        """The most recently used idle connection. Those that have ended or expired, or on which the peer has
+        sent bytes, are closed on the way."""
+        idle = self.idle.get(key, [])
+        while idle:
+            connection = idle.pop()
             connection.on_idle_end = None
-            if connection.usable() and connection.kept_until > now and not connection.has_unread():
+            if connection.usable() and connection.idle_until > now and not connection.has_unread():
                 return connection
             self.drop(key, connection)
         return None
 
     async def connect(self, key: str, address: Address) -> UpstreamConnection:
-        """Raises UpstreamConnectError if none is up within the connect timeout."""
+        """Opens a connection. Raises UpstreamConnectError if that fails or exceeds the connect timeout."""
         self.open[key] = self.open.get(key, 0) + 1
         connection: UpstreamConnection | None = None
         try:
@@ -236,54 +237,54 @@
             raise UpstreamConnectError(str(error)) from None
         finally:
             if connection is None:
-                self.forget_one(key)
+                self.decrement_open(key)
         return connection
 
-    def give_back(self, key: str, connection: UpstreamConnection, idle: float, now: float) -> bool:
-        """Keeps the connection for `idle` s if it may be used again, else closes it. Returns whether kept."""
-        if idle <= 0 or not connection.next_cycle():
+    def release(self, key: str, connection: UpstreamConnection, idle_s: float, now: float) -> bool:
+        """Keeps the connection for `idle_s` if it may be used again, else closes it. Returns whether kept."""
+        if idle_s <= 0 or not connection.next_cycle():
             self.drop(key, connection)
             return False
-        connection.kept_until = now + idle
+        connection.idle_until = now + idle_s
         self.idle.setdefault(key, []).append(connection)
-        connection.on_idle_end = lambda: self.lost(key, connection)
+        connection.on_idle_end = lambda: self.on_idle_end(key, connection)
         return True
 
-    def lost(self, key: str, connection: UpstreamConnection) -> None:
-        """A kept connection has ended."""
+    def on_idle_end(self, key: str, connection: UpstreamConnection) -> None:
+        """Removes an idle connection that has ended."""
         connection.on_idle_end = None
-        if connection in (kept := self.idle.get(key, [])):
-            kept.remove(connection)
+        if connection in (idle := self.idle.get(key, [])):
+            idle.remove(connection)
             self.drop(key, connection)
 
     def drop(self, key: str, connection: UpstreamConnection) -> None:
-        """Closes a connection that was taken or kept."""
+        """Closes a connection that was in use or idle."""
         connection.on_idle_end = None
         connection.close()
-        self.forget_one(key)
+        self.decrement_open(key)
 
-    def forget_one(self, key: str) -> None:
-        """One connection to `key` fewer is open."""
-        if (left := self.open.get(key, 0) - 1) > 0:
-            self.open[key] = left
+    def decrement_open(self, key: str) -> None:
+        """Counts one open connection to `key` less."""
+        if (remaining := self.open.get(key, 0) - 1) > 0:
+            self.open[key] = remaining
         else:
             self.open.pop(key, None)
 
-    def sweep(self, now: float, listed: Iterable[str]) -> None:
-        """Closes idle connections that are over, and all idle ones of incarnations not in `listed`."""
+    def close_expired(self, now: float, listed: Iterable[str]) -> None:
+        """Closes idle connections that have ended or expired, and all of incarnations not in `listed`."""
         present = set(listed)
-        for key, kept in list(self.idle.items()):
-            stays = []
-            for each in kept:
-                if key in present and each.usable() and each.kept_until > now:
-                    stays.append(each)
+        for key, idle in list(self.idle.items()):
+            remaining = []
+            for each in idle:
+                if key in present and each.usable() and each.idle_until > now:
+                    remaining.append(each)
                 else:
                     self.drop(key, each)
-            if stays:
-                self.idle[key] = stays
+            if remaining:
+                self.idle[key] = remaining
             else:
                 del self.idle[key]
 
     def close(self) -> None:
         """Closes all idle connections."""
-        self.sweep(0.0, ())
+        self.close_expired(0.0, ())
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -164,7 +164,7 @@
         )
         self.fleet.take_roster([each.entry() for each in peers])
         self.dispatcher = Dispatcher(
-            settings, self.fleet, self.counters, chance=random.Random(4), budget=budget or Allowing()
+            settings, self.fleet, self.counters, rng=random.Random(4), budget=budget or Allowing()
         )
 
     async def start(self) -> "Router":
--- a/tests/test_answer_matching.py
+++ b/tests/test_answer_matching.py
@@ -11,7 +11,7 @@
 
 from plumline.errors import PlumlineError
 from plumline.router.relay import EventJoiner, EventUnplacedError
-from plumline.router.upstream import Pool, UpstreamConnection, UpstreamError, UpstreamUnsentError
+from plumline.router.upstream import ConnectionPool, UpstreamConnection, UpstreamError, UpstreamUnsentError
 from tests.dispatch_world import Act, Peer, answer, document, made, stream, unchunked, within
 
 STREAM_HEADERS = b"Content-Type: text/event-stream\r\n"
@@ -166,10 +166,10 @@
     spoken: bytes,
 ) -> None:
     async def work() -> None:
-        pool = Pool()
+        pool = ConnectionPool()
         for _ in range(2):
             connection, theirs = await pair()
-            connection.kept_until = 10.0
+            connection.idle_until = 10.0
             pool.open["e1"] = pool.open.get("e1", 0) + 1
             pool.idle.setdefault("e1", []).append(connection)
             theirs.sendall(spoken) if spoken else theirs.close()
@@ -182,10 +182,10 @@
 
 def test_bytes_that_nobody_asked_for_end_a_kept_connection() -> None:
     async def work() -> None:
-        pool = Pool()
+        pool = ConnectionPool()
         connection, theirs = await pair()
-        connection.kept_until = 10.0
-        connection.on_idle_end = lambda: pool.lost("e1", connection)
+        connection.idle_until = 10.0
+        connection.on_idle_end = lambda: pool.on_idle_end("e1", connection)
         pool.open["e1"] = 1
         pool.idle["e1"] = [connection]
         connection.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -218,7 +218,7 @@
     connection.connection_made(transport)
     connection.send(b"POST", b"/a", [(b"host", b"h"), (b"content-length", b"4")], b"body")
     connection.data_received(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-    assert isinstance(connection.codec.next_event(), h11.Response) and connection.finish_now()
+    assert isinstance(connection.codec.next_event(), h11.Response) and connection.discard_rest()
     assert not connection.next_cycle()
     transport.left = 0
     assert connection.next_cycle()
@@ -346,7 +346,7 @@
     for run in runs:
         joiner.begin()
         out += b"".join(joiner.feed(piece) for piece in run)
-    return out + joiner.rest()
+    return out + joiner.flush()
 
 
 A, B, C = (b"id: %d\ndata: %c\n\n" % (n, 96 + n) for n in (1, 2, 3))
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -7,7 +7,7 @@
 
 from plumline.configuration.replicated_state import ReplicatedConfiguration
 from plumline.configuration.route_table import RouteTable
-from plumline.router.request_handler import READING_POLL_S, STARTING_S
+from plumline.router.request_handler import READING_POLL_S, STARTUP_S
 from plumline.wire.exchange import Exchange
 from tests.dispatch_world import (
     FULL,
@@ -401,7 +401,7 @@
 def test_a_router_that_lacks_it_for_long_refuses_at_once() -> None:
     async def work() -> None:
         router = await made(None, Peer("e0", answer()))
-        router.dispatcher.started_at -= STARTING_S
+        router.dispatcher.started_at -= STARTUP_S
         status, headers, _ = await router.ask()
         assert status == 503 and float(headers["retry-after"]) > 0
         assert not router.counters.get("request-waited-for-start")
@@ -421,7 +421,7 @@
         peer = Peer("e0", stream(b"data: 1\n\n"))
         router = await made(document(Kind="streaming"), peer)
         told: list[tuple[str, int]] = []
-        router.dispatcher.tell = lambda event: told.append((event[0], peer.connections))
+        router.dispatcher.publish_prompt_event = lambda event: told.append((event[0], peer.connections))
         assert (await router.ask(**hyphenless(LONG)))[0] == 200
         assert told[0] == ("placed", 0) and [kind for kind, _ in told] == ["placed", "read", "done"]
 
--- a/tests/test_endpoint_scoring.py
+++ b/tests/test_endpoint_scoring.py
@@ -127,12 +127,12 @@
     for start, end in zip([0, *sorted(cuts)], [*sorted(cuts), len(first)], strict=True):
         joined += joiner.feed(first[start:end])
     assert joiner.may_join()
-    again = max(int(joiner.last or 0) - back, 0)  # an endpoint may repeat some events
+    again = max(int(joiner.last_id or 0) - back, 0)  # an endpoint may repeat some events
     joiner.begin()
     rest = b"".join(EVENTS[again:])
     for at in range(0, len(rest), 7):
         joined += joiner.feed(rest[at : at + 7])
-    assert joined + joiner.rest() == text
+    assert joined + joiner.flush() == text
 
 
 def test_a_stream_without_numeric_ids_is_not_joined() -> None:
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -22,7 +22,7 @@
 
 from plumline.configuration.route_table import RouteTable
 from plumline.router.admission import remaining_ms
-from plumline.router.process import UNTOLD_LIMITS
+from plumline.router.process import UNCONFIGURED_LIMITS
 from plumline.wire.server import FixedLimits, Server
 
 
@@ -74,14 +74,17 @@
 def test_a_router_without_a_configuration_promises_503_for_what_it_may_allow() -> None:
     async def work() -> None:
         router = await made(None)
-        router.server.limits = lambda: UNTOLD_LIMITS
+        router.server.limits = lambda: UNCONFIGURED_LIMITS
         for given in ({}, {"X_Api_Key": "any"}, {"X_Long": "x" * 30_000}, {"body": b"x" * 5_000_000}):
             status, headers, _ = await router.ask("/anything/", **given)
             assert status == 503 and float(headers["retry-after"]) < 1, given
 
     within(work())
     usual = FixedLimits()
-    assert UNTOLD_LIMITS.header_bytes > usual.header_bytes and UNTOLD_LIMITS.body_bytes > usual.body_bytes
+    assert (
+        UNCONFIGURED_LIMITS.header_bytes > usual.header_bytes
+        and UNCONFIGURED_LIMITS.body_bytes > usual.body_bytes
+    )
 
 
 def test_an_older_router_says_503_where_a_newer_configuration_may_allow_it() -> None:
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -233,7 +233,9 @@
         (short, long, demand) = router.dispatcher.work_rates()["s"]
         assert short + long > 0 and set(demand[0]) == {"other"} and demand[1:] == [0.0, 0]
         router.fleet.routers = 4
-        router.dispatcher.told_work({"s": [9000.0, 0.0, [{"other": 9000.0}, 0.0, 0]], "gone": [1.0, 1.0, []]})
+        router.dispatcher.on_fleet_work(
+            {"s": [9000.0, 0.0, [{"other": 9000.0}, 0.0, 0]], "gone": [1.0, 1.0, []]}
+        )
         clock.ahead += 0.2
         found = [(await asked(router, clock, "key-o", 2000))[0] for _ in range(40)]
         assert found.count(429) > 20
--- a/tests/test_wire_properties.py
+++ b/tests/test_wire_properties.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from wire_world import World, answer_well, cut_short, resume_oddly
 
-from plumline.router.attempt import Send
+from plumline.router.attempt import Attempt
 from plumline.router.progress import Progress
 from plumline.router.relay import EventJoiner
 from plumline.router.request_handler import RequestHandler
@@ -86,41 +86,41 @@
 
 GUARDS = [
     # Which request an answer belongs to.
-    Guard(Send, "is_answered_by", "return told == {self.request.id}", "return True"),
-    Guard(Send, "is_answered_by", "not connection.used and ", ""),
+    Guard(Attempt, "is_answered_by", "return ids == {self.request.id}", "return True"),
+    Guard(Attempt, "is_answered_by", "not connection.used and ", ""),
     # What proves that a request has not run.
-    Guard(Send, "receive", "elif status in PROMISES:", "elif False:"),
-    Guard(Send, "spoilt", "return Proof.MAY_HAVE_RUN", "return Proof.NOT_RUN"),
-    Guard(Send, "turned_away", " and status not in PROMISES", " and status != 429"),
+    Guard(Attempt, "receive", "elif status in NOT_RUN_STATUSES:", "elif False:"),
+    Guard(Attempt, "discard_answer", "return Proof.MAY_HAVE_RUN", "return Proof.NOT_RUN"),
+    Guard(Attempt, "on_refusal", " and status not in NOT_RUN_STATUSES", " and status != 429"),
     Guard(
-        Send,
-        "broken",
+        Attempt,
+        "on_broken_connection",
         "self.router.outcomes.failed(self.call, now)\n    return Proof.MAY_HAVE_RUN",
         "return Proof.NOT_RUN",
     ),
-    Guard(RequestHandler, "work", "progress.may_have_run |= proof is Proof.MAY_HAVE_RUN", "pass"),
-    Guard(RequestHandler, "give_up", "elif not progress.may_have_run:", "elif True:"),
+    Guard(RequestHandler, "run_attempts", "progress.may_have_run |= proof is Proof.MAY_HAVE_RUN", "pass"),
+    Guard(RequestHandler, "send_final_answer", "elif not progress.may_have_run:", "elif True:"),
     # Who may send it again, and how often.
     Guard(Progress, "may_send", "return not self.may_have_run or route.idempotent", "return True"),
     Guard(Progress, "may_send", "self.attempts >= route.attempt_limit or ", ""),
-    Guard(Send, "sent_on", "progress.retry_granted = False", "pass"),
+    Guard(Attempt, "send_on", "progress.retry_granted = False", "pass"),
     Guard(Selection, "ready_in", "key in self.progress.attempted or ", ""),
     # Whole answers only.
-    Guard(Send, "receive", 'return self.spoilt("unsealed")', "pass"),
-    Guard(Send, "relay", "if needs_end and not ends_event(tail):", "if False:"),
+    Guard(Attempt, "receive", 'return self.discard_answer("unsealed")', "pass"),
+    Guard(Attempt, "relay", "if needs_end and not ends_event(tail):", "if False:"),
     Guard(UpstreamConnection, "end", "self.wake()", 'self.codec.receive_data(b"")\n        self.wake()'),
-    Guard(RequestHandler, "give_up", "self.exchange.abort()", "self.exchange.finish()"),
+    Guard(RequestHandler, "send_final_answer", "self.exchange.abort()", "self.exchange.finish()"),
     # A stream of several runs.
-    Guard(Send, "receive", " and is_event_stream(headers)", "", streams=True),
-    Guard(EventJoiner, "begin", 'self.held, self.joined = b"", ', "self.joined = ", streams=True),
-    Guard(EventJoiner, "feed", "if self.joined and self.last is not None:", "if False:", streams=True),
-    Guard(EventJoiner, "feed", "held[:end], held[end:]", 'held, b""', streams=True),
-    Guard(EventJoiner, "may_join", "return self.placed and ", "return ", streams=True),
+    Guard(Attempt, "receive", " and is_event_stream(headers)", "", streams=True),
+    Guard(EventJoiner, "begin", 'self.incomplete, self.resumed = b"", ', "self.resumed = ", streams=True),
+    Guard(EventJoiner, "feed", "if self.resumed and self.last_id is not None:", "if False:", streams=True),
+    Guard(EventJoiner, "feed", "buffered[:end], buffered[end:]", 'buffered, b""', streams=True),
+    Guard(EventJoiner, "may_join", "return self.position_known and ", "return ", streams=True),
     # One request at a time on a connection; nothing for a client that has gone, or after its time.
     Guard(Connection, "advance", "self.phase in (Phase.ANSWER, Phase.LEAVING) or ", ""),
-    Guard(RequestHandler, "client_gone", "self.progress.connection.close()", "pass"),
-    Guard(RequestHandler, "work", "if progress.client_left:", "if False:"),
-    Guard(RequestHandler, "expire", "self.progress.connection.close()", "pass"),
+    Guard(RequestHandler, "on_client_gone", "self.progress.connection.close()", "pass"),
+    Guard(RequestHandler, "run_attempts", "if progress.client_left:", "if False:"),
+    Guard(RequestHandler, "on_deadline", "self.progress.connection.close()", "pass"),
 ]
 
 
