--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -1,4 +1,4 @@
-"""Scripted endpoints on loopback, and a router's request path in front of them, for tests of it."""
+"""Scripted endpoints on loopback and a router's request path in front of them, for tests."""
 
 import asyncio
 import random
@@ -13,13 +13,13 @@
 from plumline.settings import Bounds, Settings
 from plumline.wire.server import Server
 
-Act = Callable[["Peer", dict[str, str], asyncio.StreamWriter], Awaitable[None]]
+Act = Callable[["ScriptedEndpoint", dict[str, str], asyncio.StreamWriter], Awaitable[None]]
 LOCAL = "127.0.0.1"
 MODEL = {"Model-Name": "m", "Token-Counts": "1000,20", "Prompt-Prefix": "aa:800,bb:150"}
 LONG = MODEL | {"Token-Counts": "17000,20", "Prompt-Prefix": "aa:13300,bb:3700"}
 
 
-def within(work: Coroutine[Any, Any, None]) -> None:
+def run_with_timeout(work: Coroutine[Any, Any, None]) -> None:
     async def bounded() -> None:
         async with asyncio.timeout(10):
             await work
@@ -27,17 +27,17 @@
     asyncio.run(bounded())
 
 
-class Peer:
-    """An endpoint that does for each request what its script says next; the last act goes on."""
+class ScriptedEndpoint:
+    """An endpoint that handles each request with the next act of its script; the last act is repeated."""
 
     def __init__(self, id: str, *acts: Act) -> None:
         self.id, self.acts = id, list(acts)
         self.heads: list[dict[str, str]] = []
         self.bodies: list[bytes] = []
         self.connections = 0
-        self.closed = asyncio.Event()  # a caller has ended a connection
+        self.closed = asyncio.Event()  # a router has closed a connection
 
-    async def start(self) -> "Peer":
+    async def start(self) -> "ScriptedEndpoint":
         self.server = await asyncio.start_server(self.serve, LOCAL, 0)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
@@ -74,7 +74,7 @@
 
 
 def answer(status: int = 200, body: bytes = b"whole", seal: bool = True, **headers: str) -> Act:
-    async def act(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+    async def act(peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
         lines = {"Attempt-Id": head.get("attempt-id", ""), "Content-Length": str(len(body))}
         lines |= {"Server-Seal": f"seal-{peer.id}"} if seal else {}
         lines |= {name.replace("_", "-"): value for name, value in headers.items()}
@@ -84,17 +84,17 @@
     return act
 
 
-FULL = answer(503, b"", seal=False, Not_Executed="1")
+REFUSAL = answer(503, b"", seal=False, Not_Executed="1")
 
 
-async def reset(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+async def reset(peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
     writer.transport.abort()
 
 
 def stream(*pieces: bytes | asyncio.Event, ends: bool = True) -> Act:
-    """Chunks as given, with waits for events between; then the end, or a cut."""
+    """An event stream of these chunks, with waits for events in between; then its end or a close."""
 
-    async def act(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+    async def act(peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
         writer.write(
             b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
             + f"Attempt-Id: {head['attempt-id']}\r\nServer-Seal: seal-{peer.id}\r\n\r\n".encode()
@@ -113,16 +113,18 @@
     return act
 
 
-class Allowing:
-    def __init__(self, repeats: int = 99) -> None:
-        self.repeats, self.requests = repeats, 0
+class FixedBudget:
+    """A retry budget of a fixed number of retries."""
+
+    def __init__(self, retries: int = 99) -> None:
+        self.retries, self.requests = retries, 0
 
     def record_request(self, now: float, service: str) -> None:
         self.requests += 1
 
     def try_spend(self, now: float, service: str, routers: int) -> bool:
-        self.repeats -= 1
-        return self.repeats >= 0
+        self.retries -= 1
+        return self.retries >= 0
 
 
 def document(**route: object) -> dict[str, Any]:
@@ -148,13 +150,16 @@
 
 
 class Router:
-    """A dispatcher behind a server on loopback."""
+    """A dispatcher behind an HTTP server on loopback."""
 
     def __init__(
-        self, configuration: dict[str, Any] | None, *peers: Peer, budget: Allowing | None = None
+        self,
+        configuration: dict[str, Any] | None,
+        *peers: ScriptedEndpoint,
+        budget: FixedBudget | None = None,
     ) -> None:
         self.fleet, self.counters = Fleet(), Counters()
-        self.writers: list[asyncio.StreamWriter] = []  # one that is let go closes its connection
+        self.writers: list[asyncio.StreamWriter] = []  # kept, as a collected writer closes its connection
         self.fleet.fresh = True
         if configuration is not None:
             self.fleet.state = ReplicatedConfiguration()
@@ -164,7 +169,7 @@
         )
         self.fleet.take_roster([each.entry() for each in peers])
         self.dispatcher = Dispatcher(
-            settings, self.fleet, self.counters, rng=random.Random(4), budget=budget or Allowing()
+            settings, self.fleet, self.counters, rng=random.Random(4), budget=budget or FixedBudget()
         )
 
     async def start(self) -> "Router":
@@ -188,11 +193,11 @@
         reader = await self.open(path, **given)
         raw = await reader.read()
         await self.dispatcher.drained()
-        return parsed(raw)
+        return parse_answer(raw)
 
 
-def parsed(raw: bytes) -> tuple[int, dict[str, str], bytes]:
-    """Status (0: nothing came), headers and what follows the head."""
+def parse_answer(raw: bytes) -> tuple[int, dict[str, str], bytes]:
+    """Status (0: no answer), headers and the bytes after the head."""
     top, _, rest = raw.partition(b"\r\n\r\n")
     if not top:
         return 0, {}, b""
@@ -201,8 +206,8 @@
     return int(first.split()[1]), headers, rest
 
 
-def unchunked(raw: bytes) -> tuple[bytes, bool]:
-    """The body, and whether its end came."""
+def decode_chunked(raw: bytes) -> tuple[bytes, bool]:
+    """The body, and whether its last chunk arrived."""
     body = b""
     while raw:
         size, _, raw = raw.partition(b"\r\n")
@@ -212,7 +217,9 @@
     return body, False
 
 
-async def made(configuration: dict[str, Any] | None, *peers: Peer, budget: Allowing | None = None) -> Router:
+async def start_router(
+    configuration: dict[str, Any] | None, *peers: ScriptedEndpoint, budget: FixedBudget | None = None
+) -> Router:
     for each in peers:
         await each.start()
     return await Router(configuration, *peers, budget=budget).start()
--- a/tests/drain_world.py
+++ b/tests/drain_world.py
@@ -1,4 +1,4 @@
-"""A router process that gets SIGTERM, an endpoint that answers as slowly as it is asked to, and clients that
+"""A router process that receives SIGTERM, an endpoint with answer times chosen per request, and clients that
 keep their connections; all in virtual time (`virtual_net`)."""
 
 import asyncio
@@ -19,7 +19,7 @@
 GRACE_S = 8.0
 ENDPOINT = ("10.0.1.1", 1000)
 ROUTE_TIMEOUT_S = 12.0
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 def configuration() -> dict[str, Any]:
@@ -90,87 +90,91 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """A request of a client. Times are steady s."""
+class ClientRequest:
+    """A request of a client. Times are seconds of the virtual clock."""
 
     id: str
-    sent: float
-    patience_s: float
-    whole: asyncio.Event = field(default_factory=asyncio.Event)  # answered, or cut
+    sent_at: float
+    timeout_s: float
+    ended_event: asyncio.Event = field(default_factory=asyncio.Event)  # set when it was answered or cut
     status: int = 0
     complete: bool = False
     closes: bool = False  # the answer says `Connection: close`
-    ended: float = 0.0
+    ended_at: float = 0.0
 
 
 class Client(asyncio.Protocol):
-    """One connection that is kept for as long as the router keeps it."""
+    """One connection, kept for as long as the router keeps it."""
 
     transport: Any
 
     def __init__(self, world: "DrainWorld") -> None:
         self.world = world
         self.buffer = bytearray()
-        self.asked: Asked | None = None
-        self.over = False
+        self.request: ClientRequest | None = None
+        self.closed = False
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
 
-    def ask(self, first_s: float, last_s: float, patience_s: float, body: bytes = b"") -> Asked:
-        """Sends a request at once; `patience_s` is how long it says that it waits."""
-        asked = self.new_request(patience_s)
-        self.transport.write(self.head(asked, first_s, last_s, len(body)) + body)
-        return asked
-
-    def new_request(self, patience_s: float) -> Asked:
-        asked = self.asked = Asked(f"{len(self.world.asked):016x}", self.world.loop.time(), patience_s)
-        self.world.asked.append(asked)
-        return asked
+    def send_request(
+        self, first_s: float, last_s: float, timeout_s: float, body: bytes = b""
+    ) -> ClientRequest:
+        """Sends a request at once; `timeout_s` is its `Remaining-Milliseconds`, in s."""
+        request = self.new_request(timeout_s)
+        self.transport.write(self.head(request, first_s, last_s, len(body)) + body)
+        return request
+
+    def new_request(self, timeout_s: float) -> ClientRequest:
+        request = self.request = ClientRequest(
+            f"{len(self.world.requests):016x}", self.world.loop.time(), timeout_s
+        )
+        self.world.requests.append(request)
+        return request
 
     @staticmethod
-    def head(asked: Asked, first_s: float, last_s: float, length: int = 0) -> bytes:
-        lines = [f"POST /a/{first_s}/{last_s} HTTP/1.1", "Host: h.example", f"Attempt-Id: {asked.id}"]
-        lines += [f"Remaining-Milliseconds: {asked.patience_s * 1000:.0f}", f"Content-Length: {length}"]
+    def head(request: ClientRequest, first_s: float, last_s: float, length: int = 0) -> bytes:
+        lines = [f"POST /a/{first_s}/{last_s} HTTP/1.1", "Host: h.example", f"Attempt-Id: {request.id}"]
+        lines += [f"Remaining-Milliseconds: {request.timeout_s * 1000:.0f}", f"Content-Length: {length}"]
         return "\r\n".join([*lines, "", ""]).encode()
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
-        asked = self.asked
-        assert asked is not None, "bytes on a connection where no request waits"
+        request = self.request
+        assert request is not None, "bytes on a connection without an outstanding request"
         head, ends, rest = bytes(self.buffer).partition(b"\r\n\r\n")
         if not ends:
             return
         first, *lines = head.split(b"\r\n")
         headers = {k.lower(): v.strip() for k, _, v in (line.partition(b":") for line in lines)}
-        asked.status = int(first.split()[1])
-        asked.closes = headers.get(b"connection") == b"close"
+        request.status = int(first.split()[1])
+        request.closes = headers.get(b"connection") == b"close"
         if read_body(rest, headers)[1] is None:
             return
-        asked.complete = True
+        request.complete = True
         self.buffer.clear()
         self.finish()
 
     def finish(self) -> None:
-        asked, self.asked = self.asked, None
-        if asked is not None:
-            asked.ended = self.world.loop.time()
-            asked.whole.set()
+        request, self.request = self.request, None
+        if request is not None:
+            request.ended_at = self.world.loop.time()
+            request.ended_event.set()
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, error: BaseException | None) -> None:
-        self.over = True
+        self.closed = True
         self.finish()
 
 
 class DrainWorld:
-    """One router. `at(s)` waits until so many s after the start; SIGTERM comes by `terminate`."""
+    """One router. `at(seconds)` waits until that time after the start; `terminate` sends SIGTERM."""
 
     def __init__(self, loop: VirtualLoop) -> None:
-        self.loop, self.began = loop, loop.time()
-        self.asked: list[Asked] = []
+        self.loop, self.started_at = loop, loop.time()
+        self.requests: list[ClientRequest] = []
         self.arrivals: dict[str, float] = {}  # at the endpoint, by request
         settings = Settings(
             "n", "10.0.0.1", (1, 1), zone="z", bounds=Bounds(grace_period_s=GRACE_S), first_start=True
@@ -190,36 +194,36 @@
         return client
 
     async def at(self, seconds: float) -> None:
-        await asyncio.sleep(self.began + seconds - self.loop.time())
+        await asyncio.sleep(self.started_at + seconds - self.loop.time())
 
     def terminate(self) -> None:
-        """SIGTERM."""
+        """Delivers SIGTERM."""
         self.terminated_at = self.loop.time()
         self.router.lifecycle.begin_shutdown()
 
-    def lost(self) -> list[Asked]:
-        """Requests that reached the endpoint and whose connection ended in the midst of their time, by the
-        process's end, and which the operators count: one sent within 3 s of SIGTERM is not counted if it was
-        cut in the last sixth of the grace period."""
-        return [each for each in self.asked if self.is_lost(each)]
+    def lost(self) -> list[ClientRequest]:
+        """Requests that reached the endpoint and were cut by the process's end before their deadline, as the
+        operators count them: a request sent within 3 s of SIGTERM is not counted if it was cut in the last
+        sixth of the grace period."""
+        return [each for each in self.requests if self.is_lost(each)]
 
-    def is_lost(self, asked: Asked) -> bool:
-        if asked.complete or asked.id not in self.arrivals or not asked.ended:
+    def is_lost(self, request: ClientRequest) -> bool:
+        if request.complete or request.id not in self.arrivals or not request.ended_at:
             return False
-        if asked.ended >= asked.sent + min(asked.patience_s, ROUTE_TIMEOUT_S) - 0.01:
+        if request.ended_at >= request.sent_at + min(request.timeout_s, ROUTE_TIMEOUT_S) - 0.01:
             return False
-        sent_after_s = asked.sent - self.terminated_at
-        cut_after_s = asked.ended - self.terminated_at
+        sent_after_s = request.sent_at - self.terminated_at
+        cut_after_s = request.ended_at - self.terminated_at
         return sent_after_s > 3.0 or cut_after_s < GRACE_S * 5 / 6
 
 
-def play(scene: Callable[[DrainWorld], Awaitable[None]]) -> None:
-    """Plays the scene, then waits for the router's end."""
+def run_scenario(scenario: Callable[[DrainWorld], Awaitable[None]]) -> None:
+    """Runs the scenario, then waits for the router's end."""
 
     async def run(loop: VirtualLoop) -> None:
         world = DrainWorld(loop)
-        await scene(world)
+        await scenario(world)
         await world.stopped
-        await asyncio.sleep(0.1)  # what it sent last arrives
+        await asyncio.sleep(0.1)  # until its last bytes have arrived
 
     virtual_net.run(run)
--- a/tests/test_answer_matching.py
+++ b/tests/test_answer_matching.py
@@ -1,5 +1,5 @@
-"""Which answer belongs to which request, what proves that a request has not run, and whole answers only:
-each case by itself, against scripted endpoints on loopback.
+"""Matching of answers to requests, proofs that a request has not run, and completeness of answers: single
+cases against scripted endpoints on loopback.
 """
 
 import asyncio
@@ -12,15 +12,24 @@
 from plumline.errors import PlumlineError
 from plumline.router.relay import EventJoiner, EventUnplacedError
 from plumline.router.upstream import ConnectionPool, UpstreamConnection, UpstreamError, UpstreamUnsentError
-from tests.dispatch_world import Act, Peer, answer, document, made, stream, unchunked, within
+from tests.dispatch_world import (
+    Act,
+    ScriptedEndpoint,
+    answer,
+    decode_chunked,
+    document,
+    run_with_timeout,
+    start_router,
+    stream,
+)
 
 STREAM_HEADERS = b"Content-Type: text/event-stream\r\n"
 
 
-def raw(text: bytes, then: str = "") -> Act:
-    """These bytes, with the request's id for %ID, and then a close, a reset or nothing."""
+def raw_answer(text: bytes, then: str = "") -> Act:
+    """Sends these bytes, with the request's id for %ID, and then closes, resets or keeps the connection."""
 
-    async def act(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+    async def act(peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
         writer.write(text.replace(b"%ID", head.get("attempt-id", "").encode()))
         await writer.drain()
         if then == "close":
@@ -33,48 +42,50 @@
     return act
 
 
-def unframed(body: bytes, then: str, headers: bytes = b"") -> Act:
+def unframed_answer(body: bytes, then: str, headers: bytes = b"") -> Act:
     """An answer without a length."""
-    return raw(b"HTTP/1.1 200 OK\r\nAttempt-Id: %ID\r\nServer-Seal: s\r\n" + headers + b"\r\n" + body, then)
+    return raw_answer(
+        b"HTTP/1.1 200 OK\r\nAttempt-Id: %ID\r\nServer-Seal: s\r\n" + headers + b"\r\n" + body, then
+    )
 
 
-def test_a_421_without_an_id_proves_nothing_where_another_answer_came_before() -> None:
-    """It may be a late one; the request behind it runs on."""
+def test_a_421_without_an_id_proves_nothing_on_a_reused_connection() -> None:
+    """It may be a late answer to the earlier request, while this request still runs."""
 
     async def work() -> None:
-        nameless = raw(b"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n")
-        first = Peer("e1", answer(), nameless, answer())
-        router = await made(document(Kind="non_idempotent"), first)
+        without_id = raw_answer(b"HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n")
+        first = ScriptedEndpoint("e1", answer(), without_id, answer())
+        router = await start_router(document(Kind="non_idempotent"), first)
         assert (await router.ask())[0] == 200
-        second = await Peer("e2", answer()).start()
+        second = await ScriptedEndpoint("e2", answer()).start()
         router.fleet.take_roster([first.entry(), second.entry(zone="far")])
         assert (await router.ask())[0] == 502
         assert (first.connections, len(second.heads)) == (1, 0)
         # On a new connection it can only be the answer to this request.
-        alone = Peer("e3", nameless)
-        router = await made(document(Kind="non_idempotent"), alone)
+        alone = ScriptedEndpoint("e3", without_id)
+        router = await start_router(document(Kind="non_idempotent"), alone)
         assert (await router.ask())[0] == 503
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_an_answer_with_two_ids_is_nobodys() -> None:
+def test_an_answer_with_two_ids_is_rejected() -> None:
     async def work() -> None:
-        both = raw(
+        both = raw_answer(
             b"HTTP/1.1 200 OK\r\nAttempt-Id: %ID\r\nAttempt-Id: another\r\nServer-Seal: s\r\n"
             b"Content-Length: 1\r\n\r\nx"
         )
-        router = await made(document(Kind="non_idempotent"), Peer("e1", both))
+        router = await start_router(document(Kind="non_idempotent"), ScriptedEndpoint("e1", both))
         assert (await router.ask())[0] == 502
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_a_request_without_an_id_has_a_connection_of_its_own() -> None:
+def test_a_request_without_an_id_gets_a_new_connection() -> None:
     async def work() -> None:
-        plain = raw(b"HTTP/1.1 400 No\r\nNot-Executed: 1\r\nContent-Length: 2\r\n\r\nid")
-        peer = Peer("e1", answer(), plain)
-        router = await made(document(), peer)
+        plain = raw_answer(b"HTTP/1.1 400 No\r\nNot-Executed: 1\r\nContent-Length: 2\r\n\r\nid")
+        peer = ScriptedEndpoint("e1", answer(), plain)
+        router = await start_router(document(), peer)
         assert (await router.ask())[0] == 200
         reader, writer = await asyncio.open_connection(*router.server.address())
         writer.write(b"GET /a/ HTTP/1.1\r\nHost: h.example\r\nConnection: close\r\n\r\n")
@@ -82,78 +93,80 @@
         assert peer.connections == 2
         writer.close()
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_a_408_that_one_endpoint_proves_is_no_promise_for_another() -> None:
+def test_a_408_of_one_endpoint_proves_nothing_about_another() -> None:
     async def work() -> None:
         refused = answer(408, b"", seal=False, Not_Executed="1")
         sent: list[str] = []
 
-        async def act(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+        async def act(peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
             sent.append(peer.id)
             if len(sent) == 1:
                 writer.transport.abort()  # it may have run here
             else:
                 await refused(peer, head, writer)
 
-        router = await made(document(AttemptLimit=2), Peer("e1", act), Peer("e2", act))
+        router = await start_router(
+            document(AttemptLimit=2), ScriptedEndpoint("e1", act), ScriptedEndpoint("e2", act)
+        )
         assert (await router.ask())[0] == 502
         assert len(set(sent)) == 2
 
-    within(work())
+    run_with_timeout(work())
 
 
 @pytest.mark.parametrize(
     ("act", "body", "whole"),
     [
-        (unframed(b"some text", "close"), b"some text", True),
-        (unframed(b"some text", "reset"), b"some text", False),
-        (unframed(b"data: 1\n\n", "close", STREAM_HEADERS), b"data: 1\n\n", True),
-        (unframed(b"data: 1\n\ndata: 2\n", "close", STREAM_HEADERS), b"data: 1\n\ndata: 2\n", False),
+        (unframed_answer(b"some text", "close"), b"some text", True),
+        (unframed_answer(b"some text", "reset"), b"some text", False),
+        (unframed_answer(b"data: 1\n\n", "close", STREAM_HEADERS), b"data: 1\n\n", True),
+        (unframed_answer(b"data: 1\n\ndata: 2\n", "close", STREAM_HEADERS), b"data: 1\n\ndata: 2\n", False),
     ],
 )
 def test_an_answer_without_a_length_ends_with_a_close_and_not_with_a_reset(
     act: Act, body: bytes, whole: bool
 ) -> None:
     async def work() -> None:
-        peer = Peer("e1", act)
-        router = await made(document(Kind="streaming"), peer)
+        peer = ScriptedEndpoint("e1", act)
+        router = await start_router(document(Kind="streaming"), peer)
         status, _, rest = await router.ask()
         if status == 200:
-            got, ended = unchunked(rest)
+            got, ended = decode_chunked(rest)
             assert ended is whole and (got == body if whole else body.startswith(got))
         else:
-            assert status == 502 and not whole  # the reset came before a byte was passed on
+            assert status == 502 and not whole  # the reset came before a byte was relayed
         await router.ask()
         assert peer.connections == 2  # its connection is never used again
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_a_stream_is_not_resumed_with_what_is_no_stream() -> None:
+def test_a_stream_is_resumed_only_with_an_event_stream() -> None:
     async def work() -> None:
         sent: list[str] = []
         page = answer(200, b"<p>sorry</p>\n\n", Content_Type="text/html")
         broken = stream(b"id: 1\ndata: a\n\n", ends=False)
 
-        async def act(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+        async def act(peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
             sent.append(peer.id)
             await (broken if len(sent) == 1 else page)(peer, head, writer)
 
         configuration = document(Kind="streaming", Resumable=True, AttemptLimit=2)
-        router = await made(configuration, Peer("e1", act), Peer("e2", act))
-        assert unchunked((await router.ask())[2]) == (b"id: 1\ndata: a\n\n", False)
+        router = await start_router(configuration, ScriptedEndpoint("e1", act), ScriptedEndpoint("e2", act))
+        assert decode_chunked((await router.ask())[2]) == (b"id: 1\ndata: a\n\n", False)
         assert len(sent) == 2
 
-    within(work())
+    run_with_timeout(work())
 
 
-# Kept connections.
+# Idle connections.
 
 
-async def pair() -> tuple[UpstreamConnection, socket.socket]:
-    """A connection and the endpoint's end of it."""
+async def connected_pair() -> tuple[UpstreamConnection, socket.socket]:
+    """A connection and the endpoint's socket of it."""
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
     loop = asyncio.get_running_loop()
@@ -161,29 +174,29 @@
     return connection, theirs
 
 
-@pytest.mark.parametrize("spoken", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"])
-def test_a_kept_connection_that_has_ended_or_spoken_is_not_used_even_before_the_loop_knows(
-    spoken: bytes,
+@pytest.mark.parametrize("received", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"])
+def test_an_idle_connection_with_unread_bytes_or_end_is_not_used(
+    received: bytes,
 ) -> None:
     async def work() -> None:
         pool = ConnectionPool()
         for _ in range(2):
-            connection, theirs = await pair()
+            connection, theirs = await connected_pair()
             connection.idle_until = 10.0
             pool.open["e1"] = pool.open.get("e1", 0) + 1
             pool.idle.setdefault("e1", []).append(connection)
-            theirs.sendall(spoken) if spoken else theirs.close()
-        # No turn of the loop since: it has not read any of this.
+            theirs.sendall(received) if received else theirs.close()
+        # The event loop has not run since, so it has not read any of this.
         assert pool.take_idle("e1", 1.0) is None
         assert not pool.open
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_bytes_that_nobody_asked_for_end_a_kept_connection() -> None:
+def test_unsolicited_bytes_end_an_idle_connection() -> None:
     async def work() -> None:
         pool = ConnectionPool()
-        connection, theirs = await pair()
+        connection, theirs = await connected_pair()
         connection.idle_until = 10.0
         connection.on_idle_end = lambda: pool.on_idle_end("e1", connection)
         pool.open["e1"] = 1
@@ -194,11 +207,11 @@
             connection.send(b"POST", b"/a", [(b"host", b"h")], b"")
         theirs.close()
 
-    within(work())
+    run_with_timeout(work())
 
 
 class FullTransport(asyncio.Transport):
-    """The other side reads nothing: `left` bytes wait."""
+    """A transport whose peer reads nothing: `left` bytes are unsent."""
 
     left = 0
 
@@ -212,8 +225,8 @@
         return self.left
 
 
-def test_a_connection_whose_request_has_not_left_whole_is_not_used_again() -> None:
-    """The endpoint has answered before it read the rest, which is due before anything else."""
+def test_a_connection_with_unsent_request_bytes_is_not_used_again() -> None:
+    """The endpoint has answered before it read the whole request; the rest would precede the next request."""
     connection, transport = UpstreamConnection(), FullTransport()
     connection.connection_made(transport)
     connection.send(b"POST", b"/a", [(b"host", b"h"), (b"content-length", b"4")], b"body")
@@ -225,7 +238,7 @@
 
 
 class ClosingTransport(asyncio.Transport):
-    """Its first write fails, as on a socket whose reset has come."""
+    """A transport whose first write fails, as on a socket that was reset."""
 
     closing = False
 
@@ -242,19 +255,19 @@
         self.closing = True
 
 
-def test_a_first_write_that_fails_has_sent_nothing() -> None:
+def test_a_failed_first_write_has_sent_nothing() -> None:
     connection = UpstreamConnection()
     connection.connection_made(ClosingTransport())
     with pytest.raises(UpstreamUnsentError):
         connection.send(b"POST", b"/a", [(b"host", b"h")], b"")
 
 
-def test_a_request_goes_on_another_connection_where_kept_ones_have_ended() -> None:
-    """Each of them took nothing of it, so that it is sent once, also if it may run once only."""
+def test_a_request_uses_a_new_connection_if_idle_ones_have_ended() -> None:
+    """The ended connections accepted no byte of it, so it may be sent again even if it is not idempotent."""
 
     async def work() -> None:
-        peer = Peer("e1", answer())
-        router = await made(document(Kind="non_idempotent", AttemptLimit=1), peer)
+        peer = ScriptedEndpoint("e1", answer())
+        router = await start_router(document(Kind="non_idempotent", AttemptLimit=1), peer)
         assert (await router.ask())[0] == 200
         kept = router.dispatcher.pool.idle["e1"][0]
         closed = kept.transport
@@ -264,11 +277,11 @@
         assert router.counters.get("send-unsent") == 1
         closed.abort()
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_a_request_that_is_given_up_ends_with_a_reset() -> None:
-    """What the network has held up of it is dropped; one that is answered, or rests, ends with a close."""
+def test_an_abandoned_request_ends_with_a_reset() -> None:
+    """A reset drops its unsent bytes. A connection that was answered or is idle is closed normally."""
 
     async def work() -> None:
         loop = asyncio.get_running_loop()
@@ -293,11 +306,11 @@
             theirs.close()
         server.close()
 
-    within(work())
+    run_with_timeout(work())
 
 
-def fed(connection: UpstreamConnection, data: bytes, how: str) -> list[str]:
-    """What a connection with a request out makes of these bytes and of its end."""
+def read_events(connection: UpstreamConnection, data: bytes, how: str) -> list[str]:
+    """The events that a connection with an outstanding request reads from these bytes and its end."""
 
     async def read() -> list[str]:
         found = []
@@ -335,13 +348,13 @@
     ],
 )
 def test_where_an_answer_ends(data: bytes, how: str, end: str) -> None:
-    assert fed(UpstreamConnection(), data, how)[-1] == end
+    assert read_events(UpstreamConnection(), data, how)[-1] == end
 
 
-# Streams of several runs.
+# Streams of several attempts.
 
 
-def joined(*runs: list[bytes]) -> bytes:
+def join_streams(*runs: list[bytes]) -> bytes:
     joiner, out = EventJoiner(), b""
     for run in runs:
         joiner.begin()
@@ -352,26 +365,26 @@
 A, B, C = (b"id: %d\ndata: %c\n\n" % (n, 96 + n) for n in (1, 2, 3))
 
 
-def test_events_without_ids_are_placed_by_those_before_them() -> None:
+def test_events_without_ids_are_ordered_by_the_id_before_them() -> None:
     plain = b"data: between\n\n"
-    assert joined([A], [plain.replace(b"data", b": no"), B]) == A + b": no: between\n\n" + B
-    assert joined([A, B], [A, plain, B, plain, C]) == A + B + plain + C
+    assert join_streams([A], [plain.replace(b"data", b": no"), B]) == A + b": no: between\n\n" + B
+    assert join_streams([A, B], [A, plain, B, plain, C]) == A + B + plain + C
     with pytest.raises(EventUnplacedError):
-        joined([A], [plain, B])
+        join_streams([A], [plain, B])
     assert issubclass(EventUnplacedError, PlumlineError)
 
 
-def test_a_run_is_not_joined_behind_an_event_that_no_id_names() -> None:
+def test_a_stream_is_not_continued_after_an_event_without_an_id() -> None:
     for text, may in ((A, True), (A + b": comment\n\n", True), (A + b"data: x\n\n: comment\n\n", False)):
         joiner = EventJoiner()
         joiner.begin()
         joiner.feed(text)
         assert joiner.may_join() is may
-        joiner.feed(B)  # from here on the place is known again
+        joiner.feed(B)  # from here on the position is known again
         assert joiner.may_join()
 
 
-def test_the_rest_of_a_joined_run_is_passed_on_once_only() -> None:
-    assert joined([A, B], [A, B.rstrip(b"\n")]) == A + B
-    assert joined([A], [B.rstrip(b"\n")]) == A + B.rstrip(b"\n")
-    assert joined([A, b"half"]) == A + b"half"
+def test_the_rest_of_a_resumed_stream_is_relayed_once_only() -> None:
+    assert join_streams([A, B], [A, B.rstrip(b"\n")]) == A + B
+    assert join_streams([A], [B.rstrip(b"\n")]) == A + B.rstrip(b"\n")
+    assert join_streams([A, b"half"]) == A + b"half"
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""The router's request path against scripted endpoints: admission, choice, and what is sent again."""
+"""The router's request path against scripted endpoints: admission, endpoint selection and retries."""
 
 import asyncio
 from dataclasses import replace
@@ -10,46 +10,48 @@
 from plumline.router.request_handler import READING_POLL_S, STARTUP_S
 from plumline.wire.exchange import Exchange
 from tests.dispatch_world import (
-    FULL,
     LONG,
     MODEL,
+    REFUSAL,
     STORE,
     TENANTS,
     Act,
-    Allowing,
-    Peer,
+    FixedBudget,
     Router,
+    ScriptedEndpoint,
     answer,
+    decode_chunked,
     document,
-    made,
-    parsed,
+    parse_answer,
     reset,
+    run_with_timeout,
+    start_router,
     stream,
-    unchunked,
-    within,
 )
 
 
-def test_where_revocation_is_closed_a_router_out_of_touch_takes_no_key() -> None:
+def test_with_revocation_closed_an_outdated_router_accepts_no_key() -> None:
     async def work() -> None:
-        peer = Peer("e1", answer())
-        router = await made(document(), peer)
+        peer = ScriptedEndpoint("e1", answer())
+        router = await start_router(document(), peer)
         dispatcher = router.dispatcher
         router.fleet.fresh_at = dispatcher.clock() - 60.0
-        assert (await router.ask())[0] == 200  # not closed: it serves on what it knows
+        assert (await router.ask())[
+            0
+        ] == 200  # without `RevocationClosed`: served with the known configuration
         dispatcher.bounds = replace(dispatcher.bounds, revocation_closed=True, revocation_ms=5000)
         assert (await router.ask())[0] == 503
         router.fleet.fresh_at = dispatcher.clock() - 3.0
         assert (await router.ask())[0] == 200
         assert len(peer.heads) == 2
 
-    within(work())
+    run_with_timeout(work())
 
 
 def test_request_and_answer_go_through_unchanged_and_the_connection_is_kept() -> None:
     async def work() -> None:
-        peer = Peer("e1", answer(201, b"body", X_More="1"))
-        router = await made(document(), peer)
+        peer = ScriptedEndpoint("e1", answer(201, b"body", X_More="1"))
+        router = await start_router(document(), peer)
         for _ in range(2):
             status, headers, body = await router.ask(body=b"asked", X_Own="2", Remaining_Milliseconds="900")
             assert (status, body) == (201, b"body")
@@ -58,43 +60,43 @@
         head = peer.heads[1]
         assert head[":first"] == "POST /a/b?c=1 HTTP/1.1" and peer.bodies == [b"asked"] * 2
         assert head["host"] == "h.example" and head["x-own"] == "2" and head["expected-instance"] == "e1"
-        assert 0 < int(head["remaining-milliseconds"]) < 900  # what was held and the margin are off
+        assert 0 < int(head["remaining-milliseconds"]) < 900  # less the time waited and the margin
         assert peer.connections == 1
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_the_route_bounds_the_time_where_the_client_tells_none() -> None:
+def test_the_route_timeout_applies_where_the_client_sends_none() -> None:
     async def work() -> None:
-        peer = Peer("e1", answer())
-        router = await made(document(TimeoutMs=700), peer)
+        peer = ScriptedEndpoint("e1", answer())
+        router = await start_router(document(TimeoutMs=700), peer)
         await router.ask()
         await router.ask(Remaining_Milliseconds="90000")
         assert all(600 < int(head["remaining-milliseconds"]) < 700 for head in peer.heads)
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_nothing_known_no_route_no_key() -> None:
+def test_requests_without_configuration_route_or_key_are_denied() -> None:
     async def work() -> None:
-        status, headers, _ = await (await made(None)).ask()
+        status, headers, _ = await (await start_router(None)).ask()
         assert status == 503 and 0 < float(headers["retry-after"]) < 1
-        peer = Peer("e1", answer())
-        router = await made(document() | {"Tenants": TENANTS}, peer)
+        peer = ScriptedEndpoint("e1", answer())
+        router = await start_router(document() | {"Tenants": TENANTS}, peer)
         assert (await router.ask("/other/"))[0] == 404
         assert (await router.ask())[0] == 401
         assert (await router.ask(X_Api_Key="wrong", Tenant_Name="plain"))[0] == 401
         assert not peer.heads
-        router.fleet.fresh = False  # it may be the router that is behind
+        router.fleet.fresh = False  # the router's configuration may be outdated
         assert (await router.ask())[0] == 503
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_the_tenant_is_set_by_us_alone() -> None:
+def test_internal_headers_of_clients_are_dropped() -> None:
     async def work() -> None:
-        peer = Peer("e1", answer())
-        router = await made(document() | {"Tenants": TENANTS}, peer)
+        peer = ScriptedEndpoint("e1", answer())
+        router = await start_router(document() | {"Tenants": TENANTS}, peer)
         smuggled = {"Tenant_Name": "walled", "Cache_Salt": "x", "Kv_Fetch": "1.1.1.1:1", "Priority": "9"}
         assert (await router.ask(X_Api_Key="key-p", **smuggled))[0] == 200
         head = peer.heads[0]
@@ -104,24 +106,26 @@
         assert (await router.ask(**smuggled))[0] == 200
         assert "tenant-name" not in peer.heads[1]
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_what_surely_has_not_run_is_sent_to_another_endpoint_even_if_it_may_run_once() -> None:
+def test_a_request_that_has_not_run_is_retried_even_if_it_is_not_idempotent() -> None:
     async def work() -> None:
-        peers = [Peer(f"e{n}", FULL, answer()) for n in range(2)]
-        peers[0].acts, peers[1].acts = [FULL], [FULL]
-        router = await made(document(Kind="non_idempotent"), *peers)
+        peers = [ScriptedEndpoint(f"e{n}", REFUSAL, answer()) for n in range(2)]
+        peers[0].acts, peers[1].acts = [REFUSAL], [REFUSAL]
+        router = await start_router(document(Kind="non_idempotent"), *peers)
         status, headers, _ = await router.ask()
         assert status == 503 and 0.2 <= float(headers["retry-after"]) <= 1
-        assert [len(each.heads) for each in peers] == [1, 1]  # each one endpoint once
-        good = await Peer("good", answer()).start()
-        router = await made(document(Kind="non_idempotent"), await Peer("bad", FULL).start())
+        assert [len(each.heads) for each in peers] == [1, 1]  # one attempt at each endpoint
+        good = await ScriptedEndpoint("good", answer()).start()
+        router = await start_router(
+            document(Kind="non_idempotent"), await ScriptedEndpoint("bad", REFUSAL).start()
+        )
         router.fleet.take_roster([*router.fleet.roster, good.entry(zone="far")])
         assert (await router.ask())[0] == 200
         assert len(good.heads) == 1
 
-    within(work())
+    run_with_timeout(work())
 
 
 @pytest.mark.parametrize(
@@ -138,66 +142,66 @@
         stream(ends=False),
     ],
 )
-def test_what_may_have_run_is_neither_repeated_nor_promised(act: Act) -> None:
+def test_a_request_that_may_have_run_is_not_retried_and_answered_with_502(act: Act) -> None:
     async def work() -> None:
-        peers = [Peer(f"e{n}", act) for n in range(2)]
-        router = await made(document(Kind="non_idempotent"), *peers)
+        peers = [ScriptedEndpoint(f"e{n}", act) for n in range(2)]
+        router = await start_router(document(Kind="non_idempotent"), *peers)
         status, headers, _ = await router.ask()
         assert status == 502 and "retry-after" not in headers
         assert sum(len(each.heads) for each in peers) == 1
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_an_idempotent_request_is_repeated_and_a_surplus_answer_ends_its_connection() -> None:
+def test_an_idempotent_request_is_retried_and_an_unmatched_answer_ends_its_connection() -> None:
     async def work() -> None:
-        peers = [Peer(f"e{n}", answer(Attempt_Id="another"), answer()) for n in range(2)]
-        router = await made(document(), *peers)
-        assert (await router.ask())[0] == 502  # both spoilt
+        peers = [ScriptedEndpoint(f"e{n}", answer(Attempt_Id="another"), answer()) for n in range(2)]
+        router = await start_router(document(), *peers)
+        assert (await router.ask())[0] == 502  # both answers carry another id
         assert (await router.ask())[0] == 200
         assert sum(each.connections for each in peers) == 3
-        router = await made(document(), *(Peer(f"f{n}", reset) for n in range(3)))
+        router = await start_router(document(), *(ScriptedEndpoint(f"f{n}", reset) for n in range(3)))
         assert (await router.ask())[0] == 502
         assert router.counters.get("send-broken") == 3
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_attempt_limit_and_budget_bound_the_sends() -> None:
+def test_attempt_limit_and_retry_budget_limit_the_attempts() -> None:
     async def work() -> None:
-        peers = [Peer(f"e{n}", FULL) for n in range(4)]
-        router = await made(document(AttemptLimit=2), *peers)
+        peers = [ScriptedEndpoint(f"e{n}", REFUSAL) for n in range(4)]
+        router = await start_router(document(AttemptLimit=2), *peers)
         assert (await router.ask())[0] == 503
         assert sum(len(each.heads) for each in peers) == 2
-        peers = [Peer(f"f{n}", FULL) for n in range(4)]
-        router = await made(document(), *peers, budget=Allowing(0))
+        peers = [ScriptedEndpoint(f"f{n}", REFUSAL) for n in range(4)]
+        router = await start_router(document(), *peers, budget=FixedBudget(0))
         assert (await router.ask())[0] == 503
         assert sum(len(each.heads) for each in peers) == 1
         assert router.counters.get("request-over-budget") == 1
-        peers = [Peer(f"g{n}", reset) for n in range(4)]
-        router = await made(document(), *peers, budget=Allowing(0))
+        peers = [ScriptedEndpoint(f"g{n}", reset) for n in range(4)]
+        router = await start_router(document(), *peers, budget=FixedBudget(0))
         assert (await router.ask())[0] == 502
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_a_failed_connection_is_no_send() -> None:
+def test_a_failed_connection_is_not_counted_as_an_attempt() -> None:
     async def work() -> None:
-        peers = [await Peer(f"e{n}", answer()).start() for n in range(2)]
+        peers = [await ScriptedEndpoint(f"e{n}", answer()).start() for n in range(2)]
         peers[0].server.close()
         await peers[0].server.wait_closed()
-        router = await Router(document(AttemptLimit=1), *peers, budget=Allowing(0)).start()
+        router = await Router(document(AttemptLimit=1), *peers, budget=FixedBudget(0)).start()
         for _ in range(4):
             assert (await router.ask())[0] == 200
         assert len(peers[1].heads) == 4
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_another_incarnation_is_not_asked_again() -> None:
+def test_an_address_of_another_incarnation_is_not_used_again() -> None:
     async def work() -> None:
-        stale = Peer("old", answer(421, b"", seal=False, Instance_Id="new"))
-        router = await made(document(Kind="non_idempotent"), stale)
+        stale = ScriptedEndpoint("old", answer(421, b"", seal=False, Instance_Id="new"))
+        router = await start_router(document(Kind="non_idempotent"), stale)
         assert [(await router.ask())[0] for _ in range(3)] == [503] * 3
         assert len(stale.heads) == 1 and router.counters.get("stale-endpoint") == 1
         assert router.dispatcher.outcomes.breakers["old"].failures == 0
@@ -205,13 +209,13 @@
         stale.acts = [answer()]
         assert (await router.ask())[0] == 200
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_draining_and_moving_endpoints_get_nothing_new() -> None:
+def test_draining_and_moving_endpoints_get_no_new_requests() -> None:
     async def work() -> None:
-        peers = [Peer(f"e{n}", answer()) for n in range(3)]
-        router = await made(document(), *peers)
+        peers = [ScriptedEndpoint(f"e{n}", answer()) for n in range(3)]
+        router = await start_router(document(), *peers)
         for _ in range(3):
             await router.ask()
         before = [len(each.heads) for each in peers]
@@ -220,13 +224,13 @@
         assert [(await router.ask())[0] for _ in range(4)] == [200] * 4
         assert [len(each.heads) for each in peers] == [before[0], before[1], before[2] + 4]
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_salt_version_store_and_priority_go_together() -> None:
+def test_salt_version_store_and_priority_headers_are_consistent() -> None:
     async def work() -> None:
-        peer = Peer("e1", answer())
-        router = await made(document() | {"Tenants": TENANTS}, peer)
+        peer = ScriptedEndpoint("e1", answer())
+        router = await start_router(document() | {"Tenants": TENANTS}, peer)
         router.fleet.table.services["st"] = RouteTable({"Version": 1, "Services": [STORE]}).services["st"]
         router.fleet.state = ReplicatedConfiguration(weight_versions={"m": 4}, shared_cache_generation=7)
         router.fleet.take_roster([peer.entry(models={"m": 4})])
@@ -234,13 +238,13 @@
         await router.ask(X_Api_Key="key-w", **MODEL)
         router.fleet.take_roster([peer.entry(models={"m": 5})])
         await router.ask(X_Api_Key="key-p", **MODEL)
-        told = [(h["cache-salt"], h["expect-version"], h["priority"]) for h in peer.heads]
-        assert told == [("v4w7", "4", "3"), ("v4t:walled", "4", "0"), ("v5w7", "5", "3")]
-        # Parts that are read faster than moved are neither fetched nor saved.
+        observed = [(h["cache-salt"], h["expect-version"], h["priority"]) for h in peer.heads]
+        assert observed == [("v4w7", "4", "3"), ("v4t:walled", "4", "0"), ("v5w7", "5", "3")]
+        # Parts that are read faster than they are transferred are neither fetched nor saved.
         assert not any({"kv-fetch", "kv-save"} & head.keys() for head in peer.heads)
         await router.ask(X_Api_Key="key-p", **LONG)
         assert peer.heads[-1]["kv-fetch"] == peer.heads[-1]["kv-save"] == "172.20.0.2:8080"
-        # On its way to the store already: not sent there twice.
+        # The part is already being saved, so it is not sent to the store again.
         await router.ask(X_Api_Key="key-p", **LONG)
         assert "kv-save" not in peer.heads[-1]
         router.fleet.take_roster([peer.entry(models={})])
@@ -251,15 +255,15 @@
         assert unknown[0]["cache-salt"] != unknown[1]["cache-salt"]
         assert not any({"expect-version", "kv-fetch", "kv-save"} & head.keys() for head in unknown)
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_older_weights_are_as_good_as_newer_ones_but_only_for_a_while() -> None:
-    """While endpoints are being moved, those not yet moved have all their parts: they carry their share."""
+def test_older_weights_are_used_like_newer_ones_until_the_apply_time_ends() -> None:
+    """During a roll-out, endpoints with the older weights keep their caches and take their share."""
 
     async def work() -> None:
-        old, new = Peer("old", answer()), Peer("new", answer())
-        router = await made(document(), old, new)
+        old, new = ScriptedEndpoint("old", answer()), ScriptedEndpoint("new", answer())
+        router = await start_router(document(), old, new)
         now = 100.0
         router.dispatcher.clock = lambda: now + asyncio.get_running_loop().time()
         router.dispatcher.versions.look(0.0)
@@ -271,7 +275,7 @@
         router.fleet.take_roster([old.entry()])
         assert (await router.ask(**MODEL, **late))[0] == 200
         router.fleet.take_roster([old.entry(), new.entry(models={"m": 2})])
-        for _ in range(3):  # to where a connection is kept: newer weights don't go before that
+        for _ in range(3):  # to the endpoint with an idle connection: newer weights do not outweigh it
             assert (await router.ask(**MODEL, **late))[0] == 200
         assert (len(old.heads), len(new.heads)) == (4, 0)
         assert {head["expect-version"] for head in old.heads} == {"1"}
@@ -286,91 +290,98 @@
         assert (await router.ask(**MODEL, **late))[0] == 503
         assert len(old.heads) == before[0]
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_connections_to_an_endpoint_are_bounded_by_the_share_of_its_limit() -> None:
+def test_connections_to_an_endpoint_are_limited_to_the_share_of_its_limit() -> None:
     async def work() -> None:
         never = asyncio.Event()
-        peer = Peer("e1", stream(b"data: 1\n\n", never))
-        router = await made(document(Kind="streaming"), peer)
+        peer = ScriptedEndpoint("e1", stream(b"data: 1\n\n", never))
+        router = await start_router(document(Kind="streaming"), peer)
         router.fleet.routers = 45  # 90 / 45 = 2
         readers = [await router.open() for _ in range(2)]
         begun = [await each.readuntil(b"data: 1") for each in readers]
         third = await router.open()
-        assert parsed(await third.read())[0] == 503
+        assert parse_answer(await third.read())[0] == 503
         never.set()
         for came, each in zip(begun, readers, strict=True):
-            assert unchunked(parsed(came + await each.read())[2]) == (b"data: 1\n\n", True)
+            assert decode_chunked(parse_answer(came + await each.read())[2]) == (b"data: 1\n\n", True)
         assert peer.connections == 2
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_an_open_breaker_refuses_at_once_with_a_time_to_come_back() -> None:
+def test_an_open_breaker_refuses_at_once_with_retry_after() -> None:
     async def work() -> None:
-        peer = Peer("e1", reset)
-        router = await made(document(Kind="non_idempotent", AttemptLimit=1), peer)
+        peer = ScriptedEndpoint("e1", reset)
+        router = await start_router(document(Kind="non_idempotent", AttemptLimit=1), peer)
         assert [(await router.ask())[0] for _ in range(3)] == [502] * 3
         status, headers, _ = await router.ask()
         assert status == 503 and float(headers["retry-after"]) == 1.0 and len(peer.heads) == 3
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_an_exchange_whose_client_has_gone_already_is_not_sent() -> None:
+def test_a_request_whose_client_has_disconnected_is_not_sent() -> None:
     async def work() -> None:
-        peer = Peer("e1", answer())
-        router = await made(document(), peer)
+        peer = ScriptedEndpoint("e1", answer())
+        router = await start_router(document(), peer)
         seen = asyncio.Event()
 
-        def gone_at_once(exchange: Exchange) -> None:
+        def disconnect_then_handle(exchange: Exchange) -> None:
             exchange.client_gone()
             router.dispatcher.handle(exchange)
             seen.set()
 
-        router.server.handler = gone_at_once
+        router.server.handler = disconnect_then_handle
         await router.open()
         await seen.wait()
         await router.dispatcher.drained()
         assert not peer.heads
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_a_prompt_waits_while_its_shared_part_is_read_for_another() -> None:
+def test_a_prompt_waits_while_its_shared_part_is_read_for_another_prompt() -> None:
     async def work() -> None:
-        first_piece = asyncio.Event()
-        slow = stream(first_piece, b"data: 1\n\n")
-        peers = [Peer("e0", slow, stream(b"data: 2\n\n")), Peer("e1", slow, stream(b"data: 2\n\n"))]
-        router = await made(document(Kind="streaming", TargetLatencyMs=20_000, TimeoutMs=30_000), *peers)
+        first_chunk = asyncio.Event()
+        slow = stream(first_chunk, b"data: 1\n\n")
+        peers = [
+            ScriptedEndpoint("e0", slow, stream(b"data: 2\n\n")),
+            ScriptedEndpoint("e1", slow, stream(b"data: 2\n\n")),
+        ]
+        router = await start_router(
+            document(Kind="streaming", TargetLatencyMs=20_000, TimeoutMs=30_000), *peers
+        )
         calls: list[int] = []
         router.dispatcher.outcomes.asked = lambda keys, routes, now: calls.append(routes)  # type: ignore[method-assign]
-        one = asyncio.ensure_future(router.ask(**hyphenless(LONG)))
+        one = asyncio.ensure_future(router.ask(**as_keywords(LONG)))
         while not any(each.heads for each in peers):
             await asyncio.sleep(0)
         another = LONG | {"Prompt-Prefix": "aa:13300,cc:3700"}
-        two = asyncio.ensure_future(router.ask(Attempt_Id="id-2", **hyphenless(another)))
+        two = asyncio.ensure_future(router.ask(Attempt_Id="id-2", **as_keywords(another)))
         while not router.counters.get("request-waited-for-reading"):
             await asyncio.sleep(0)
         asked = len(calls)
         await asyncio.sleep(4 * READING_POLL_S)
         assert sum(len(each.heads) for each in peers) == 1
-        assert len(calls) == asked == 2  # the breakers hear of each request once, however long it waits
-        first_piece.set()
+        assert (
+            len(calls) == asked == 2
+        )  # each request is reported to the breakers once, however long it waits
+        first_chunk.set()
         assert [(await each)[0] for each in (one, two)] == [200, 200]
-        assert sorted(len(each.heads) for each in peers) == [0, 2]  # there the part is kept by then
+        assert sorted(len(each.heads) for each in peers) == [0, 2]  # the part is cached there by then
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_the_wait_for_anothers_reading_ends_with_a_share_of_the_target() -> None:
+def test_the_wait_for_another_prompts_reading_is_limited_by_the_latency_target() -> None:
     async def work() -> None:
         never = asyncio.Event()
-        peers = [Peer("e0", stream(never)), Peer("e1", stream(never))]
-        router = await made(document(Kind="streaming", TargetLatencyMs=60, TimeoutMs=30_000), *peers)
+        peers = [ScriptedEndpoint("e0", stream(never)), ScriptedEndpoint("e1", stream(never))]
+        router = await start_router(document(Kind="streaming", TargetLatencyMs=60, TimeoutMs=30_000), *peers)
         waiting = [
-            asyncio.ensure_future(router.ask(Attempt_Id=f"id-{number}", **hyphenless(LONG)))
+            asyncio.ensure_future(router.ask(Attempt_Id=f"id-{number}", **as_keywords(LONG)))
             for number in range(2)
         ]
         while sum(len(each.heads) for each in peers) < 2:
@@ -379,13 +390,13 @@
             each.cancel()
         router.dispatcher.end_requests()
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_a_request_waits_for_what_a_router_that_has_just_started_lacks() -> None:
+def test_a_request_waits_for_the_configuration_of_a_router_that_has_just_started() -> None:
     async def work() -> None:
-        peer = Peer("e0", answer())
-        router = await made(None, peer)
+        peer = ScriptedEndpoint("e0", answer())
+        router = await start_router(None, peer)
         early = asyncio.ensure_future(router.ask())
         while not router.counters.get("request-waited-for-start"):
             await asyncio.sleep(0)
@@ -395,34 +406,34 @@
         router.fleet.tell("configuration")
         assert (await early)[0] == 200
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_a_router_that_lacks_it_for_long_refuses_at_once() -> None:
+def test_a_router_that_has_no_configuration_for_long_refuses_at_once() -> None:
     async def work() -> None:
-        router = await made(None, Peer("e0", answer()))
+        router = await start_router(None, ScriptedEndpoint("e0", answer()))
         router.dispatcher.started_at -= STARTUP_S
         status, headers, _ = await router.ask()
         assert status == 503 and float(headers["retry-after"]) > 0
         assert not router.counters.get("request-waited-for-start")
 
-    within(work())
+    run_with_timeout(work())
 
 
-def hyphenless(headers: dict[str, str]) -> dict[str, str]:
+def as_keywords(headers: dict[str, str]) -> dict[str, str]:
     """The headers as keyword arguments."""
     return {name.replace("-", "_"): value for name, value in headers.items()}
 
 
-def test_a_prompt_is_told_of_before_its_endpoint_is_connected_to() -> None:
-    """Behind the body the news would come late, and another router would choose the same endpoint."""
+def test_a_placement_is_announced_before_the_connection_is_opened() -> None:
+    """If the announcement came after the body, another router could choose the same endpoint meanwhile."""
 
     async def work() -> None:
-        peer = Peer("e0", stream(b"data: 1\n\n"))
-        router = await made(document(Kind="streaming"), peer)
-        told: list[tuple[str, int]] = []
-        router.dispatcher.publish_prompt_event = lambda event: told.append((event[0], peer.connections))
-        assert (await router.ask(**hyphenless(LONG)))[0] == 200
-        assert told[0] == ("placed", 0) and [kind for kind, _ in told] == ["placed", "read", "done"]
-
-    within(work())
+        peer = ScriptedEndpoint("e0", stream(b"data: 1\n\n"))
+        router = await start_router(document(Kind="streaming"), peer)
+        observed: list[tuple[str, int]] = []
+        router.dispatcher.publish_prompt_event = lambda event: observed.append((event[0], peer.connections))
+        assert (await router.ask(**as_keywords(LONG)))[0] == 200
+        assert observed[0] == ("placed", 0) and [kind for kind, _ in observed] == ["placed", "read", "done"]
+
+    run_with_timeout(work())
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -15,7 +15,19 @@
 from plumline.router.upstream import UpstreamConnection
 from plumline.routing.cache_salt import cache_owner_of, salt_for
 from plumline.routing.fleet import Address
-from tests.dispatch_world import FULL, LONG, MODEL, Act, Peer, Router, answer, document, made, stream, within
+from tests.dispatch_world import (
+    LONG,
+    MODEL,
+    REFUSAL,
+    Act,
+    Router,
+    ScriptedEndpoint,
+    answer,
+    document,
+    run_with_timeout,
+    start_router,
+    stream,
+)
 
 HALL, LIBRARY = "hall", "library"
 CONNECT_TIMEOUT_S = 5.0  # a loaded test machine exceeds a router's default timeout
@@ -47,9 +59,9 @@
         fleet.tell("configuration")
 
 
-async def router_and_operator(*peers: Peer, **route: object) -> tuple[Router, Operator]:
+async def router_and_operator(*peers: ScriptedEndpoint, **route: object) -> tuple[Router, Operator]:
     route = {"TimeoutMs": 9000} | route
-    router = await made(document(**route) | {"Tenants": BOTH_SHARE}, *peers)
+    router = await start_router(document(**route) | {"Tenants": BOTH_SHARE}, *peers)
     router.dispatcher.pool.connect_timeout = CONNECT_TIMEOUT_S
     operator = Operator(router, **route)
     operator.set_tenants(BOTH_SHARE)
@@ -65,7 +77,7 @@
     async def work() -> None:
         first_piece = asyncio.Event()
         slow = stream(first_piece, b"data: 1\n\n")
-        peers = [Peer(name, slow, stream(b"data: 2\n\n")) for name in ("e0", "e1")]
+        peers = [ScriptedEndpoint(name, slow, stream(b"data: 2\n\n")) for name in ("e0", "e1")]
         route = {"Kind": "streaming", "TargetLatencyMs": 20_000, "TimeoutMs": 30_000}
         router, operator = await router_and_operator(*peers, **route)
         of_hall = asyncio.ensure_future(router.ask(X_Api_Key="key-hall", **LONG_SHARED_PARTS))
@@ -82,7 +94,7 @@
         salts = {head["tenant-name"]: head["cache-salt"] for each in peers for head in each.heads}
         assert salts == {HALL: "v1w0", LIBRARY: "v1t:library"}
 
-    within(work())
+    run_with_timeout(work())
 
 
 # Guards against the same in a second attempt, which may be sent seconds after the admission.
@@ -90,18 +102,20 @@
     async def work() -> None:
         operator: Operator
 
-        async def isolate_and_refuse(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+        async def isolate_and_refuse(
+            peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter
+        ) -> None:
             operator.set_tenants(LIBRARY_ISOLATED)
             for each in peers:
                 each.acts = [answer()]
-            await FULL(peer, head, writer)
+            await REFUSAL(peer, head, writer)
 
-        peers = [Peer(name, isolate_and_refuse) for name in ("e0", "e1")]
+        peers = [ScriptedEndpoint(name, isolate_and_refuse) for name in ("e0", "e1")]
         router, operator = await router_and_operator(*peers)
         assert (await router.ask(X_Api_Key="key-library", **SHORT))[0] == 200
         assert sorted(head["cache-salt"] for each in peers for head in each.heads) == ["v1t:library", "v1w0"]
 
-    within(work())
+    run_with_timeout(work())
 
 
 # Guards against the same when the router resumes a stream, which may be seconds after the admission too.
@@ -109,25 +123,27 @@
     async def work() -> None:
         operator: Operator
 
-        async def isolate_and_cut(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+        async def isolate_and_cut(
+            peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter
+        ) -> None:
             operator.set_tenants(LIBRARY_ISOLATED)
             for each in peers:
                 each.acts = [rest]
             await stream(b"id: 1\ndata: a\n\n", ends=False)(peer, head, writer)
 
         rest: Act = stream(b"id: 2\ndata: b\n\n")
-        peers = [Peer(name, isolate_and_cut) for name in ("e0", "e1")]
+        peers = [ScriptedEndpoint(name, isolate_and_cut) for name in ("e0", "e1")]
         router, operator = await router_and_operator(*peers, Kind="streaming", Resumable=True)
         assert (await router.ask(X_Api_Key="key-library", **SHORT))[0] == 200
         assert sorted(head["cache-salt"] for each in peers for head in each.heads) == ["v1t:library", "v1w0"]
 
-    within(work())
+    run_with_timeout(work())
 
 
 # Guards against a change while a connection is made, between the choice of an endpoint and the send.
 def test_a_request_whose_tenant_becomes_isolated_while_it_connects_uses_its_own_cache() -> None:
     async def work() -> None:
-        peer = Peer("e0", answer())
+        peer = ScriptedEndpoint("e0", answer())
         router, operator = await router_and_operator(peer)
         connect = router.dispatcher.pool.connect
 
@@ -141,26 +157,28 @@
         assert (await router.ask(X_Api_Key="key-library", **SHORT))[0] == 200
         assert [head["cache-salt"] for head in peer.heads] == ["v1t:library"]
 
-    within(work())
+    run_with_timeout(work())
 
 
 def test_a_request_that_waits_while_its_tenant_begins_to_share_uses_the_shared_cache() -> None:
     async def work() -> None:
         operator: Operator
 
-        async def share_and_refuse(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+        async def share_and_refuse(
+            peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter
+        ) -> None:
             operator.set_tenants(BOTH_SHARE)
             for each in peers:
                 each.acts = [answer()]
-            await FULL(peer, head, writer)
+            await REFUSAL(peer, head, writer)
 
-        peers = [Peer(name, share_and_refuse) for name in ("e0", "e1")]
+        peers = [ScriptedEndpoint(name, share_and_refuse) for name in ("e0", "e1")]
         router, operator = await router_and_operator(*peers)
         operator.set_tenants(LIBRARY_ISOLATED)
         assert (await router.ask(X_Api_Key="key-library", **SHORT))[0] == 200
         assert sorted(head["cache-salt"] for each in peers for head in each.heads) == ["v1t:library", "v1w1"]
 
-    within(work())
+    run_with_timeout(work())
 
 
 # Any history of configurations, with routers that lag behind and requests sent long after their admission.
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -1,13 +1,13 @@
-"""What bounds a request in time: what endpoints are told, and the route's own time; and what a router says
-that knows no configuration yet.
+"""Time limits of a request: the remaining time sent to endpoints, and the route's timeout; and the answers
+of a router without a configuration.
 """
 
 import asyncio
 from typing import Any
 
 import pytest
-from test_dispatch import Peer, answer, document, made, within
 from test_dispatch import Router as DispatchingRouter
+from test_dispatch import ScriptedEndpoint, answer, document, run_with_timeout, start_router
 from wire_world import (
     TIMEOUT_S,
     Answer,
@@ -27,16 +27,16 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "ms"),
+    ("value", "ms"),
     [(b"1500", 1500.0), (b"1500.5", 1500.5), (b"0", 0.0), (b"soon", None), (b"-1", None), (b"1e9", None)],
 )
-def test_the_time_that_a_client_tells(told: bytes, ms: float | None) -> None:
-    assert remaining_ms([(b"remaining-milliseconds", told)]) == (float("inf") if ms is None else ms)
+def test_parsing_of_remaining_milliseconds(value: bytes, ms: float | None) -> None:
+    assert remaining_ms([(b"remaining-milliseconds", value)]) == (float("inf") if ms is None else ms)
 
 
-def test_every_send_tells_a_time_that_ends_with_the_clients() -> None:
-    """Also one that follows long after the first."""
-    ends: list[tuple[float, float]] = []  # what the client and what the endpoint was told, in s of the run
+def test_every_attempt_is_sent_with_the_clients_deadline() -> None:
+    """Also for a retry long after the first attempt."""
+    ends: list[tuple[float, float]] = []  # deadlines of the client and of the endpoint, in s of the run
 
     async def late_refusal(
         connection: EndpointConnection, asked: Asked, arrival: Arrival, headers: Headers
@@ -52,12 +52,12 @@
         assert world.play() == []
         repeats += world.allowance.granted
     assert repeats > 50
-    # 10 ms on the way to the router, and up to 50 ms until an endpoint reads on behind its answer before.
-    late = [(clients, ours) for clients, ours in ends if ours > clients + 0.08]
+    # 10 ms in transit to the router, and up to 50 ms until an endpoint reads on after its previous answer.
+    late = [(client_s, endpoint_s) for client_s, endpoint_s in ends if endpoint_s > client_s + 0.08]
     assert late == []
 
 
-def test_silent_endpoints_and_connections_that_never_come_up_end_with_the_routes_time() -> None:
+def test_silent_endpoints_and_failing_connections_end_at_the_route_timeout() -> None:
     async def silence(
         connection: EndpointConnection, asked: Asked, arrival: Arrival, headers: Headers
     ) -> None:
@@ -71,15 +71,15 @@
         assert waited and {each.status for each in waited} <= {502, 503, 504}
 
 
-def test_a_router_without_a_configuration_promises_503_for_what_it_may_allow() -> None:
+def test_a_router_without_a_configuration_answers_503_to_requests_it_may_allow() -> None:
     async def work() -> None:
-        router = await made(None)
+        router = await start_router(None)
         router.server.limits = lambda: UNCONFIGURED_LIMITS
         for given in ({}, {"X_Api_Key": "any"}, {"X_Long": "x" * 30_000}, {"body": b"x" * 5_000_000}):
             status, headers, _ = await router.ask("/anything/", **given)
             assert status == 503 and float(headers["retry-after"]) < 1, given
 
-    within(work())
+    run_with_timeout(work())
     usual = FixedLimits()
     assert (
         UNCONFIGURED_LIMITS.header_bytes > usual.header_bytes
@@ -87,9 +87,11 @@
     )
 
 
-def test_an_older_router_says_503_where_a_newer_configuration_may_allow_it() -> None:
+def test_an_outdated_router_answers_503_where_a_newer_configuration_may_allow_it() -> None:
     async def work() -> None:
-        router: DispatchingRouter = await made(document(), await Peer("e1", answer()).start())
+        router: DispatchingRouter = await start_router(
+            document(), await ScriptedEndpoint("e1", answer()).start()
+        )
         router.fleet.fresh = False
         assert (await router.ask("/other/"))[0] == 503
         assert (await router.ask())[0] == 200
@@ -97,26 +99,26 @@
         router.fleet.table = RouteTable(document() | tenants)
         assert (await router.ask(X_Api_Key="new"))[0] == 503
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_more_urgent_requests_are_told_so_to_the_endpoint() -> None:
+def test_the_priority_rank_is_sent_to_the_endpoint() -> None:
     async def work() -> None:
-        peer = Peer("e1", answer())
-        router = await made(document(), peer)
-        told = []
+        peer = ScriptedEndpoint("e1", answer())
+        router = await start_router(document(), peer)
+        priorities = []
         for rank in range(5):
             router.fleet.table = RouteTable(document(Priority=rank))
             await router.ask(Model_Name="m", Token_Counts="100,5", Prompt_Prefix="aa:100")
-            told.append(int(peer.heads[-1]["priority"]))
-        assert told == sorted(set(told))
+            priorities.append(int(peer.heads[-1]["priority"]))
+        assert priorities == sorted(set(priorities))
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_the_server_that_the_router_uses_takes_its_limits_anew_for_each_request() -> None:
+def test_the_server_reads_its_limits_for_each_request() -> None:
     async def work() -> None:
-        router = await made(document(), Peer("e1", answer()))
+        router = await start_router(document(), ScriptedEndpoint("e1", answer()))
         assert isinstance(router.server, Server)
         limits = FixedLimits(header_bytes=400)
         router.server.limits = lambda: limits
@@ -124,22 +126,22 @@
         limits = FixedLimits(header_bytes=4000)
         assert (await router.ask(X_Long="x" * 500))[0] == 200
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_a_request_sent_ahead_has_its_time_from_when_it_came() -> None:
-    """Its client counts the time that it waits behind the one before."""
+def test_the_time_of_a_pipelined_request_starts_when_it_arrives() -> None:
+    """The time that it waits for the request before it counts against its client's limit."""
 
     async def work() -> None:
         release = asyncio.Event()
-        told: list[int] = []
+        remaining_ms_sent: list[int] = []
 
-        async def act(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
-            told.append(int(head["remaining-milliseconds"]))
+        async def act(peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+            remaining_ms_sent.append(int(head["remaining-milliseconds"]))
             await release.wait()
             await answer()(peer, head, writer)
 
-        router = await made(document(), Peer("e1", act))
+        router = await start_router(document(), ScriptedEndpoint("e1", act))
         loop = asyncio.get_running_loop()
         one = b"GET /a/ HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: %d\r\nRemaining-Milliseconds: 900\r\n\r\n"
         reader, writer = await asyncio.open_connection(*router.server.address())
@@ -147,7 +149,7 @@
         loop.call_later(0.2, release.set)
         for _ in range(2):
             await reader.readuntil(b"whole")
-        assert told[0] > 800 and told[1] < 700
+        assert remaining_ms_sent[0] > 800 and remaining_ms_sent[1] < 700
         writer.close()
 
-    within(work())
+    run_with_timeout(work())
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -1,4 +1,4 @@
-"""Reserved shares on the ordinary path: configuration, feed, router, and a flood of a real fleet."""
+"""Reserved shares along the request path: configuration, feed, router, and a flood of a local fleet."""
 
 import asyncio
 import time
@@ -18,7 +18,16 @@
 from plumline.registrar.publisher import FeedPublisher, Subscriber
 from plumline.routing.read_rates import START_TOKENS_PER_MS
 from plumline.routing.reserved_quota import CALM, Standing
-from tests.dispatch_world import FULL, MODEL, Peer, Router, answer, document, made, within
+from tests.dispatch_world import (
+    MODEL,
+    REFUSAL,
+    Router,
+    ScriptedEndpoint,
+    answer,
+    document,
+    run_with_timeout,
+    start_router,
+)
 
 TENANTS = [
     {"Name": "library", "ApiKeys": ["key-l"], "Priority": 2, "ReservedShare": 0.3},
@@ -46,14 +55,14 @@
     validate(with_tenants({"Name": "a", "ReservedShare": share}, {"Name": "b"}))
 
 
-def test_shares_add_up_to_the_whole_at_the_most() -> None:
+def test_shares_add_up_to_one_at_most() -> None:
     tenths = [{"Name": str(n), "ReservedShare": 0.1} for n in range(10)]
     validate(with_tenants(*tenths))
     with pytest.raises(ConfigurationInvalidError, match=r"Tenants.ReservedShare: 1.05 is not allowed"):
         validate(with_tenants(*tenths, {"Name": "a", "ReservedShare": 0.05}))
 
 
-def test_an_amendment_may_not_reserve_more_than_there_is() -> None:
+def test_an_amendment_may_not_reserve_more_than_one() -> None:
     before = with_tenants({"Name": "a", "ReservedShare": 0.6}, {"Name": "b"})
     change = {"Version": 2, "Upserts": {"Tenants": [{"Name": "b", "ReservedShare": 0.5}]}}
     with pytest.raises(ConfigurationInvalidError, match="add up to 1"):
@@ -76,7 +85,7 @@
 
 
 class RecordingPublisher(FeedPublisher):
-    """A publisher whose heartbeats a test reads."""
+    """A publisher that records its heartbeats."""
 
     def __init__(self) -> None:
         super().__init__(SimpleNamespace(committed_index=7), SimpleNamespace(), 1.2)  # type: ignore[arg-type]
@@ -85,7 +94,7 @@
     def broadcast(self, message: list[Any]) -> None:
         self.messages.append(message)
 
-    def say(self, node: str, *heartbeat: Any) -> None:  # noqa: ANN401
+    def receive_heartbeat(self, node: str, *heartbeat: Any) -> None:  # noqa: ANN401
         link: Any = Link(node)
         self.subscribers[link] = Subscriber(link, node)
         self.on_subscriber_message(link, ["heartbeat", 3, *heartbeat], 10.0)
@@ -95,107 +104,111 @@
         return self.messages.pop()
 
 
-def test_beats_carry_the_sum_of_what_all_routers_are_asked_for() -> None:
+def test_heartbeats_carry_the_sum_of_the_demand_at_all_routers() -> None:
     publisher = RecordingPublisher()
-    publisher.say("a", {"s": [1.0, 2.0, [{"x": 10.0, "y": 1.0}, 0.0, 0]]})
-    publisher.say("b", {"s": [0.5, 0.5, [{"x": 5.0}, 2.0, 4]], "t": [1.0, 0.0]})
-    publisher.say("c", {"s": [0.5, 0.0]})  # knows of no reserve yet
+    publisher.receive_heartbeat("a", {"s": [1.0, 2.0, [{"x": 10.0, "y": 1.0}, 0.0, 0]]})
+    publisher.receive_heartbeat("b", {"s": [0.5, 0.5, [{"x": 5.0}, 2.0, 4]], "t": [1.0, 0.0]})
+    publisher.receive_heartbeat("c", {"s": [0.5, 0.0]})  # has no configuration with a reserved share yet
     assert publisher.published_heartbeat() == [
         *("beat", True, 7, [], 3),
         {"s": [2.0, 2.5, [{"x": 15.0, "y": 1.0}, 2.0, 4]], "t": [1.0, 0.0]},
     ]
 
 
-def test_beats_are_as_ever_where_nothing_is_reserved() -> None:
+def test_heartbeats_are_unchanged_where_nothing_is_reserved() -> None:
     publisher = RecordingPublisher()
-    publisher.say("a", {"s": [1.0, 2.0]})
+    publisher.receive_heartbeat("a", {"s": [1.0, 2.0]})
     assert publisher.published_heartbeat() == ["beat", True, 7, [], 1, {"s": [1.0, 2.0]}]
 
 
 @pytest.mark.parametrize("rates", [[1.0], "ab", [1.0, None], [1.0, float("nan")], [1.0, -2.0], [1, 2, [], 4]])
-def test_a_heartbeat_with_malformed_rates_is_no_frame_of_ours(rates: object) -> None:
+def test_a_heartbeat_with_malformed_rates_is_rejected(rates: object) -> None:
     with pytest.raises(FrameError):
-        RecordingPublisher().say("a", {"s": rates})
+        RecordingPublisher().receive_heartbeat("a", {"s": rates})
 
 
-def test_a_malformed_demand_of_one_router_leaves_the_others_sum() -> None:
+def test_a_malformed_demand_of_one_router_keeps_the_others_sum() -> None:
     publisher = RecordingPublisher()
-    publisher.say("a", {"s": [1.0, 2.0, [{"x": "much"}, 0.0, 0]]})
-    publisher.say("b", {"s": [1.0, 2.0, [{"x": 5.0}, 0.0, 0]]})
+    publisher.receive_heartbeat("a", {"s": [1.0, 2.0, [{"x": "much"}, 0.0, 0]]})
+    publisher.receive_heartbeat("b", {"s": [1.0, 2.0, [{"x": 5.0}, 0.0, 0]]})
     assert publisher.published_heartbeat()[-1] == {"s": [2.0, 4.0, [{"x": 5.0}, 0.0, 0]]}
 
 
 # --- the router
 
 
-class Steps:
-    """A clock that only a test moves on; it begins at the time that the router began with."""
+class ManualClock:
+    """A clock that is advanced by the test; it starts at the time at which the router started."""
 
     def __init__(self) -> None:
-        self.began, self.ahead = time.monotonic(), 0.0
+        self.began, self.offset_s = time.monotonic(), 0.0
 
     def __call__(self) -> float:
-        return self.began + self.ahead
+        return self.began + self.offset_s
 
 
-async def asked(router: Router, clock: Steps, key: str, tokens: int) -> tuple[int, dict[str, str]]:
-    """One request 20 ms after the last."""
-    clock.ahead += 0.02
+async def send_request(
+    router: Router, clock: ManualClock, key: str, tokens: int
+) -> tuple[int, dict[str, str]]:
+    """Sends one request, 20 ms after the last one."""
+    clock.offset_s += 0.02
     given = MODEL | {"Token-Counts": f"{tokens},10", "Prompt-Prefix": f"aa:{tokens}", "X-Api-Key": key}
     status, headers, _ = await router.ask(**{name.replace("-", "_"): each for name, each in given.items()})
     return status, headers
 
 
-async def prepared(tenants: list[dict[str, Any]], peers: int = 2) -> tuple[Router, Steps, list[Peer]]:
-    each = [Peer(f"e{n}", answer()) for n in range(peers)]
-    router = await made(with_tenants(*tenants, TimeoutMs=60000), *each)
-    router.dispatcher.clock = clock = Steps()
+async def start_with_tenants(
+    tenants: list[dict[str, Any]], peers: int = 2
+) -> tuple[Router, ManualClock, list[ScriptedEndpoint]]:
+    each = [ScriptedEndpoint(f"e{n}", answer()) for n in range(peers)]
+    router = await start_router(with_tenants(*tenants, TimeoutMs=60000), *each)
+    router.dispatcher.clock = clock = ManualClock()
     return router, clock, each
 
 
-def heads(peers: list[Peer], tenant: str) -> list[dict[str, str]]:
+def heads(peers: list[ScriptedEndpoint], tenant: str) -> list[dict[str, str]]:
     return [head for each in peers for head in each.heads if head["tenant-name"] == tenant]
 
 
-def test_in_a_flood_the_surging_tenant_is_refused_at_once_and_the_reserve_is_served() -> None:
+def test_in_a_flood_the_surging_tenant_is_refused_and_the_reserved_share_is_served() -> None:
     async def work() -> None:
-        router, clock, peers = await prepared(TENANTS)
+        router, clock, peers = await start_with_tenants(TENANTS)
         refused = 0
         for n in range(60):
-            status, headers = await asked(router, clock, "key-o", FLOOD_TOKENS)
+            status, headers = await send_request(router, clock, "key-o", FLOOD_TOKENS)
             if status == 429:
                 refused += 1
                 assert 0.2 <= float(headers["retry-after"]) <= 1.0
                 assert headers["attempt-id"] == "id-1" and "server-seal" not in headers
             if n % 5 == 0:
-                assert (await asked(router, clock, "key-l", 1000))[0] == 200
+                assert (await send_request(router, clock, "key-l", 1000))[0] == 200
         assert refused > 30
-        assert len(heads(peers, "other")) == 60 - refused  # what was refused was never sent
+        assert len(heads(peers, "other")) == 60 - refused  # refused requests were never sent
         assert router.counters.get("request-over-share") == refused
         mine = [int(head["priority"]) for head in heads(peers, "library")[3:]]
         theirs = [int(head["priority"]) for head in heads(peers, "other")[-3:]]
         assert max(mine) < min(theirs)
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_without_a_reserve_a_flood_is_treated_as_ever() -> None:
+def test_without_a_reserved_share_no_request_of_a_flood_is_refused() -> None:
     async def work() -> None:
-        router, clock, _ = await prepared(PLAIN)
-        assert {(await asked(router, clock, "key-o", 15000))[0] for _ in range(60)} == {200}
+        router, clock, _ = await start_with_tenants(PLAIN)
+        assert {(await send_request(router, clock, "key-o", 15000))[0] for _ in range(60)} == {200}
         assert router.dispatcher.work_rates()["s"][2:] == []
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_below_the_capacity_a_reserve_changes_no_decision() -> None:
+def test_below_the_capacity_a_reserved_share_changes_no_decision() -> None:
     async def sent(tenants: list[dict[str, Any]]) -> list[tuple[str, ...]]:
-        router, clock, peers = await prepared(tenants, 3)
+        router, clock, peers = await start_with_tenants(tenants, 3)
         names = ("priority", "cache-salt", "expect-version", "expected-instance", "tenant-name", "kv-fetch")
         found = []
         for n in range(40):
-            clock.ahead += 0.1
-            assert (await asked(router, clock, f"key-{'ol'[n % 2]}", 2000))[0] == 200
+            clock.offset_s += 0.1
+            assert (await send_request(router, clock, f"key-{'ol'[n % 2]}", 2000))[0] == 200
             (head,) = [head for each in peers for head in each.heads]
             found.append(tuple(head.get(name, "") for name in names))
             for each in peers:
@@ -205,17 +218,19 @@
     async def work() -> None:
         assert await sent(TENANTS) == await sent(PLAIN)
 
-    within(work())
+    run_with_timeout(work())
 
 
 @pytest.mark.parametrize(("waits_ms", "status"), [(0.0, 200), (2500.0, 429)])
-def test_over_share_in_a_slight_surge_goes_last_or_not_at_all_if_late(waits_ms: float, status: int) -> None:
+def test_over_share_in_a_slight_surge_has_last_priority_or_is_refused_if_late(
+    waits_ms: float, status: int
+) -> None:
     async def work() -> None:
-        router, clock, peers = await prepared(TENANTS, 1)
+        router, clock, peers = await start_with_tenants(TENANTS, 1)
         router.dispatcher.load("e0").unread = waits_ms * START_TOKENS_PER_MS
         shares = router.dispatcher.shares
         shares.ask = lambda *given: Standing(1.1, True, True, 0.4)  # type: ignore[method-assign]
-        got, headers = await asked(router, clock, "key-o", 1000)
+        got, headers = await send_request(router, clock, "key-o", 1000)
         assert got == status
         if status == 200:
             assert peers[0].heads[0]["priority"] == "8"
@@ -223,41 +238,41 @@
             assert not peers[0].heads and headers["retry-after"] == "0.40"
             assert router.counters.get("request-over-share") == 1
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_what_the_fleet_is_told_reaches_the_router_and_its_own_goes_out() -> None:
+def test_the_fleets_demand_reaches_the_router_and_its_own_is_reported() -> None:
     async def work() -> None:
-        router, clock, _ = await prepared(TENANTS)
-        assert (await asked(router, clock, "key-o", 2000))[0] == 200
+        router, clock, _ = await start_with_tenants(TENANTS)
+        assert (await send_request(router, clock, "key-o", 2000))[0] == 200
         (short, long, demand) = router.dispatcher.work_rates()["s"]
         assert short + long > 0 and set(demand[0]) == {"other"} and demand[1:] == [0.0, 0]
         router.fleet.routers = 4
         router.dispatcher.on_fleet_work(
             {"s": [9000.0, 0.0, [{"other": 9000.0}, 0.0, 0]], "gone": [1.0, 1.0, []]}
         )
-        clock.ahead += 0.2
-        found = [(await asked(router, clock, "key-o", 2000))[0] for _ in range(40)]
+        clock.offset_s += 0.2
+        found = [(await send_request(router, clock, "key-o", 2000))[0] for _ in range(40)]
         assert found.count(429) > 20
-        # A new configuration without a reserve ends it.
+        # A new configuration without a reserved share ends the refusals.
         router.fleet.table = RouteTable(with_tenants(*PLAIN) | {"Version": 2})
         router.fleet.tell("configuration")
-        assert (await asked(router, clock, "key-o", 2000))[0] == 200
+        assert (await send_request(router, clock, "key-o", 2000))[0] == 200
         assert router.dispatcher.shares.ask(clock(), "s", "other", (9e9, 0.0), 1) is CALM
 
-    within(work())
+    run_with_timeout(work())
 
 
-def test_full_endpoints_lower_what_the_service_is_taken_to_do() -> None:
+def test_refusals_of_endpoints_lower_the_services_estimated_capacity() -> None:
     async def work() -> None:
-        router, clock, _ = await prepared(TENANTS)
-        full = await Peer("full", FULL).start()
-        router.fleet.take_roster([full.entry()])
+        router, clock, _ = await start_with_tenants(TENANTS)
+        overloaded = await ScriptedEndpoint("full", REFUSAL).start()
+        router.fleet.take_roster([overloaded.entry()])
         for _ in range(10):
-            assert (await asked(router, clock, "key-l", 1000))[0] == 503
+            assert (await send_request(router, clock, "key-l", 1000))[0] == 503
         assert router.dispatcher.shares.services["s"].strain > 0
 
-    within(work())
+    run_with_timeout(work())
 
 
 # --- the lab
@@ -278,7 +293,7 @@
         (outcome({}), False),
     ],
 )
-def test_a_flood_is_borne_if_each_kind_is_in_time_and_no_rule_is_broken(
+def test_a_flood_passes_if_each_kind_is_in_time_and_no_rule_is_broken(
     with_share: flood.Outcome, good: bool
 ) -> None:
     found = flood.Comparison(outcome({"in-time": 1, "late": 3}), with_share, 0.9)
@@ -287,15 +302,15 @@
     assert ("NOT KEPT" in found.text()) is not good
 
 
-def test_an_answer_that_did_not_run_once_is_found() -> None:
+def test_an_answer_that_did_not_run_exactly_once_is_found() -> None:
     sent = {name: SimpleNamespace(tenant=tenant) for name, tenant in (("a", "library"), ("b", "flooder"))}
     run: Any = SimpleNamespace(id="a")
     answers = [("a", "seal"), ("b", "seal")]
     assert [flood.not_once([run] * n, sent, answers) for n in range(3)] == [1, 0, 1]  # type: ignore[arg-type]
 
 
-def test_a_stand_in_that_reads_in_turn_reads_the_most_urgent_first() -> None:
-    class Turns(Pace):
+def test_an_engine_that_reads_in_turn_reads_the_most_urgent_first() -> None:
+    class ManualPace(Pace):
         def __init__(self) -> None:
             super().__init__()
             self.gates: list[asyncio.Event] = []
@@ -306,7 +321,7 @@
 
     async def work() -> None:
         engine = Engine(Shape(in_turn=True))
-        engine.pace = pace = Turns()
+        engine.pace = pace = ManualPace()
         order: list[int] = []
 
         async def read(priority: int) -> None:
@@ -316,7 +331,7 @@
         tasks = [asyncio.create_task(read(each)) for each in (7, 9, 3, 5)]
         while len(engine.readers) < 3:
             await asyncio.sleep(0)
-        tasks[3].cancel()  # its client is gone
+        tasks[3].cancel()  # its client has disconnected
         for n in range(3):
             while len(pace.gates) <= n:
                 await asyncio.sleep(0)
@@ -324,13 +339,13 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         assert order == [7, 3, 9] and not engine.reading
 
-    within(work())
+    run_with_timeout(work())
 
 
-# --- a real fleet
+# --- a local fleet of processes
 
 
-def test_a_real_fleet_serves_the_reserve_through_a_flood_each_request_once() -> None:
+def test_a_local_fleet_serves_the_reserved_share_in_a_flood_each_request_once() -> None:
     async def work() -> flood.Outcome:
         async with asyncio.timeout(60):
             return await flood.run(2, 4.0, 8.0, 3, reserved=True)
--- a/tests/test_rollout_requests.py
+++ b/tests/test_rollout_requests.py
@@ -12,7 +12,16 @@
 from plumline.routing.rollout_evidence import RolloutEvidence, TimedAnswer
 from plumline.routing.rollout_report import AnswerTally, RolloutReport, ServiceReport
 from plumline.routing.version_gate import ServiceTraffic
-from tests.dispatch_world import Act, Peer, Router, answer, document, made, reset, within
+from tests.dispatch_world import (
+    Act,
+    Router,
+    ScriptedEndpoint,
+    answer,
+    document,
+    reset,
+    run_with_timeout,
+    start_router,
+)
 
 REQUESTS = 60
 
@@ -20,7 +29,7 @@
 class RolledOut:
     """A router with one endpoint of v1, one of v2, and a roll-out to v2."""
 
-    def __init__(self, old: Peer, new: Peer, router: Router) -> None:
+    def __init__(self, old: ScriptedEndpoint, new: ScriptedEndpoint, router: Router) -> None:
         self.old, self.new, self.router = old, new, router
         self.state = ReplicatedConfiguration().apply(["replace", 0, document()])
         self.state = self.state.apply(StartRollout("s", "v2", 12.0).to_change())
@@ -29,8 +38,8 @@
 
     @classmethod
     async def started(cls, old: Act | None = None, new: Act | None = None) -> "RolledOut":
-        first, second = Peer("old", old or answer()), Peer("new", new or answer())
-        return cls(first, second, await made(document(), first, second))
+        first, second = ScriptedEndpoint("old", old or answer()), ScriptedEndpoint("new", new or answer())
+        return cls(first, second, await start_router(document(), first, second))
 
     def list_endpoints(self) -> None:
         entries = [self.old.entry(version="v1"), self.new.entry(version="v2")]
@@ -64,7 +73,7 @@
         await world.ask()
         assert (len(world.old.heads), len(world.new.heads)) == (REQUESTS, 0)
 
-    within(play())
+    run_with_timeout(play())
 
 
 def test_a_version_on_trial_gets_the_share_of_its_grant() -> None:
@@ -76,7 +85,7 @@
         assert len(world.old.heads) + len(world.new.heads) == REQUESTS
         assert world.report().stage is RolloutStage.CANARY
 
-    within(play())
+    run_with_timeout(play())
 
 
 @pytest.mark.parametrize(
@@ -90,7 +99,7 @@
         await world.ask(20)
         assert len({"old": world.old, "new": world.new}[expected].heads) == 20
 
-    within(play())
+    run_with_timeout(play())
 
 
 def test_failed_answers_are_reported_by_endpoint_and_those_of_versions_in_service_together() -> None:
@@ -105,14 +114,14 @@
         assert tallies[""].answers == len(world.old.heads) > 0
         assert tallies[""].bad == 0
 
-    within(play())
+    run_with_timeout(play())
 
 
 def test_requests_that_still_run_at_other_versions_are_reported() -> None:
     async def play() -> None:
         answered = asyncio.Event()
 
-        async def held(peer: Peer, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
+        async def held(peer: ScriptedEndpoint, head: dict[str, str], writer: asyncio.StreamWriter) -> None:
             await answered.wait()
             await answer()(peer, head, writer)
 
@@ -127,7 +136,7 @@
         await world.router.dispatcher.drained()
         assert world.report().others_running == 0
 
-    within(play())
+    run_with_timeout(play())
 
 
 # What counts as a bad answer.
