--- a/message_sender/__main__.py
+++ b/message_sender/__main__.py
@@ -1,4 +1,4 @@
-"""The real sender's start: reads the configuration that the platform names and runs the sender with it."""
+"""Entry point of the sender: reads the configuration from the environment and runs the sender."""
 
 import asyncio
 import json
@@ -25,11 +25,11 @@
 
 
 class BadConfig(Exception):  # noqa: N818
-    """The configuration cannot be used; the text says why, in one line."""
+    """The configuration is invalid; the message gives the reason in one line."""
 
 
 def config_from(told: dict[str, Any], state: Path, control: str = "") -> Config:
-    """`control` is where operators call, as the environment names it: each process has one of its own."""
+    """`control`: the operators' address from the environment, which differs for each process."""
     try:
         limits = told["limits"]
         return Config(
@@ -42,8 +42,8 @@
             disk_bytes=int(limits["disk_mb"] * MEGABYTE),
             sockets=int(limits["sockets"]),
             known=Listed(told["known"]),
-            # On sockets a list is heard only by asking for it, whatever the simulator does at this site, and
-            # what the agent on this machine holds binds all the same.
+            # On sockets a list must always be requested, whatever the simulator does at this site, and the
+            # list cached on this machine applies as well.
             settings=replace(
                 settings_from(told["settings"], ends_answered=True), must_ask=True, told_unheard=True
             ),
@@ -66,7 +66,7 @@
 
 
 def reread(sender: Sender) -> None:
-    """SIGHUP: the configuration has been replaced. A bad one changes nothing."""
+    """Applies the replaced configuration after SIGHUP. An invalid one changes nothing."""
     try:
         sender.reconfigure(read_config())
     except BadConfig as error:
@@ -74,7 +74,7 @@
 
 
 class EarlySignals:
-    """Keeps the signals that come before there is a sender, and passes on those that come later."""
+    """Records signals that arrive before the sender exists, and passes later ones to it."""
 
     def __init__(self) -> None:
         self.reload_requested, self.stop_requested = asyncio.Event(), asyncio.Event()
@@ -93,7 +93,7 @@
             self.sender.terminate()
 
     def pass_on(self, sender: Sender) -> None:
-        """The sender has started: it hears what came before, and all that comes from now on."""
+        """Passes the signals received so far to the started sender, and later ones as they arrive."""
         self.sender = sender
         if self.reload_requested.is_set():
             reread(sender)
@@ -102,13 +102,14 @@
 
 
 async def serve(config: Config) -> int:
-    """Operators hear at once how far the start is; the rest waits until the state folder is its own."""
+    """Runs the sender. Operators can query it at once; the rest waits until this process owns the state
+    folder."""
     control = Control(
         {"STATUS": lambda: "fail waiting for the state folder", "METRICS": lambda: "fail starting"}
     )
     calls = asyncio.create_task(control.serve(config.control)) if config.control else None
     signals = EarlySignals()
-    # Without a handler they would end a process that has just taken clients and calls over.
+    # Without a handler a signal would end a process that has just taken over clients and calls.
     handle_signals(asyncio.get_running_loop(), signals.on_terminate, signals.on_reload)
     taken_over = await finish_unless(signals.stop_requested, come_into(config.state))
     code = 0
@@ -136,12 +137,13 @@
     )
     try:
         while (code := run()) == AGAIN:
-            log.warning("the process that took over has ended; this one starts again from the journal")
+            log.warning("the successor has ended; this process starts again from the journal")
         return code
     except BadConfig as error:
         print(f"message_sender: configuration: {error}", file=sys.stderr)
     except OSError as error:
-        print(f"message_sender: {error}", file=sys.stderr)  # the state folder or the address to listen on
+        # the state folder or the listening address is unusable
+        print(f"message_sender: {error}", file=sys.stderr)
     return 1
 
 
--- a/message_sender/net/__init__.py
+++ b/message_sender/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real sender: the decision module on sockets."""
+"""The sender process: runs the decision module on sockets."""
--- a/message_sender/net/client.py
+++ b/message_sender/net/client.py
@@ -1,4 +1,4 @@
-"""Calls to receivers: a pool of kept connections for each endpoint, and what came back as an Outcome."""
+"""Calls to receivers: a connection pool for each endpoint, and the mapping of responses to outcomes."""
 
 import asyncio
 import logging
@@ -23,9 +23,10 @@
     header,
 )
 
-IDLE_SHARE = 0.8  # of the receiver's idle limit: a kept connection is dropped that much earlier
-BODY_PATIENCE = 0.5  # s for the rest of an answer whose head has come; the body means nothing
-LONGEST_WAIT = 3600.0  # s: no message lives so long; a longer told wait would only keep its breaker for ever
+IDLE_SHARE = 0.8  # of the receiver's idle limit, after which a pooled connection is closed
+BODY_PATIENCE = 0.5  # s for the rest of a response after its head; the body is not used
+# s; no deadline is as long, so a longer Retry-After would only keep its breaker in memory
+LONGEST_WAIT = 3600.0
 
 log = logging.getLogger(__name__)
 
@@ -38,7 +39,8 @@
 
 
 def answer_from(response: h11.Response) -> Answer:
-    """The protocol's table. A status that it does not name may have run."""
+    """Maps a response to an outcome by the protocol's table. After a status that is not in it the request may
+    have run."""
     match response.status_code:
         case 200:
             return Answer(Outcome.OK, finished=True)
@@ -63,22 +65,23 @@
 
 @dataclass(slots=True)
 class Flight:
-    """How far a call is."""
+    """The progress of one call."""
 
     endpoint: str
     deadline: float  # s, on the loop's clock
     connection: Connection | None = None
-    idle: float | None = None  # s for which its connection had stood idle; none for a new one
-    written: bool = False  # to its last byte
-    heard: bool = False  # the head of its answer
-    wait: int = 0  # us; a told one binds, whatever becomes of the rest of its answer
-    kept: bool = False  # its connection, for the next call
+    idle: float | None = None  # s for which its connection was idle before; none for a new one
+    written: bool = False  # the whole request is written
+    heard: bool = False  # the head of the response has come
+    wait: int = 0  # us; a Retry-After applies even if the rest of the response is lost
+    kept: bool = False  # its connection stays open for the next call
     given_up: bool = False
 
 
 class Client:
-    """`dials` is discovery's: an endpoint that is no longer in it, or at another address, keeps nothing.
-    `most` bounds the connections open at once; to open one more, the one idle for longest is closed."""
+    """`dials`: endpoint addresses as listed by discovery; connections to an endpoint that is unlisted or has
+    a new address are not kept. `most`: limit of open connections; at the limit, opening one closes the one
+    idle for longest."""
 
     def __init__(
         self,
@@ -92,11 +95,11 @@
         self.idle_limit = conn_idle * IDLE_SHARE
         self.connect_timeout, self.most, self.dials = connect_timeout, most, dials
         self.wait_told, self.forwarded = wait_told, forwarded
-        # By endpoint, not by address: a new receiver may stand where another one has gone.
+        # By endpoint, not by address: a new receiver may get the address of a removed one.
         self.pool: dict[str, list[Connection]] = {}
-        self.idle: dict[Connection, str] = {}  # the same, the one idle for longest first
+        self.idle: dict[Connection, str] = {}  # the same connections, the one idle for longest first
         self.open: set[Connection] = set()
-        self.flights: dict[str, Flight] = {}  # by message: one call of it is out at a time
+        self.flights: dict[str, Flight] = {}  # by message, which has one call in flight at most
         self.connecting = 0
         self.reuse = Reuse()
         self.draining: set[asyncio.Task[None]] = set()
@@ -109,14 +112,14 @@
         may_go: Callable[[], bool],
         once: bool = False,
     ) -> Answer:
-        """One call, with a fate known for sure: broken before its last byte is written it never ran. One
-        that may have run is the end of a message that may take effect only `once`: it goes on no connection
-        that is likely to break."""
+        """Sends a message once. A call that breaks before its last byte is written has not run. One that may
+        have run ends a message that must take effect `once` at most, so such a message avoids pooled
+        connections that are likely to break."""
         flight = Flight(endpoint, asyncio.get_running_loop().time() + timeout)
         return await self.outcome(message.id, flight, lambda: self.depart(flight, message, may_go, once))
 
     async def resume(self, name: str, flight: Flight) -> Answer:
-        """The rest of a call that another process of this sender wrote."""
+        """Waits for the response to a call that the previous process wrote."""
         return await self.outcome(name, flight)
 
     async def outcome(
@@ -135,7 +138,7 @@
             flight.given_up = flight.written
             return Answer(Outcome.TIMEOUT if flight.written else Outcome.CONNECT_FAILED, wait=flight.wait)
         except ResponseMalformedError as error:
-            # It may have run; a first line of 200 is true all the same.
+            # The request may have run; a status line of 200 still means success.
             if error.said == 200:
                 return Answer(Outcome.OK, finished=True)
             return Answer(Outcome.SPOILT, wait=flight.wait)
@@ -144,17 +147,17 @@
         finally:
             if self.flights.get(name) is flight:
                 del self.flights[name]
-            # A time-out or a cancel gives the call up: only closing the connection tells the receiver.
+            # After a timeout or a cancel, only closing the connection tells the receiver.
             if flight.connection and not flight.kept:
                 self.drop(flight.connection)
-            if flight.given_up:  # they may have fallen silent with it; a repeat goes on a new one
+            if flight.given_up:  # the endpoint's idle connections may be dead too; a retry opens a new one
                 self.close_idle(flight.endpoint)
 
     async def depart(self, flight: Flight, message: HandedIn, may_go: Callable[[], bool], once: bool) -> bool:
-        """Writes the call, if it may still go."""
+        """Writes the request, unless the endpoint has been removed or `may_go` forbids it by now."""
         loop, endpoint = asyncio.get_running_loop(), flight.endpoint
         if (address := self.dials().get(endpoint)) is None:
-            return False  # gone since the module chose it
+            return False  # removed from the list since the module chose it
         if connection := self.take_idle(endpoint, once):
             flight.idle = loop.time() - connection.idle_since
         flight.connection = connection = connection or await self.connect(address)
@@ -173,27 +176,29 @@
         return True
 
     async def hear(self, flight: Flight) -> Answer:
-        """The answer to what is written."""
+        """Reads the response to the written request."""
         connection, endpoint = flight.connection, flight.endpoint
         assert connection is not None
         response = await connection.early_response()
         flight.heard = True
         self.reuse.count(flight.idle, broke=False)
         if asyncio.get_running_loop().time() >= flight.deadline:
-            raise TimeoutError  # the loop was late: whether this still was a delivery is not known
+            # the loop was late, so it is not known whether this response was still in time
+            raise TimeoutError
         if response is None:
             flight.kept = self.finish(endpoint, connection)
             return Answer(Outcome.OK, finished=True)
         answer = answer_from(response)
         if answer.outcome is Outcome.FULL and not answer.wait and flight.idle is None and closes(response):
-            answer = Answer(Outcome.CROWDED)  # it wants no more connections; limits keep the one they use
+            # a new connection was refused at the endpoint's limit; open ones stay usable
+            answer = Answer(Outcome.CROWDED)
         if answer.wait:
             flight.wait = answer.wait
             self.wait_told(endpoint, answer.wait)
         if int(header(response.headers, b"content-length") or 0) > BODY_LIMIT:
             raise ResponseMalformedError(response.status_code, "the answer is too long")
         if answer.outcome in NEVER_RAN:
-            # A spoilt answer has run, whatever it says: only a whole one proves that it has not.
+            # A malformed response may mean that the request ran; only a complete one proves that it did not.
             async with asyncio.timeout(BODY_PATIENCE):
                 await connection.skip_body()
             flight.kept = connection.next_cycle() and self.keep(endpoint, connection)
@@ -206,8 +211,8 @@
             self.reuse.count(flight.idle, broke=True)
         if flight.idle is None:
             return Answer(Outcome.RESET if flight.written else Outcome.CONNECT_FAILED, wait=flight.wait)
-        # It had been given up over there, unseen here, and so may have been the others.
-        log.warning("a connection to %s broke after standing idle for %.3f s", flight.endpoint, flight.idle)
+        # The receiver had closed the idle connection unnoticed, and may have closed the others as well.
+        log.warning("a connection to %s broke after being idle for %.3f s", flight.endpoint, flight.idle)
         self.close_idle(flight.endpoint)
         return Answer(Outcome.STALE if flight.written else Outcome.NOT_SENT, wait=flight.wait)
 
@@ -228,9 +233,9 @@
         connection.close()
 
     def finish(self, endpoint: str, connection: Connection, later: bool = True) -> bool:
-        """Keeps the connection once the answer is here to its end; `later`: a delivery need not wait.
-        Any other call is out until its answer is written or its connection ends, and its message may go
-        again at once: what is not whole yet ends with its connection."""
+        """Returns the connection to the pool once the response is complete. `later`: the body may be read in
+        the background, as a delivery need not wait for it. A call with another outcome may be retried at
+        once, so its connection is closed unless the response is already complete."""
         try:
             if connection.whole():
                 return connection.next_cycle() and self.keep(endpoint, connection)
@@ -250,12 +255,12 @@
                 await connection.skip_body()
             kept = connection.next_cycle() and self.keep(endpoint, connection)
         except BROKEN:
-            pass  # TimeoutError too; whatever becomes of the rest, the outcome stands
+            pass  # also TimeoutError; the outcome is already decided
         finally:
             if not kept:
                 self.drop(connection)
 
-    # Another process of this sender goes on with what is open.
+    # Handover of open connections to a newer process.
 
     def hand_over_idle(self) -> Iterator[tuple[dict[str, Any], socket.socket]]:
         for connection, endpoint in list(self.idle.items()):
@@ -264,7 +269,7 @@
             self.close_one(connection)
 
     def hand_over_call(self, name: str) -> tuple[dict[str, Any], socket.socket] | None:
-        """None of what is not written whole, or half answered."""
+        """None if the request is not completely written, or the response has begun."""
         flight = self.flights.get(name)
         if not flight or not flight.connection or not flight.written or flight.heard:
             return None
@@ -278,7 +283,7 @@
         return told, flight.connection.sock
 
     def let_go(self, name: str) -> None:
-        """The call is handed over."""
+        """Releases a call that is handed over."""
         flight = self.flights[name]
         assert flight.connection is not None
         flight.kept = True
@@ -286,7 +291,7 @@
         flight.connection.let_go()
 
     def break_off(self, name: str) -> Outcome:
-        """Gives a call up before anybody can send its message again."""
+        """Aborts a call before its message can be sent again."""
         flight = self.flights.get(name)
         if flight and flight.connection:
             flight.connection.break_off()
@@ -305,11 +310,12 @@
         self.open.add(connection)
         return Flight(told["endpoint"], told["deadline"], connection, told["idle"], written=True)
 
-    # The pool.
+    # Connection pool.
 
     def take_idle(self, endpoint: str, once: bool = False) -> Connection | None:
-        """The connection used last. Guards against one that the receiver closes as the request goes; what
-        may go again takes that risk and shows how large it is."""
+        """The most recently used connection, or none. A message that must take effect `once` at most gets
+        none if the receiver is likely to close it during the request; other messages take that risk, which is
+        how it is measured."""
         now = asyncio.get_running_loop().time()
         while kept := self.pool.get(endpoint):
             connection = kept[-1]
@@ -339,12 +345,13 @@
         return asyncio.get_running_loop().time() - connection.idle_since >= self.idle_limit
 
     def drop_old(self) -> None:
-        """Called now and then, so that what nobody uses holds no descriptor."""
+        """Closes idle connections that have expired or ended, to free their descriptors. Called
+        periodically."""
         for connection in [each for each in self.idle if self.too_old(each) or each.ended()]:
             self.close_one(connection)
 
     def drop_gone(self) -> None:
-        """After each line of discovery: what is kept for an endpoint closes with it."""
+        """Closes the idle connections of endpoints that discovery has removed or moved."""
         for connection, endpoint in list(self.idle.items()):
             if self.dials().get(endpoint) != connection.address:
                 self.close_one(connection)
--- a/message_sender/net/config.py
+++ b/message_sender/net/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a sender at its start, and how what it allows is shared out."""
+"""The configuration of a sender, the division of its file descriptors, and its clock."""
 
 import time
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
     name: str
     listen: Address
     discovery: Address
-    control: Address | None  # where operators call
+    control: Address | None  # the operators' listening address
     state: Path
     seed: int
     disk_bytes: int
@@ -26,23 +26,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Descriptors:
-    """How the descriptors that the configuration allows are shared out: all that opens one counts here."""
+    """The division of the file descriptors that the configuration allows."""
 
-    # The standard streams, the loop's three, the listener, the journal and its copy, the configuration, the
-    # watch and the notices with their successors at a new address, the check, the operators' listener, the
-    # lock and the door: 18. And as many for a newer version that starts beside this process: what is handed
-    # over is closed here as it goes, but for the calls, whose connections are far from all in use.
+    # Standard streams (3), event loop (3), listener, journal and its copy, configuration, watch and notices
+    # with their successors at a new address (4), check, operators' listener, lock, successor listener: 18.
+    # The same again for a newer version running beside this process: handed-over descriptors are closed here
+    # at once, except those of calls, few of which are in use.
     OWN: ClassVar[int] = 2 * 18
 
     clients: int
-    lingering: int  # clients above these that only hear that they are turned away
-    calls: int  # with the connections that are kept for the next ones
-    operators: int  # kept for their calls
-    accepts: int  # clients taken in one turn of the loop: each may push out another one first
+    lingering: int  # further clients, which only get a refusal
+    calls: int  # calls in flight and pooled connections
+    operators: int  # reserved for operators' connections
+    accepts: int  # clients accepted in one turn of the loop: each may close another one to make room
 
     @classmethod
     def of(cls, sockets: int, slots: int) -> "Descriptors":
-        """Clients get half; they may need a third. Calls get the rest, all slots in any case."""
+        """Clients get half, as they may need a third of all; calls get the rest, and always enough for all
+        slots."""
         lingering = sockets // 16
         few = min(max(lingering, 4), 16)
         own = cls.OWN + few
@@ -54,10 +55,11 @@
 
 
 class Clock:
-    """The module's clock: wall time as it was at the start, and from there on one that never goes back."""
+    """The module's clock: wall time at the start, continued by the monotonic clock so that it never goes
+    back."""
 
     def __init__(self, base: int | None = None) -> None:
-        """`base`: the one of the process before, whose times this one goes on from."""
+        """`base`: that of the previous process, whose handed-over times stay valid with it."""
         self.base = time.time_ns() - time.monotonic_ns() if base is None else base
 
     def now(self) -> int:
--- a/message_sender/net/control.py
+++ b/message_sender/net/control.py
@@ -1,4 +1,4 @@
-"""The operators' address: one call a line, one line a connection."""
+"""The operators' interface: one command line and one reply per connection."""
 
 import asyncio
 import logging
@@ -8,18 +8,18 @@
 from plumline.wire.http import Address
 
 BACKLOG = 128
-LINE_LIMIT = 256  # bytes of a call
-PATIENCE = 2.0  # s for a call to come in whole
+LINE_LIMIT = 256  # bytes of a command
+PATIENCE = 2.0  # s for a command to be complete
 LINGER = 0.5  # s for the caller to read its reply
-RETRY = 0.2  # s between tries to listen
+RETRY = 0.2  # s between attempts to listen
 
 log = logging.getLogger(__name__)
 
 
 class Caller(asyncio.Protocol):
-    """One connection: reads a line, answers it, and leaves."""
+    """A connection: reads a command, replies and closes."""
 
-    transport: asyncio.Transport = None  # type: ignore[assignment]  # until it is up
+    transport: asyncio.Transport = None  # type: ignore[assignment]  # set in connection_made
 
     def __init__(self, control: "Control", sock: socket.socket) -> None:
         self.control, self.sock = control, sock
@@ -32,11 +32,11 @@
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if self not in self.control.callers:
-            transport.abort()  # pushed out before it was up
+            transport.abort()  # closed for a newer caller before the transport was ready
 
     def data_received(self, data: bytes) -> None:
         if self.answered:
-            return  # read and dropped: closing over unread bytes would reset the reply on its way
+            return  # discarded: closing with unread bytes would reset the connection before the reply is read
         self.line += data
         line, found, _ = self.line.partition(b"\n")
         if len(line) > LINE_LIMIT:
@@ -64,43 +64,45 @@
         self.timer = asyncio.get_running_loop().call_later(LINGER, self.transport.abort)
 
     def close(self) -> None:
-        """At once: its descriptor is wanted."""
+        """Closes at once, as its descriptor is needed."""
         self.timer.cancel()
         self.control.callers.pop(self, None)
         if self.transport:
             self.transport.abort()
-        self.sock.close()  # the transport, which looks at it no more, would only do so in the next turn
+        self.sock.close()  # the aborted transport would close it only in the next turn
 
 
 class Control:
-    """Answers `calls`, by name; what they raise is a `fail` line. The descriptors of its `most` callers are
-    kept back for it, whatever clients and endpoints do; one more pushes out the one that came first."""
+    """Runs the commands in `calls`, by name; an exception becomes a `fail` line. The descriptors of `most`
+    callers are reserved, whatever clients and endpoints use; a further caller closes the oldest."""
 
     def __init__(self, calls: dict[str, Callable[[], str]] | None = None, most: int = 4) -> None:
         self.calls, self.most = calls or {}, most
         self.loop = asyncio.get_running_loop()
-        self.callers: dict[Caller, None] = {}  # the one that came first is first
+        self.callers: dict[Caller, None] = {}  # oldest first
         self.listener: socket.socket | None = None
 
     async def serve(self, address: Address) -> None:
-        """Listens as soon as the address is free; senders do their work without it meanwhile."""
+        """Listens as soon as the address is free; the sender works without it until then."""
         while self.listener is None:
             try:
                 self.listener = socket.create_server(address, backlog=BACKLOG)
             except OSError as error:
-                log.error("operators cannot call at %s:%d: %s", *address, error)
+                log.error("cannot listen for operators at %s:%d: %s", *address, error)
                 await asyncio.sleep(RETRY)
         self.listener.setblocking(False)
         self.loop.add_reader(self.listener, self.accept)
-        log.info("operators call at %s:%d", *self.listener.getsockname())
+        log.info("listening for operators at %s:%d", *self.listener.getsockname())
 
     def accept(self) -> None:
-        """One a turn of the loop, so that no more than one above `most` is open, and for a moment only."""
+        """Accepts one caller per turn of the loop, so that only one above `most` is open, and only
+        briefly."""
         assert self.listener is not None
         try:
             sock = self.listener.accept()[0]
         except OSError:
-            return  # it broke before it was taken; or the system has no descriptor left, which passes
+            # the connection broke before it was accepted, or the system has no descriptor left at the moment
+            return
         while len(self.callers) >= self.most:
             next(iter(self.callers)).close()
         sock.setblocking(False)
@@ -119,7 +121,7 @@
         try:
             return answer()
         except Exception as error:
-            log.exception("the call %s could not be answered", call)
+            log.exception("operator command %s failed", call)
             return f"fail {type(error).__name__}"
 
     def close(self) -> None:
--- a/message_sender/net/discovery.py
+++ b/message_sender/net/discovery.py
@@ -1,4 +1,4 @@
-"""The platform: the list of receivers by a watch, and the notices that end messages."""
+"""The discovery service: watches the list of receivers and posts the notices that end messages."""
 
 import asyncio
 import json
@@ -13,28 +13,30 @@
 from message_sender import interface as face
 from plumline.wire.http import BROKEN, Address, Connection, address_from
 
-# What discovery holds counts as told 6 s later, and 4 s after SIGHUP, whether it has arrived or not:
-SILENCE = 3.0  # s with no line, empty ones come every 2 s: the watch is dead, though TCP says nothing
-ANSWER_TIMEOUT = 1.0  # s for the head of an answer, or a whole list; it answers at once or not at all
-WATCH_PATIENCE = (
-    2.0  # s for the head of a watch after one that did not answer: one asked late is asked of less
-)
-MOST_PATIENCE = 10.0  # s for either in a large fleet, see below
-BESIDE = 2.0  # s for the head of a watch until another is asked for beside it: with SILENCE less than 6
-CHECK = 2.0  # s between looks at the whole list, which show a watch that lives but tells nothing
-FEW = 4  # senders up to which these hold; more look as often jointly, each more rarely, and wait longer
-CHECK_DOUBLINGS = 3  # of that time while discovery doesn't answer: it may be short of room for watches
-CHECK_JITTER = 0.25  # of that time, more or less: senders that start together drift apart
-CONNECT_TIMEOUT = 1.0
-LINE_LIMIT = 4 * 1024 * 1024
-NOTICE_TIMEOUT = 0.1  # s for a first try, answers took 4 ms at most: a hung kept connection must leave time
-NOTICE_DOUBLINGS = 2  # for another within the 300 ms that a notice has; and for new ones behind a late one
-NOTICE_PAUSE = 0.05  # s between tries
-NOTICES_AT_ONCE = 100
-# s, at the most, between tries to hear a new address's list, which counts as told 4 s after SIGHUP, and where
-# nobody listens: what discovery has at its return counts at once.
+# A change at discovery counts as known to the sender 6 s later, and 4 s after SIGHUP, received or not.
+SILENCE = 3.0  # s without a line after which a watch is dead, as empty lines come every 2 s
+# s for the head of a response, or for a whole list; discovery answers at once or not at all
+ANSWER_TIMEOUT = 1.0
+# s for the head of a watch after one that timed out; longer, to send fewer requests to a busy discovery.
+WATCH_PATIENCE = 2.0
+MOST_PATIENCE = 10.0  # s; limit of both timeouts, which grow with the fleet
+BESIDE = 2.0  # s without a response until a second watch is requested; with SILENCE less than 6 s
+CHECK = 2.0  # s between reads of the full list, which find a watch that is open but reports nothing
+FEW = 4  # senders up to which these times apply; a larger fleet has them longer, at the same joint rate
+CHECK_DOUBLINGS = 3  # doublings of CHECK while discovery does not answer, as it may lack room for watches
+CHECK_JITTER = 0.25  # share of CHECK, either way; spreads out senders that start together
+CONNECT_TIMEOUT = 1.0  # s
+LINE_LIMIT = 4 * 1024 * 1024  # bytes of a list or of one of its changes
+NOTICE_TIMEOUT = 0.1  # s for the first attempt, so that a dead connection leaves time to try again
+# doublings of NOTICE_TIMEOUT: the next attempt fits the 300 ms of a notice, and new notices get more behind a
+# late one
+NOTICE_DOUBLINGS = 2
+NOTICE_PAUSE = 0.05  # s between attempts
+NOTICES_AT_ONCE = 100  # notices in a request
+# s between attempts at most, for the first list of a new address, which counts as known 4 s after SIGHUP, and
+# while connections are refused, as a list counts at once when discovery is back.
 MOVE_PAUSE = 0.2
-LOGGED = 32  # endpoints of a list that its log line names; lists are bounded by LINE_LIMIT alone
+LOGGED = 32  # endpoints named in the log line of a list, whose size only LINE_LIMIT bounds
 UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, ArithmeticError, RecursionError)
 
 log = logging.getLogger(__name__)
@@ -51,7 +53,7 @@
 
 
 class Listed:
-    """One line of discovery: a version and the endpoints in it."""
+    """A list, or changes to one, as discovery sends it: a version and endpoints."""
 
     def __init__(self, told: dict[str, Any]) -> None:
         self.seq, self.whole = int(told["seq"]), bool(told["whole"])
@@ -73,14 +75,15 @@
 
 
 class Told:
-    """What a watch tells: JSON objects, each on a line or indented over several, with empty lines between."""
+    """Parser of a watch: JSON objects, each on one line or indented over several, with empty lines
+    between."""
 
     def __init__(self) -> None:
-        self.begun = self.line = b""  # of an object, in whole lines; of the line at hand
-        self.lives = False  # whether the newest bytes held an empty line between objects
+        self.begun = self.line = b""  # bytes of the current object in complete lines, and of the current line
+        self.lives = False  # whether the newest bytes had an empty line between objects, a keepalive
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """The objects that are whole with these bytes. What can be the beginning of none raises."""
+        """Returns the objects that these bytes complete. Raises if they cannot be the start of one."""
         *lines, self.line = (self.line + data).split(b"\n")
         self.lives, objects = False, []
         for line in lines:
@@ -89,12 +92,12 @@
                 self.lives = True
                 continue
             self.begun += line + b"\n"
-            # Every object ends with a brace; tried at each line, a long one would be read again and again.
+            # Parse only after a closing brace: parsing a long object again at each line would be quadratic.
             if (first or line.rstrip().endswith(b"}")) and (told := self.whole()) is not None:
                 objects.append(told)
                 self.begun = b""
         if len(self.begun) + len(self.line) > LINE_LIMIT:
-            raise ValueError("a list is too long")
+            raise ValueError("an object of the watch is too long")
         return objects
 
     def whole(self) -> dict[str, Any] | None:
@@ -104,7 +107,7 @@
         except json.JSONDecodeError as error:
             if error.pos < len(text):
                 raise
-            return None  # all that is wrong with it is that it ends
+            return None  # incomplete: the error is at the end of the text
 
 
 class Discovery:
@@ -114,36 +117,37 @@
         known: Listed,
         listed: Callable[[face.EndpointsListed], None],
         answered: Callable[[str, str], None],
-        senders: int = 1,  # that share this discovery
+        senders: int = 1,  # sharing this discovery service
     ) -> None:
         self.address, self.listed, self.answered = address, listed, answered
         many = max(senders / FEW, 1)
         self.check_every = CHECK * many
-        # Many senders ask at once after a restart or an outage. Whoever gives up early has used its place in
-        # the queue, asks again behind the others, and may never hear at all.
+        # After a restart or an outage many senders send requests at once. One that gives up early has wasted
+        # its place in the queue, is queued last again, and may never get a response.
         self.first_patience = min(ANSWER_TIMEOUT * many, MOST_PATIENCE)
         self.next_patience = min(WATCH_PATIENCE * many, MOST_PATIENCE)
-        #: The version held; none when it is another service's, whose versions mean nothing to this one.
+        #: Version of the list; none if it came from another service, whose versions are not comparable.
         self.seq: int | None = known.seq
-        self.unheard = False  # whether this process goes by a list that it has from elsewhere
+        self.unheard = False  # whether the list is an old one that the current discovery has not confirmed
         self.dials, self.hosts = dict(known.dials), dict(known.hosts)
-        self.destinations = {each.destination for each in known.endpoints}  # all that a list ever named
-        self.patience = self.first_patience  # s for the head of the next watch
+        # every destination that a list has ever named
+        self.destinations = {each.destination for each in known.endpoints}
+        self.patience = self.first_patience  # s; timeout for the head of the next watch
         self.notices: dict[str, dict[str, Any]] = {}
         self.has_notices = asyncio.Event()
 
     def move(self, address: Address) -> None:
-        """From now on discovery is there. The caller starts a watch; the one before goes on until that one
-        has its first list, and notices under way are answered where they are or told again over there."""
+        """Changes the address. The caller starts a new watch; the old one continues until the new one has its
+        first list. Notices in flight are answered at the old address or sent again to the new one."""
         self.address, self.seq, self.patience = address, None, self.first_patience
 
     async def watch(self) -> None:
-        """A watch, opened anew at once where it falls silent, nobody listens, or it had lived for a while:
-        what it misses counts as told. Any other end is an answer: the module is told of it and decides when
-        to ask again. But the first list of a new address is asked for until it comes: nobody else tells of
-        a drain meanwhile."""
+        """Watches the list. Reconnects at once if the watch falls silent, the connection is refused, or the
+        watch had lasted a while, as its changes count as known. After any other end the module decides when
+        to watch again. The first list of a new address is requested until it comes, as no other source
+        reports a drain meanwhile."""
         address, loop = self.address, asyncio.get_running_loop()
-        log.info("a watch begins at %s:%d after %s", *address, self.seq)
+        log.info("watching %s:%d from version %s", *address, self.seq)
         while True:
             lived = 0.0
             try:
@@ -158,7 +162,7 @@
                 log.warning("the watch ended: %r", error)
                 silent, refused = (isinstance(error, each) for each in (TimeoutError, ConnectionRefusedError))
             else:
-                return  # another address has told its list
+                return  # the new address has sent its list
             if address != self.address:
                 return
             if self.seq is None or refused:
@@ -168,8 +172,8 @@
         self.listed(face.EndpointsListed(face.Listing.FAILED))
 
     async def opened(self, address: Address) -> Connection:
-        """A watch whose head has come. Where discovery is busy, whoever gives up early goes to the end of the
-        queue; but a request may also have died with its connection, unseen: a second one goes beside it."""
+        """Opens a watch and waits for its head. At a busy discovery, giving up early loses the place in the
+        queue; but the request may be lost with a broken connection, so a second one is sent in parallel."""
         asked = left = {asyncio.create_task(self.open_watch(address))}
         try:
             await asyncio.wait(asked, timeout=BESIDE)
@@ -191,7 +195,8 @@
         async with asyncio.timeout(CONNECT_TIMEOUT):
             connection = await Connection.open(address)
         try:
-            # A watch from a version that is still the newest says nothing, as does one that will never speak.
+            # A watch from the newest version sends nothing, just like one that is dead; so read the list
+            # first.
             if self.seq is None or self.unheard:
                 whole = await self.ask(connection, "/registry/instances")
                 if address != self.address:
@@ -225,7 +230,8 @@
     async def read_lines(self, connection: Connection, address: Address) -> None:
         told = Told()
         while True:
-            async with asyncio.timeout(SILENCE):  # for what is whole, not for bytes
+            # for a complete object or an empty line, not for single bytes
+            async with asyncio.timeout(SILENCE):
                 while not (objects := told.feed(await self.next_data(connection))) and not told.lives:
                     pass
             for each in objects:
@@ -236,15 +242,15 @@
     async def next_data(self, connection: Connection) -> bytes:
         while not isinstance(event := await connection.next_event(), h11.Data):
             if isinstance(event, h11.EndOfMessage):
-                raise ConnectionError("discovery ended it")
+                raise ConnectionError("discovery ended the watch")
         return bytes(event.data)
 
     def read_change(self, told: Listed, address: Address) -> None:
         if told.whole or address != self.address or self.seq is None or told.seq > self.seq:
-            self.read(told, address)  # else a check was faster than the watch
+            self.read(told, address)  # otherwise a check has read it before the watch
 
     async def check(self, at_once: bool = False) -> None:
-        """Compares the whole list with the one held, forever: a watch may live and still tell nothing."""
+        """Compares the full list with the known one, forever: an open watch may still report nothing."""
         failed = 0  # in a row
         if at_once:
             await self.check_once()
@@ -254,17 +260,19 @@
             failed = 0 if await self.check_once() else failed + 1
 
     async def check_once(self) -> bool:
-        """Whether discovery had a list to tell."""
+        """Whether discovery could be read."""
         address, held = self.address, self.seq
         if held is None:
-            return True  # a watch asks for the first list of a new address
+            return True  # the watch requests the first list of a new address
         try:
             told = await self.fetch(address)
         except (*BROKEN, *UNREADABLE) as error:
-            log.info("the list could not be checked: %s", str(error) or type(error).__name__)
+            log.info("the list could not be read: %s", str(error) or type(error).__name__)
             return False
         if (address, held) == (self.address, self.seq) and told.seq != held:
-            log.warning("the watch has told up to %d, the list is at %d", held, told.seq)
+            log.warning(
+                "the watch has reported up to version %d, but the list is at version %d", held, told.seq
+            )
             self.read(told, address)
         return True
 
@@ -277,23 +285,24 @@
             connection.close()
 
     def read(self, told: Listed, address: Address | None = None) -> None:
-        """One line, whole or not at all: what cannot be read has raised before anything is changed."""
+        """Applies a list or its changes. Unreadable ones have raised before, so nothing is applied in
+        part."""
         dials = told.dials if told.whole else self.dials | told.dials
         gone = {each.id for each in told.endpoints if each.state is face.EndpointState.GONE}
         self.dials = {name: dial for name, dial in dials.items() if name not in gone}
         self.hosts = {name: each for name, each in (self.hosts | told.hosts).items() if name in self.dials}
         self.destinations |= {each.destination for each in told.endpoints}
-        if address in (None, self.address):  # else it is a line of the address before
+        if address in (None, self.address):  # otherwise it came from the previous address
             self.seq, self.unheard = told.seq, False
         named = (f"{each.id} {each.state.value} at {each.destination}" for each in told.endpoints[:LOGGED])
-        log.info("list %d, %s: %s", told.seq, "whole" if told.whole else "changes", ", ".join(named))
+        log.info("list version %d, %s: %s", told.seq, "full" if told.whole else "changes", ", ".join(named))
         listing = face.Listing.FULL if told.whole else face.Listing.CHANGES
         self.listed(face.EndpointsListed(listing, told.endpoints))
 
     def endpoints(self) -> tuple[face.Endpoint, ...]:
         return Listed({"seq": 0, "whole": True, "hosts": self.hosts.values()}).endpoints
 
-    # Another process of this sender goes on from what this one has heard, and has not been answered.
+    # Handover of the list and of unanswered notices to a newer process.
 
     def told(self) -> dict[str, Any]:
         return {
@@ -305,7 +314,7 @@
         }
 
     def recall(self, told: dict[str, Any]) -> None:
-        """A list's version means nothing at another address."""
+        """Restores handed-over state. The list's version is dropped if the address differs."""
         known = Listed({"seq": 0, "whole": True, "hosts": told["hosts"]})
         self.dials, self.hosts = known.dials, known.hosts
         self.seq = told["seq"] if tuple(told["address"]) == self.address else None
@@ -315,7 +324,7 @@
             self.has_notices.set()
 
     def notify(self, message: str, state: str, after: int = 0) -> None:
-        """The end of a message; told again and again until it is answered."""
+        """Queues a notice of a message's end, which is sent until it is answered."""
         notice: dict[str, Any] = {"id": message, "state": state}
         if after:
             notice["after_ms"] = -(-after // 1000)
@@ -323,7 +332,7 @@
         self.has_notices.set()
 
     async def tell(self) -> None:
-        """Posts what notices there are, forever; a connection that failed is not used again."""
+        """Posts queued notices, forever; a connection that failed is not used again."""
         connection, tries, most = None, 0, NOTICES_AT_ONCE
         while True:
             await self.has_notices.wait()
@@ -346,11 +355,11 @@
                     connection.close()
                     connection = None
             if status == 400 and len(sent) > 1:
-                most = 1  # guards the others against one that cannot be read
+                most = 1  # send them singly, so that one malformed notice does not block the others
                 continue
             if 200 <= status < 300 or status == 400:
                 if status == 400:
-                    log.error("a notice was not understood: %s", *sent.values())
+                    log.error("discovery rejected a notice as malformed: %s", *sent.values())
                 tries = 0
                 if (took := time.monotonic() - began) > NOTICE_TIMEOUT / 2:
                     log.info("%d notices answered in %.0f ms", len(sent), took * 1e3)
--- a/message_sender/net/figures.py
+++ b/message_sender/net/figures.py
@@ -1,4 +1,4 @@
-"""The figures that operators see: counts of what ended and what was sent, from this process's start on."""
+"""The metrics for operators: messages ended and requests sent since the process started."""
 
 from collections.abc import Iterable, Mapping
 from enum import Enum
@@ -8,19 +8,19 @@
     """How a message ended."""
 
     SUCCEEDED = "succeeded"  # delivered
-    DECLINED = "declined"  # refused at the door, or handed back
+    DECLINED = "declined"  # rejected, or returned to the client
     ABORTED = "aborted"  # failed
 
 
 class Figures:
-    """Each count is made in one place, where what it counts really happens."""
+    """Counters of message ends by class, and of requests sent to receivers."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.ends = {(name, end): 0 for name in classes for end in End}
         self.forwards = 0
 
     def ended(self, message_class: str, end: End) -> None:
-        # A class that the journal still holds may have left the settings.
+        # A class in the journal may have been removed from the settings.
         self.ends[message_class, end] = self.ends.get((message_class, end), 0) + 1
 
     def forwarded(self) -> None:
--- a/message_sender/net/handover.py
+++ b/message_sender/net/handover.py
@@ -1,8 +1,8 @@
-"""One owner of the state folder at a time, and what it hands over to the process that is to be the next.
+"""Ownership of the state folder, and its handover from one process to its successor.
 
-The owner holds a lock on the folder, which the system frees however the process ends, and listens for its
-successor on an abstract socket, which leaves nothing behind. All that is handed over goes in one turn of the
-owner's loop: frames of JSON, many with a descriptor. The last one says that it was all.
+The owner holds a lock on the folder, which the operating system releases when the process ends, and listens
+for its successor on an abstract socket, which leaves no file behind. The handover takes place within one turn
+of the owner's loop, as JSON frames, many with a file descriptor. The last frame marks the end.
 """
 
 import asyncio
@@ -19,14 +19,14 @@
 from plumline.wire.http import readable
 
 ASK = b"hand over, please\n"
-FRAME = struct.Struct("!I?")  # bytes of its text; whether a descriptor comes with it
+FRAME = struct.Struct("!I?")  # length of the text in bytes; whether a descriptor is attached
 FRAME_LIMIT = 8 * 1024 * 1024  # bytes
 CREDENTIALS = struct.Struct("3i")  # process, user, group
-PATIENCE = 1.0  # s for the other side to read or write on: meanwhile nobody is served
-ANSWER = 2.0  # s for the owner to begin
-PAUSE = 0.05  # s between tries for the lock
-CALLERS = 4  # that may be about to ask
-VERSION = 1  # of what the frames hold; raised whenever an older process could not read it, or be read
+PATIENCE = 1.0  # s for the peer to read or write; clients are not served meanwhile
+ANSWER = 2.0  # s for the owner to begin the handover
+PAUSE = 0.05  # s between attempts to take the lock
+CALLERS = 4  # connections whose request has not arrived yet
+VERSION = 1  # of the frames' content; incremented if older processes can't read it, or theirs can't be read
 DONE = "done"
 
 log = logging.getLogger(__name__)
@@ -38,27 +38,28 @@
 
 
 def is_own(channel: socket.socket) -> bool:
-    """Guards what is handed over, and the sender's place, from other users of the machine."""
+    """Whether the peer runs as the same user. Other users must neither get nor give handed-over state."""
     told = channel.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
     return CREDENTIALS.unpack(told)[1] == os.getuid()
 
 
 class Lock:
-    """The right to write in the folder. A descriptor that is passed on carries it along."""
+    """The lock on the state folder. Passing its descriptor to another process passes the lock."""
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
 
     @classmethod
     def take(cls, folder: Path) -> "Lock | None":
-        """None if another process has it."""
+        """Takes the lock; None if another process has it."""
         descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
             os.close(descriptor)
             return None
-        except OSError as error:  # a file system without locks: it serves, but no second process may start
+        # a file system without locks: the sender runs, but a second process must not be started
+        except OSError as error:
             log.error("the state folder cannot be locked: %s", error)
         return cls(descriptor)
 
@@ -67,7 +68,8 @@
 
 
 class Channel:
-    """Frames between the two processes. Blocking: the one that hands over does nothing else meanwhile."""
+    """The framed connection of the two processes. It blocks: the process handing over does nothing else
+    meanwhile."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -85,7 +87,7 @@
     def send_state(
         self, state: dict[str, Any], lines: Iterable[bytes], listener: socket.socket | None
     ) -> None:
-        """What the process knows, its journal's lines, and where clients connect while it still listens."""
+        """Sends the process's state, its journal's records, and the listening socket if there is one."""
         self.send({"state": state | {"version": VERSION}})
         for line in lines:
             self.send({"lines": [line.decode()]})
@@ -107,10 +109,10 @@
         try:
             size, has_descriptor = FRAME.unpack(head + self.read(FRAME.size - len(head)))
             if size > FRAME_LIMIT or has_descriptor != bool(descriptors):
-                raise ValueError("an odd frame")
+                raise ValueError("malformed frame")
             told = json.loads(self.read(size))
             if not isinstance(told, dict):
-                raise ValueError("an odd frame")
+                raise ValueError("malformed frame")
         except BaseException:
             for each in descriptors:
                 os.close(each)
@@ -121,7 +123,7 @@
         data = bytearray()
         while len(data) < size:
             if not (part := self.sock.recv(size - len(data))):
-                raise ConnectionError("the other process is gone")
+                raise ConnectionError("the other process closed the connection")
             data += part
         return bytes(data)
 
@@ -130,11 +132,11 @@
 
 
 class Estate:
-    """What a process begins with: the lock, and what the owner before has handed over, if there was one."""
+    """What a process starts with: the lock, and the state that the previous owner handed over, if any."""
 
     def __init__(self, lock: Lock | None = None, channel: Channel | None = None) -> None:
         self.lock, self.channel = lock, channel
-        self.state: dict[str, Any] | None = None  # none: the journal is all there is to go on from
+        self.state: dict[str, Any] | None = None  # none: only the journal is available
         self.lines: list[bytes] = []
         self.listener: socket.socket | None = None
         self.clients: list[tuple[dict[str, Any], socket.socket]] = []
@@ -142,8 +144,8 @@
         self.idle: list[tuple[dict[str, Any], socket.socket]] = []
 
     def receive(self) -> None:
-        """Frames up to the last one. An end before it leaves nothing: the journal knows as much as after a
-        SIGKILL, and the lock is free once neither process holds it."""
+        """Receives all frames. If the connection ends before the last one, everything is dropped: the journal
+        is as complete as after a SIGKILL, and the lock is free once both processes have released it."""
         assert self.channel is not None
         try:
             while True:
@@ -156,9 +158,9 @@
             raise
         if not self.lock:
             self.drop()
-            raise ConnectionError("the owner handed over too little")
+            raise ConnectionError("the owner did not hand over its lock")
         if self.state and self.state.get("version") != VERSION:
-            log.warning("what the other version knows cannot be read here: the journal has to do")
+            log.warning("state of an incompatible version: recovering from the journal instead")
             self.forget()
 
     def accept(self, told: dict[str, Any], descriptor: int | None) -> None:
@@ -177,10 +179,11 @@
             elif kind in ("clients", "calls", "idle"):
                 getattr(self, kind).append((what, sock))
             else:
-                sock.close()  # of a kind that this version does not know
+                sock.close()  # a kind that this version does not know
 
     def forget(self) -> None:
-        """All but what any version can go on with: the right to write, and the clients that come now."""
+        """Drops the state and connections of an incompatible version. The lock and the listening socket
+        remain."""
         for _, sock in [*self.clients, *self.calls, *self.idle]:
             sock.close()
         self.state, self.lines, self.clients, self.calls, self.idle = None, [], [], [], []
@@ -192,7 +195,7 @@
         self.close()
 
     def close(self) -> None:
-        """At the end of the process, or when it is the owner no longer."""
+        """Closes the channel and releases the lock: the process ends, or is no longer the owner."""
         if self.channel:
             self.channel.close()
         if self.lock:
@@ -201,14 +204,14 @@
 
 
 async def come_into(folder: Path) -> Estate:
-    """Waits until this process is the folder's owner: nobody is, or the one that is hands over."""
+    """Waits until this process owns the folder: by taking the free lock, or by a handover from the owner."""
     why = ""
     while (lock := Lock.take(folder)) is None:
         try:
             return await ask(folder)
-        except Exception as error:  # another version may say anything; the lock decides who owns
+        except Exception as error:  # another version may send anything; only the lock decides ownership
             if why != (why := str(error) or type(error).__name__):
-                log.info("another process has the state folder, and hands nothing over: %s", why)
+                log.info("another process owns the state folder and does not hand over: %s", why)
         await asyncio.sleep(PAUSE)
     return Estate(lock)
 
@@ -233,7 +236,7 @@
 
 
 class Door:
-    """Where the owner waits for its successor, of whom there is one at a time."""
+    """Listens for a successor, and hands over to one only."""
 
     def __init__(self, folder: Path, hand_over: Callable[[Channel], None], lost: Callable[[], None]) -> None:
         self.folder, self.hand_over, self.lost = folder, hand_over, lost
@@ -248,8 +251,8 @@
         try:
             listener.bind(address_of(self.folder))
             listener.listen(2)
-        except OSError as error:  # a new version then starts as after a plain restart
-            log.error("nothing can be handed over: %s", error)
+        except OSError as error:  # a new version then recovers from the journal, as after a restart
+            log.error("cannot listen for a successor: %s", error)
             listener.close()
             return
         self.listener = listener
@@ -283,8 +286,8 @@
         try:
             self.hand_over(self.channel)
             self.channel.send_done()
-        except Exception as error:  # whatever it is, this process must start again from the journal
-            log.error("the handover broke off: %s", error, exc_info=not isinstance(error, OSError))
+        except Exception as error:  # after any error this process must start again from the journal
+            log.error("the handover failed: %s", error, exc_info=not isinstance(error, OSError))
             self.channel.close()
             self.lost()
             return
@@ -292,12 +295,12 @@
         self.loop.add_reader(sock, self.watch, sock)
 
     def watch(self, sock: socket.socket) -> None:
-        """The successor has nothing to say: what can be read is its end."""
+        """Called when the successor's process ends, as it sends nothing."""
         self.loop.remove_reader(sock)
         self.lost()
 
     def close(self) -> None:
-        """Nobody else can ask; the successor opens a door of its own."""
+        """Stops listening; the successor opens its own listener."""
         for each in [*self.callers, *([self.listener] if self.listener else [])]:
             self.loop.remove_reader(each)
             each.close()
@@ -305,7 +308,7 @@
         self.listener = None
 
     def end(self) -> None:
-        """At the end of the process."""
+        """Stops listening and closes the connection to the successor. Called at the end of the process."""
         self.close()
         if self.channel:
             self.loop.remove_reader(self.channel.sock)
--- a/message_sender/net/journal.py
+++ b/message_sender/net/journal.py
@@ -1,7 +1,7 @@
-"""What the sender has taken on, in a file that outlasts its process: append, replay, compact.
+"""The journal of accepted messages: an append-only file that is replayed at start and compacted.
 
-One JSON object a line. `os.write` hands each record to the system at once; that outlasts SIGKILL without
-a sync, and what a sync would add, surviving the machine, is not owed.
+One JSON object a line. `os.write` passes each record to the operating system at once, which survives SIGKILL
+without a sync. Surviving a machine failure is not required.
 """
 
 import base64
@@ -17,10 +17,10 @@
 from message_sender.net.message import HandedIn
 
 FILE, COMPACTED = "journal", "journal.new"
-BLOCK = 512  # a file counts in whole blocks
+BLOCK = 512  # bytes; a file's size counts in whole blocks
 HANDED_IN = tuple(each.name for each in fields(HandedIn))
-LARGEST = 96 * 1024  # bytes of a message's record at the most, the body written as base64
-SPARE = 8  # one part in so many is kept free of new messages, for the attempts and ends of those held
+LARGEST = 96 * 1024  # bytes of the largest record of a message, with its body in base64
+SPARE = 8  # divisor of the limit: this part is reserved for records of attempts and ends of accepted messages
 
 log = logging.getLogger(__name__)
 
@@ -30,7 +30,8 @@
     at: int  # us, wall clock
     endpoint: str
     zone: str
-    outcome: Outcome | None = None  # none yet; after a restart: it was out when the process ended
+    # none while in flight; after a restart, the process ended before it was known
+    outcome: Outcome | None = None
 
     def may_have_run(self) -> bool:
         return self.outcome not in NEVER_RAN
@@ -43,7 +44,8 @@
     size: int = 0  # bytes of its records
 
     def first_risk(self, out: Container[int] = ()) -> Attempt | None:
-        """`out`: numbers of attempts that are still out, and so not settled."""
+        """The first attempt that may have run. `out`: numbers of attempts still in flight, which are left
+        out."""
         settled = (each for number, each in self.attempts.items() if number not in out)
         return next((each for each in settled if each.may_have_run()), None)
 
@@ -80,17 +82,17 @@
 
 class Journal:
     def __init__(self, folder: Path, limit: int, told: Iterable[bytes] | None = None) -> None:
-        """Opens the file and replays it; or rather what the process before has `told`, which was the only
-        one to write and whose memory has what a full or damaged folder lacks. `entries` then holds what is
-        still owed, in the order taken."""
+        """Opens the file and replays it, or applies the records that the previous process handed over in
+        `told`: it was the only writer, and may know records that a full or damaged folder lacks. `entries`
+        then has the unfinished messages in the order of acceptance."""
         self.folder, self.limit, self.spare = folder, limit, limit // SPARE
         self.entries: dict[str, Entry] = {}
-        #: By destination, when the newest call went that was delivered: it outdates the failures before it,
-        #: and only what failed is still owed and so on record.
+        #: By destination, the start of the newest delivered call: failures before it no longer count. Needed
+        #: since only failed messages are unfinished and so still in the file.
         self.served: dict[int, int] = {}
-        self.size = self.live = 0  # bytes of the file, and of the records of what is still owed
-        self.standing = 0  # bytes of the records that the last compacting wrote beside those
-        (folder / COMPACTED).unlink(missing_ok=True)  # left by a process that ended while compacting
+        self.size = self.live = 0  # bytes of the file, and of the records of unfinished messages
+        self.standing = 0  # bytes of the other records that the last compaction wrote
+        (folder / COMPACTED).unlink(missing_ok=True)  # left by a process that ended during compaction
         self.file = os.open(folder / FILE, os.O_RDWR | os.O_CREAT | os.O_APPEND, 0o600)
         if told is None:
             self.replay()
@@ -109,7 +111,8 @@
     # Replay.
 
     def replay(self) -> None:
-        """A record that SIGKILL tore is the last one: nothing was done on its strength, so it is cut off."""
+        """Applies the file's records. A record cut short by SIGKILL is the last one and is truncated: nothing
+        had been done in reliance on it."""
         with open(self.folder / FILE, "rb") as file:
             for text in file:
                 try:
@@ -133,7 +136,7 @@
             self.entries[name].attempts[record["number"]] = attempt
             self.grow(name, size)
         elif "outcome" in record:
-            # An outcome may come after the end, from an attempt at a message that was over.
+            # An outcome may follow the end of its message, from an attempt that was still in flight.
             if entry := self.entries.get(record["of"]):
                 entry.attempts[record["number"]].outcome = Outcome(record["outcome"])
                 self.note_served(entry, record["number"])
@@ -152,7 +155,7 @@
         self.entries[name].size += size
         self.live += size
 
-    # Append. Each answers whether the record is written; if not, what it stands for must not happen.
+    # Appending. A record that could not be written returns False: its action must then not be taken.
 
     def taken(self, message: HandedIn) -> bool:
         record = taken_line(message)
@@ -171,7 +174,8 @@
         return True
 
     def outcome(self, name: str, number: int, outcome: Outcome) -> None:
-        """Lost, it reads as a reset after a restart: more careful than needed, never less."""
+        """If the record is lost, the attempt counts as reset after a restart, which is the cautious
+        reading."""
         record = outcome_line(name, number, outcome)
         if attempt := self.entries[name].attempts.get(number):
             attempt.outcome = outcome
@@ -180,7 +184,8 @@
             self.grow(name, len(record))
 
     def ended(self, name: str) -> None:
-        """Lost, the message is tried or told once more after a restart, which does no harm."""
+        """If the record is lost, the message is sent or its notice posted again after a restart, which is
+        harmless."""
         self.live -= self.entries.pop(name).size
         self.append(line({"end": name}))
         if self.size > 2 * (self.live + self.standing) + self.spare:
@@ -188,7 +193,7 @@
 
     def append(self, record: bytes) -> bool:
         if self.over(self.size + len(record)) and not self.compact():
-            log.error("journal: no room for %d bytes", len(record))
+            log.error("journal: no space for %d bytes", len(record))
             return False
         try:
             written = os.write(self.file, record)
@@ -196,39 +201,39 @@
                 os.ftruncate(self.file, self.size)
                 raise OSError("a short write")
         except OSError as error:
-            log.error("journal: not written: %s", error)
+            log.error("journal: write failed: %s", error)
             return False
         self.size += len(record)
         return True
 
-    # Room.
+    # File size.
 
     def over(self, size: int, other: int = 0) -> bool:
         return sum(-(-each // BLOCK) * BLOCK for each in (size, other)) > self.limit
 
     def fits(self, size: int) -> bool:
-        """Room for a new message such that the file can still be copied to compact it."""
+        """Whether a new message fits so that there is still space for a compacted copy of the file."""
         if not self.over(self.size + size, self.live + size + self.spare):
             return True
         return self.compact() and not self.over(self.size + size, self.live + size + self.spare)
 
     def has_room(self) -> bool:
-        """Whether the next message would be taken; one may hold as much as a body can."""
-        size = min(self.size, self.live + self.standing)  # what compacting would leave
+        """Whether the next message would be accepted, even one with the largest body."""
+        size = min(self.size, self.live + self.standing)  # the size after compaction
         return not self.over(size + LARGEST, self.live + LARGEST + self.spare)
 
     def standing_lines(self) -> list[bytes]:
         return [served_line(*each) for each in self.served.items()]
 
     def lines(self) -> Iterator[bytes]:
-        """All that another process needs to go on."""
+        """All records that another process needs to continue."""
         yield from self.standing_lines()
         for entry in self.entries.values():
             yield from lines_of(entry)
 
     def compact(self, anew: bool = False) -> bool:
-        """Writes what is still owed to a second file and puts that in the first one's place in one step;
-        `anew` also if that makes it no smaller."""
+        """Writes the records of unfinished messages to a second file and atomically replaces the first with
+        it. `anew`: even if it is no smaller."""
         standing = sum(map(len, self.standing_lines()))
         kept = self.live + standing
         if (self.size <= kept and not anew) or self.over(self.size, kept):
@@ -240,7 +245,7 @@
             os.replace(path, self.folder / FILE)
             fresh = os.open(self.folder / FILE, os.O_RDWR | os.O_APPEND)
         except OSError as error:
-            log.error("journal: not compacted: %s", error)
+            log.error("journal: compaction failed: %s", error)
             path.unlink(missing_ok=True)
             return False
         os.close(self.file)
--- a/message_sender/net/loop.py
+++ b/message_sender/net/loop.py
@@ -1,4 +1,4 @@
-"""The event loop, which knows for how long what it reads may have waited."""
+"""An event loop that records how long the input it reads may have waited."""
 
 import asyncio
 import selectors
@@ -6,13 +6,13 @@
 
 
 class Polls(selectors.DefaultSelector):
-    """What a poll finds at once may have come at any time since the poll before; what it had to wait for has
-    just come."""
+    """A selector that records when input may have arrived. Input that is ready at once may have arrived at
+    any time since the previous poll; input that the poll had to wait for has just arrived."""
 
     def __init__(self) -> None:
         super().__init__()
         self.turn, self.ended = 0, time.monotonic()
-        self.since = self.ended  # nothing that this turn reads came before
+        self.since = self.ended  # input read in this turn arrived no earlier
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         self.since, self.turn = self.ended, self.turn + 1
@@ -30,5 +30,5 @@
 
 
 def polls_of(loop: asyncio.AbstractEventLoop) -> Polls | None:
-    """None of any other loop: nothing is known of it."""
+    """None for any other event loop, which does not record it."""
     return loop.polls if isinstance(loop, Loop) else None
--- a/message_sender/net/message.py
+++ b/message_sender/net/message.py
@@ -1,4 +1,4 @@
-"""A message as a client handed it in; what reads it, keeps it and sends it on shares this form."""
+"""A message as received from a client, in the form that the server, the journal and the client share."""
 
 from dataclasses import dataclass
 
--- a/message_sender/net/reuse.py
+++ b/message_sender/net/reuse.py
@@ -1,32 +1,34 @@
-"""How far a kept connection can be trusted, learned from what became of the calls on connections before."""
+"""Estimates the risk of reusing an idle connection from the outcomes of earlier calls."""
 
 import math
 from collections import defaultdict
 
-FIRST_BAND = 0.025  # s idle; each further band is twice as long as the one before
-FADE = 0.995  # of each band's counts with each of its calls: about the last 200 speak
-CALM = 25.0  # served calls that a band is taken to have had: one early break proves nothing
-MARGIN = 0.04  # breaks above those of new connections; a message spoilt costs far more than a handshake
+FIRST_BAND = 0.025  # s idle; each further band ends at twice the time of the previous one
+FADE = 0.995  # decay of a band's counts with each of its calls: about the last 200 have weight
+CALM = 25.0  # successful calls assumed for each band at first, so that one early break is no evidence
+# share of breaks accepted above that of new connections; a lost message costs far more than a handshake
+MARGIN = 0.04
 
 NEW = -1
 
 
 class Reuse:
-    """Endpoints may close an idle connection just as a request goes, which then may have run. How long they
-    keep one is told nowhere, so breaks are counted by how long the connection had stood idle."""
+    """Counts how often connections break by how long they were idle. An endpoint may close an idle connection
+    during a request, which then may have run, and its idle timeout is not announced."""
 
     def __init__(self) -> None:
         self.calls: defaultdict[int, float] = defaultdict(float)
         self.breaks: defaultdict[int, float] = defaultdict(float)
 
     def count(self, idle: float | None, broke: bool) -> None:
-        """A call that was written, on a connection idle for so long before it; none for a new one."""
+        """Counts a written call on a connection that was idle for `idle` seconds before; None for a new
+        one."""
         band = self.band(idle)
         self.calls[band] = self.calls[band] * FADE + 1
         self.breaks[band] = self.breaks[band] * FADE + broke
 
     def risky(self, idle: float) -> bool:
-        """Whether a new connection is clearly safer."""
+        """Whether a new connection is clearly safer than one idle for this long, in seconds."""
         return self.share(self.band(idle)) > self.share(NEW) + MARGIN
 
     def band(self, idle: float | None) -> int:
--- a/message_sender/net/sender.py
+++ b/message_sender/net/sender.py
@@ -1,7 +1,5 @@
-"""One real sender: owns the decision module, feeds it what happened and does what it says.
-
-The only place that joins the server, the calls, discovery and the journal.
-"""
+"""The sender process: passes events to the decision module and carries out its actions. It joins the server,
+the client, discovery and the journal, which don't know each other."""
 
 import asyncio
 import hashlib
@@ -27,28 +25,30 @@
 from message_sender.net.server import Connection, Server
 from message_sender.rules import Dispatcher
 
-STOP_LISTENING = 0.6  # s after SIGTERM; the front deals out new connections for up to 0.4 s more
-STOP = 3.3  # s after SIGTERM: the process ends, well before SIGKILL may come at 3.7 s
-SWEEP = 0.25  # s between looks at connections that stand unused; what clients are owed within 3 s goes by it
-REPORT = 5.0  # s between the lines that tell on-call staff what the sender holds and what its calls came to
-HELD_LOGGED = 3  # destinations in that line
-TIMER_SLACK = (
-    0.0005  # s: a timer must not run before its time on the module's clock, which then sets no other
-)
-
-NOTICED = {"returned": End.DECLINED, "failed": End.ABORTED}  # what a notice of that state tells
-AGAIN = -1  # the exit code that asks for another start: what was handed over has come back to this process
-# Calls that end without a whole answer, with their connection: the other side has yet to hear of that, and a
-# repeat on another connection must not come there before, as a second copy. Its slot is in use as long, too.
+STOP_LISTENING = 0.6  # s after SIGTERM; the front proxy may route new connections here for up to 0.4 s
+STOP = 3.3  # s after SIGTERM until the process ends; SIGKILL may follow at 3.7 s
+# s between checks for expired connections; below the 3 s within which clients must get an answer or a close
+SWEEP = 0.25
+REPORT = 5.0  # s between status lines in the log
+HELD_LOGGED = 3  # destinations named in a status line
+# s added to timers: one that fired early on the module's clock would not be set again.
+TIMER_SLACK = 0.0005
+
+NOTICED = {"returned": End.DECLINED, "failed": End.ABORTED}  # by the state that a notice reports
+AGAIN = -1  # exit code of a process that must start again: the handover to its successor failed
+# Calls that end without a complete answer. Their connection closes, and the receiver has yet to see that: a
+# retry on another connection must not arrive first, as a second copy. Until then the call keeps its
+# concurrency slot.
 UNHEARD = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.STALE, Outcome.SPOILT, Outcome.CANCELLED})
-HEARD = 0.05  # s for that
-OVER = 4096  # ids of messages that are over and still known: more than come in the longest deadline
+HEARD = 0.05  # s for the close to reach the receiver
+OVER = 4096  # finished messages whose ids are still recognized; more than arrive within the longest deadline
 
 log = logging.getLogger(__name__)
 
 
 def content(message: HandedIn) -> str:
-    """Tells whether two hand-ins under one id are the same one. Its time left runs from each anew."""
+    """A digest that is equal for two requests with the same message. The time left differs with each request
+    and is left out."""
     return hashlib.blake2b(repr(replace(message, until=0, again=False)).encode(), digest_size=8).hexdigest()
 
 
@@ -58,7 +58,7 @@
 
 class Sender:
     def __init__(self, config: Config, estate: Estate | None = None, control: Control | None = None) -> None:
-        """`estate`: what a process before has handed over, with the right to write in the state folder."""
+        """`estate`: the state folder's lock, and the state that the previous process handed over, if any."""
         self.config, self.settings = config, config.settings
         self.loop = asyncio.get_running_loop()
         self.estate = estate or Estate()
@@ -90,33 +90,36 @@
             self.figures.forwarded,
         )
         self.inbox: list[face.Event] = []
-        # In the inbox, not answered yet; one that crossed the end of its connection may come on two.
+        # Messages in the inbox that are not answered yet. A client that retries after its connection broke
+        # may wait on two connections.
         self.arrived: dict[str, tuple[HandedIn, list[Connection]]] = {}
         self.calls: dict[tuple[str, int], asyncio.Task[Answer]] = {}
-        self.ended: dict[str, str] = {}  # messages that are over: id and content, oldest first, OVER at most
+        # by message id, the digest of a finished message; oldest first, OVER at most
+        self.ended: dict[str, str] = {}
         self.watching: asyncio.Task[None] | None = None
         self.wake: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[None]] = set()
-        self.counts: Counter[str] = Counter()  # since the last report: what calls and messages came to
+        self.counts: Counter[str] = Counter()  # outcomes of calls and messages since the last status line
         self.turning = self.over = self.handed_over = self.terminated = False
         self.stopped: asyncio.Future[int] = self.loop.create_future()
 
     # Start and stop.
 
     async def start(self) -> None:
-        """Takes over what the journal holds; only then do clients hear that the sender is ready."""
+        """Recovers from the journal and the previous process before the sender reports ready to its
+        clients."""
         self.loop.set_exception_handler(lambda _, context: self.loop_failed(context))
         self.loop.add_signal_handler(signal.SIGTERM, self.terminate)
         self.loop.add_signal_handler(signal.SIGINT, self.terminate)
         listing = face.Listing.CACHED
-        if self.estate.state:  # its list was heard until a moment ago
+        if self.estate.state:  # the previous process watched discovery until now, so its list is current
             self.discovery.recall(self.estate.state["discovery"])
             listing = face.Listing.FULL
         self.discovery.unheard = listing is face.Listing.CACHED
         self.post(face.EndpointsListed(listing, self.discovery.endpoints()))
         self.take_over()
         log.info("%s: settings %s", self.config.name, self.settings)
-        log.info("%s: %d messages taken over from the journal", self.config.name, len(self.journal.entries))
+        log.info("%s: recovered %d messages from the journal", self.config.name, len(self.journal.entries))
         self.turn()
         self.spawn(self.discovery.tell())
         self.spawn(self.discovery.check(at_once=bool(self.estate.state)))
@@ -131,11 +134,11 @@
         log.info("%s: ready on %s:%d", self.config.name, host, port)
 
     async def run(self) -> int:
-        """Serves until it is told to stop; the answer is the exit code."""
+        """Serves until it is stopped; returns the exit code."""
         code = await self.stopped
         if code == 0 and not self.over:
             self.last_turn()
-        self.over = True  # calls still out have no outcome in the journal: the next start reads a reset
+        self.over = True  # calls in flight get no outcome in the journal: the next start counts them as reset
         self.server.end()
         for task in [*self.calls.values(), *self.tasks]:
             task.cancel()
@@ -147,13 +150,15 @@
         return code
 
     def last_turn(self) -> None:
-        """No request that was read goes unanswered: what has come by now is taken on, for the next start."""
+        """Accepts the messages that have arrived by now, so that their requests are answered; the next start
+        sends them."""
         self.post(face.Stopping(0))
         self.server.read_last()
         self.turn()
 
     def take_over(self) -> None:
-        """What the journal holds, and what a process before still had out."""
+        """Restores the messages in the journal, and the calls and connections that the previous process
+        handed over."""
         estate = self.estate
         out = {told["message"]: told["number"] for told, _ in estate.calls}
         for entry in self.journal.entries.values():
@@ -170,12 +175,13 @@
             name, number = told["message"], told["number"]
             self.watch_call(name, number, self.client.resume(name, self.client.adopt_call(told, sock)))
         log.info(
-            "%s: another process handed over %d clients, %d calls and %d idle connections",
+            "%s: the previous process handed over %d clients, %d calls and %d idle connections",
             *(self.config.name, len(estate.clients), len(estate.calls), len(estate.idle)),
         )
 
     def hand_over(self, channel: Channel) -> None:
-        """To a newer version, in this one turn of the loop; from now on nothing is this process's own."""
+        """Hands everything over to a newer version, within one turn of the loop. Afterwards this process owns
+        nothing."""
         while self.inbox or any(task.done() for task in self.calls.values()):
             for key, task in list(self.calls.items()):
                 if task.done():
@@ -207,7 +213,7 @@
         if self.estate.lock:
             channel.send_lock(self.estate.lock)
         self.estate.close()
-        log.info("%s: handed over to another process, with %d calls out", self.config.name, len(calls))
+        log.info("%s: handed over to another process, with %d calls in flight", self.config.name, len(calls))
         if self.terminated:
             self.stop(0)
 
@@ -215,7 +221,8 @@
         self.stop(0 if self.terminated else AGAIN)
 
     def calls_to_hand_over(self) -> list[tuple[dict[str, Any], socket.socket]]:
-        """The calls that wait for their answer. The others end here: one not written whole never ran."""
+        """The calls that wait for an answer. All others are ended: a call that is not completely written
+        never ran."""
         calls = []
         for (name, number), task in self.calls.items():
             if not task.cancelling() and (call := self.client.hand_over_call(name)):
@@ -225,8 +232,8 @@
         return calls
 
     def restored(self, entry: Entry, out: Container[int] = ()) -> face.MessageRestored:
-        """`out`: attempts that a process before has handed over. What it knew of destinations tells of its
-        failures already."""
+        """`out`: numbers of attempts that the previous process handed over in flight. If it handed over its
+        state too, that already includes the failures of destinations."""
         risk = entry.first_risk(out)
         served = self.journal.served.get(entry.message.destination, 0)
         since = [each for each in entry.attempts.values() if each.at >= served and not self.estate.state]
@@ -240,15 +247,16 @@
         )
 
     def reconfigure(self, config: Config) -> None:
-        """SIGHUP. Discovery may have moved; anything else that has changed waits for the next start."""
+        """SIGHUP: applies a new discovery address. Any other change takes effect at the next start."""
         if config.discovery != self.discovery.address and not self.handed_over:
-            log.info("%s: discovery is at %s:%d from now on", self.config.name, *config.discovery)
+            log.info("%s: discovery address changed to %s:%d", self.config.name, *config.discovery)
             self.discovery.move(config.discovery)
-            if self.watching:  # the watch at the old address goes on until this one has a list
+            if self.watching:  # the old watch continues until the new address has sent a list
                 self.watching = self.spawn(self.discovery.watch())
 
     def terminate(self) -> None:
-        """SIGTERM. Clients are still answered, and what they hand in is taken on: the journal keeps it."""
+        """SIGTERM: begins to stop. Clients still get answers, and new messages are accepted: the journal
+        keeps them for the next start."""
         if self.terminated:
             return
         self.terminated = True
@@ -274,14 +282,15 @@
             self.stopped.set_result(code)
 
     def loop_failed(self, context: dict[str, Any]) -> None:
-        """The loop's own trouble with a socket (no descriptor left for one more client, say) passes."""
+        """Logs socket errors that the loop reports, such as a lack of descriptors, which pass; anything else
+        ends the process."""
         if isinstance(error := context.get("exception"), OSError):
             log.error("%s: %s", context.get("message"), error)
         else:
             self.fail(context)
 
     def fail(self, context: dict[str, Any]) -> None:
-        """What nobody foresaw is seen and ends the process; the next one starts from the journal."""
+        """Logs an unexpected error and ends the process; the next one recovers from the journal."""
         log.critical("%s", context.get("message"), exc_info=context.get("exception"))
         self.stop(1)
 
@@ -308,9 +317,10 @@
             await asyncio.sleep(REPORT)
             counts, self.counts = self.counts, Counter()
             log.info(
-                "%s: holds %d of %d, %d owed, %d notices unanswered; calls out %d of %d; connections %d out, "
-                "%d idle, %d in, unread for %.0f ms at most; list at %s, %d endpoints; "
-                "since the last report: %s; held most at %s",
+                "%s: %d of at most %d messages, %d in the journal, %d notices unanswered; "
+                "%d of at most %d calls in flight; %d outgoing connections, %d idle, %d clients, "
+                "requests unread for up to %.0f ms; list version %s, %d endpoints; "
+                "since the last report: %s; longest queues: %s",
                 self.config.name,
                 len(self.dispatcher.messages),
                 self.settings.max_open,
@@ -329,10 +339,10 @@
             )
             self.server.longest_unread = 0.0
 
-    # What operators ask.
+    # Operator commands.
 
     def status(self) -> str:
-        """Whether a message that is handed in now would be taken on."""
+        """Whether a message sent now would be accepted."""
         if self.handed_over:
             return "fail handed over to another process"
         if self.server.stopping:
@@ -351,7 +361,8 @@
         }
         return "\n".join([*self.figures.lines(gauges), "eof"])
 
-    # What happened. The events of one loop turn go to the module together: they share one core.
+    # Events. Those of one loop turn are passed to the module as one batch: clients, calls and decisions share
+    # one core.
 
     def post(self, event: face.Event) -> None:
         self.inbox.append(event)
@@ -373,13 +384,14 @@
     def take(self, message: HandedIn, connection: Connection) -> None:
         known = self.known_as(message.id)
         if known == content(message):
-            connection.answer(202)  # the same hand-in once more: it is already ours, or was
+            connection.answer(202)  # a repeated request: the message is or was already accepted
         elif (arrived := self.arrived.get(message.id)) and content(arrived[0]) == content(message):
             arrived[1].append(connection)
         elif known is not None or arrived:
-            # Guards a client whose id another one has used: 202 would take nothing of it on, and the order
-            # of its key would not wait for it. It may come again, under a new id.
-            log.warning("the id %s is another message's", message.id)
+            # Another message has this id. A 202 would confirm a message that is not accepted, and later
+            # messages with its ordering key would not wait for it. The client may send it again under a new
+            # id.
+            log.warning("message id %s is already used by another message", message.id)
             self.turn_away(message, connection, "this id is another message's")
         elif not self.has_room():
             self.counts["turned away"] += 1
@@ -392,7 +404,7 @@
         return len(self.dispatcher.messages) + len(self.arrived) < self.settings.max_open
 
     def turn_away(self, message: HandedIn, connection: Connection, text: str = "") -> None:
-        """Refused: the message was never taken on, so nothing of it has run."""
+        """Rejects a message that was not accepted, so no attempt of it has run."""
         self.figures.ended(message.message_class, End.DECLINED)
         connection.answer(503, self.dispatcher.come_again(), text)
 
@@ -402,7 +414,7 @@
         return self.ended.get(name)
 
     def is_named(self, destination: int) -> bool:
-        """Whether there ever was such a destination; one whose endpoints are all gone may come back."""
+        """Whether a list ever named this destination; one without endpoints may get some again."""
         return destination in self.discovery.destinations
 
     def list_told(self, event: face.EndpointsListed) -> None:
@@ -447,7 +459,7 @@
             self.post(ended)
         self.stop_if_done()
 
-    # One turn: the module hears what happened and says what to do.
+    # One turn: the module handles the events, and its actions are carried out.
 
     def turn(self) -> None:
         self.turning = False
@@ -483,7 +495,7 @@
     def refuse(
         self, action: face.Refuse | face.Fail, message: HandedIn, clients: Iterable[Connection]
     ) -> None:
-        """The final answer of a message that was never taken on. Nothing of it has run."""
+        """Answers a message that was not accepted, so no attempt of it has run."""
         after = action.retry_after if isinstance(action, face.Refuse) else self.dispatcher.come_again()
         self.figures.ended(message.message_class, End.DECLINED)
         for connection in clients:
@@ -495,7 +507,7 @@
             case face.Send():
                 self.send(action, action.message in untaken)
             case face.Refuse(name) | face.Fail(name) if name in untaken:
-                pass  # answered to its client
+                pass  # already answered
             case face.Refuse(name, retry_after):
                 self.counts["returned"] += 1
                 self.discovery.notify(name, "returned", retry_after)
@@ -507,7 +519,8 @@
                     task.cancel()
             case face.WakeAfter(delay):
                 if self.wake:
-                    self.wake.cancel()  # the module asks anew only for an earlier time, or after this one
+                    # the module asks again only for an earlier time, or once this one has passed
+                    self.wake.cancel()
                 self.wake = self.loop.call_later(delay / 1e6 + TIMER_SLACK, self.post, face.WakeUp())
             case face.Subscribe():
                 if self.watching:
@@ -521,7 +534,7 @@
     def send(self, action: face.Send, untaken: bool) -> None:
         name, number, endpoint = action.message, action.attempt, action.endpoint
         zone = self.dispatcher.endpoints[endpoint].listed.zone
-        # The attempt is on record before its first byte can go: after SIGKILL it counts as having run.
+        # The attempt is in the journal before its first byte is sent: after SIGKILL it counts as having run.
         if untaken or not self.journal.sent(name, number, Attempt(self.now(), endpoint, zone)):
             self.post(face.AttemptEnded(name, number, Outcome.NOT_SENT, finished=untaken))
             return
--- a/message_sender/net/server.py
+++ b/message_sender/net/server.py
@@ -1,4 +1,4 @@
-"""Clients in: reads requests, answers them, and turns bad ones away."""
+"""The HTTP server for clients: reads requests, rejects bad ones and writes responses."""
 
 import asyncio
 import errno
@@ -20,22 +20,25 @@
 from plumline.wire.http import BODY_LIMIT, HEADER_LIMIT, READ_SIZE, Address, decimal, header
 
 READY = "/health/ready"
-# A client that cannot be served is owed an error or a close within 3 s of connecting.
-READ_LIMIT = 2.5  # s for a request to come in whole, some take 2 s; the first one's run from connecting
-IDLE_LIMIT = 3.0  # s that a connection may stand with no request open, after its first
-LEAST_IDLE = 2.0  # s for which a client may count on such a connection, unless nothing else makes room
-STALLED = 0.5  # s without a byte after which half a request is missed less than a newcomer
-SILENT_SHARE = 1 / 3  # of the connections that may have just come and be silent
-LINGER = 0.5  # s for the other side to read a last answer
-LINGER_BYTES = 1024 * 1024  # that are still read and dropped meanwhile; then the other side has to wait
-UNREAD_LIMIT = 64 * 1024  # bytes of answers that a client leaves unread before it is cut off
-# us of a message's time that are not its own: since it was sent it has waited to be read, and an answer that
-# comes at the last moment would be taken for a delivery when its time is up for everybody else.
+# A client that cannot be served must get an error or a close within 3 s of connecting.
+# s for a request to be complete, as some take 2 s; the first one's time runs from connecting
+READ_LIMIT = 2.5
+IDLE_LIMIT = 3.0  # s for which a connection may be idle after its first request
+LEAST_IDLE = 2.0  # s for which an idle connection is kept, unless nothing else makes room
+STALLED = 0.5  # s without a byte after which an incomplete request may be dropped for a new client
+SILENT_SHARE = 1 / 3  # share of the connections that may be open without having sent a byte
+LINGER = 0.5  # s for the client to read its last response
+LINGER_BYTES = 1024 * 1024  # bytes read and discarded meanwhile; after that, reading stops
+UNREAD_LIMIT = 64 * 1024  # bytes of unread responses after which a client is disconnected
+# us taken off a message's time left: the request has waited to be read since it was sent, and a response at
+# the last moment would count as a delivery after the deadline had passed for every other party.
 ON_THE_WAY = 150_000
-LEAST_ON_THE_WAY = 50_000  # of a message with little time; else half of what is left
-UNPOLLED = 3  # turns of the loop from taking a connection to its first poll, at the most
-READ_SHARE = 0.003  # s of a turn for reading requests, then what receivers and the clock have to say is heard
-ACCEPT_PAUSE = 0.05  # s until the next try where no descriptor was left
+# us taken off at least; between the two limits, half of the time left is taken off
+LEAST_ON_THE_WAY = 50_000
+UNPOLLED = 3  # turns of the loop at most, from accepting a connection to its first poll
+# s of a turn for reading requests, so that responses of receivers and timers are handled as well
+READ_SHARE = 0.003
+ACCEPT_PAUSE = 0.05  # s until the next accept after running out of descriptors
 NO_DESCRIPTOR = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 log = logging.getLogger(__name__)
@@ -48,7 +51,8 @@
 
 
 def read_message(request: h11.Request, body: bytes, began: int, classes: dict[str, MessageClass]) -> HandedIn:
-    """`began` is when the request's first bytes may have come: its time left runs from its sending."""
+    """`began`: when the first bytes of the request may have arrived, in us. Its time left runs from its
+    sending."""
 
     def field(name: str) -> str:
         return header(request.headers, name.lower().encode()) or ""
@@ -87,33 +91,34 @@
 
 
 class Connection(asyncio.BufferedProtocol):
-    """One client's connection: one request at a time."""
+    """A client's connection, which handles one request at a time."""
 
-    transport: asyncio.Transport = None  # type: ignore[assignment]  # until it is up
+    transport: asyncio.Transport = None  # type: ignore[assignment]  # set in connection_made
 
     def __init__(self, server: "Server", sock: socket.socket) -> None:
         self.server, self.sock = server, sock
         self.codec = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER_LIMIT)
-        self.began: int | None = None  # us, wall clock: when the request at hand may have begun to come
+        self.began: int | None = None  # us, wall clock: when the current request may have begun to arrive
         self.opened = server.turn_now()
-        self.since = server.loop.time()  # s: when the wait at hand began: for its request, or for it to leave
-        self.heard = self.since  # s: when the newest bytes came
+        # s: when the current wait began, for a request or for the client to close
+        self.since = server.loop.time()
+        self.heard = self.since  # s: when the newest bytes arrived
         self.request: h11.Request | None = None
         self.body = bytearray()
-        self.dropped = 0  # bytes, after a refusal
+        self.dropped = 0  # bytes discarded after the last response
         self.answering = self.discarding = False
-        self.proven = self.queued = False  # has asked for what could be given; waits to be read on
-        self.handed_in = False  # ever
-        self.head = b""  # as it came, of the request at hand; all that has come while that isn't whole
+        self.proven = self.queued = False  # the last request was valid; queued to be read
+        self.handed_in = False  # whether it has ever sent a message
+        self.head = b""  # raw head of the current request; until that is complete, all bytes received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if self not in self.server.connections:
-            transport.abort()  # closed to make room before it was up
+            transport.abort()  # closed to make room before the transport was ready
         elif len(self.server.connections) > self.server.most:
             self.refuse(503)
-        elif self.head:  # another process of this sender has read so far
+        elif self.head:  # bytes that the previous process has read
             self.codec.receive_data(self.head)
             self.server.read_on(self)
 
@@ -146,12 +151,12 @@
             self.head += data
         self.codec.receive_data(data)
         if self.answering:
-            self.transport.pause_reading()  # guards against requests by the hundred that nobody has answered
+            self.transport.pause_reading()  # limits pipelined requests that have no response yet
         else:
             self.server.read_on(self)
 
     def advance(self) -> None:
-        """Reads on; whatever a client sends ends in an answer, never in an exception through the loop."""
+        """Parses the received bytes. Invalid input gets an error response; no exception reaches the loop."""
         try:
             while not (self.answering or self.discarding or self.transport.is_closing()):
                 event = self.codec.next_event()
@@ -178,14 +183,14 @@
             self.refuse(error.error_status_hint, str(error))
         except Exception:
             log.exception("a client's request could not be handled")
-            self.transport.abort()  # its connection alone, not the process with all that it holds
+            self.transport.abort()  # only this connection fails, not the process
 
     def check_head(self, request: h11.Request) -> None:
-        # The codec bounds only a head that is still coming, not one that came at once.
+        # The codec limits only an incomplete head, not one that arrives at once.
         if len(request.target) + sum(len(k) + len(v) for k, v in request.headers) > HEADER_LIMIT:
             raise BadRequest(431, "the head is too long")
         length = header(request.headers, b"content-length")
-        # Two lengths may hide a second request in the body: nothing behind such a head is believed.
+        # Two lengths may hide a second request in the body (request smuggling).
         if length and header(request.headers, b"transfer-encoding"):
             raise BadRequest(400, "both Content-Length and Transfer-Encoding")
         if length and int(length) > BODY_LIMIT:
@@ -226,7 +231,7 @@
         self.transport.write(data)
 
     def answer(self, status: int, retry_after: int | None = None, text: str = "") -> None:
-        """Answers the request that has been read whole; then the next one may come."""
+        """Responds to a complete request; then the next one may come."""
         self.proven = status < 400 or status in (429, 503)
         if self.transport.is_closing():
             return
@@ -250,15 +255,15 @@
             self.transport.resume_reading()
 
     def refuse(self, status: int, text: str = "") -> None:
-        """Answers what is not read to its end."""
+        """Responds to an incomplete request and closes."""
         self.proven = False
         if self.codec.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self.respond(status, None, text, close=True)
         self.leave()
 
     def leave(self) -> None:
-        """After the last answer. What still comes is read and dropped for a while: closing over unread bytes
-        would reset the connection, and the client might never see its answer."""
+        """Closes after the last response. Further input is read and discarded for a while: closing with
+        unread bytes would reset the connection, and the client might not see its response."""
         self.discarding = True
         self.since = self.server.loop.time()
         self.server.leave_kinds(self)
@@ -282,21 +287,21 @@
         return bool(poll.poll(0))
 
     def gone(self) -> bool:
-        """Whether the client has closed already, though the loop has not come to read that."""
+        """Whether the client has closed, even if the loop has not read that yet."""
         return self.transport.is_closing() or self.has_unread(select.POLLRDHUP)
 
     def close(self) -> None:
-        """At once: its descriptor is wanted."""
+        """Closes at once, as its descriptor is needed."""
         self.server.forget(self)
         if self.transport:
             self.transport.abort()
-        self.sock.close()  # the transport, which looks at it no more, would only do so in the next turn
+        self.sock.close()  # the aborted transport would close it only in the next turn
 
-    # Another process of this sender goes on with the connection.
+    # Handover of the connection to a newer process.
 
     def told(self) -> dict[str, Any] | None:
-        """None of one that can't go on there: it has had its last answer or leaves answers unread, or what
-        has come is of no plain length."""
+        """The state to hand over. None if the connection can't continue in another process: it has had its
+        last response, has unsent output, or its request body is chunked."""
         chunked = self.request and header(self.request.headers, b"transfer-encoding")
         if self.discarding or chunked or (self.transport and self.transport.get_write_buffer_size()):
             return None
@@ -319,7 +324,8 @@
             getattr(self.server, told["kind"])[self] = None
 
     def expire(self) -> None:
-        """Guards the descriptors from clients that never finish, or never come back."""
+        """Closes or refuses a client that does not finish its request or stays idle, to free its
+        descriptor."""
         passed = self.server.loop.time() - self.since
         if self.discarding:
             if passed > LINGER:
@@ -335,8 +341,8 @@
 
 
 class Server:
-    """`most` connections are held at once, and up to `lingering` more that only hear that they are turned
-    away. One more makes room by closing what serves nobody."""
+    """Serves up to `most` connections, and up to `lingering` more that only get a refusal. A further one
+    closes a connection that serves nobody."""
 
     def __init__(
         self,
@@ -346,30 +352,33 @@
         most: int,
         lingering: int = 16,
         named: Callable[[int], bool] = lambda destination: True,
-        accepts: int = 16,  # connections taken in one turn of the loop: those at hand have their turn too
+        accepts: int = 16,  # limit per turn of the loop, so that open connections are served as well
     ) -> None:
         self.classes, self.take, self.now, self.named = classes, take, now, named
         self.accepts = accepts
         self.most, self.lingering = most, lingering
         self.loop = asyncio.get_running_loop()
         self.polls = polls_of(self.loop)
-        self.queued_since: float | None = None  # clients may have waited since then to be taken
-        self.longest_unread = 0.0  # s, since the last report
-        self.buffer = bytearray(READ_SIZE)  # one for all: what came is copied before another one reads
+        self.queued_since: float | None = None  # clients may have waited since then to be accepted
+        self.longest_unread = 0.0  # s, since the last status line
+        # shared by all connections: received bytes are copied before another one reads
+        self.buffer = bytearray(READ_SIZE)
         self.connections: set[Connection] = set()
-        # Of these, each in the order in which it came to be so:
-        self.silent: dict[Connection, None] = {}  # never spoke
-        self.strangers: dict[Connection, None] = {}  # between requests, and never handed a message in
+        # Groups of these connections, each in the order of joining:
+        self.silent: dict[Connection, None] = {}  # without a byte so far
+        self.strangers: dict[Connection, None] = {}  # between requests, and without a message so far
         self.idle: dict[Connection, None] = {}  # between requests
-        self.partial: dict[Connection, None] = {}  # with a request that has come in part, quiet longest first
-        self.leaving: dict[Connection, None] = {}  # have had their last answer
-        self.to_read: tuple[deque[Connection], deque[Connection]] = (deque(), deque())  # proven first
+        # with an incomplete request; the one quiet for longest first
+        self.partial: dict[Connection, None] = {}
+        self.leaving: dict[Connection, None] = {}  # after their last response
+        # connections whose last request was valid, and all others
+        self.to_read: tuple[deque[Connection], deque[Connection]] = (deque(), deque())
         self.ready = self.stopping = False
-        self.accepted = 0  # ever
+        self.accepted = 0  # connections since the start
         self.listener: socket.socket | None = None
 
     def listen(self, host: str, port: int, listener: socket.socket | None = None) -> None:
-        """`listener`: the one of another process of this sender, with the clients that wait in its queue."""
+        """`listener`: the previous process's listening socket, with the clients in its queue."""
         self.listener = listener or socket.create_server((host, port), backlog=512)
         self.listener.setblocking(False)
         self.loop.add_reader(self.listener, self.accept)
@@ -386,8 +395,9 @@
             self.to_read[not connection.proven].append(connection)
 
     def read_some(self) -> None:
-        """Guards the calls out from a flood of requests: they are read for a part of each turn of the loop,
-        those of clients that have asked well before first, but one of the others in any case."""
+        """Parses queued requests for READ_SHARE of each turn, so that a flood of requests does not delay
+        calls to receivers. Connections whose last request was valid go first; at least one of the others is
+        read as well."""
         until = self.loop.time() + READ_SHARE
         proven, others = self.to_read
         while proven or others:
@@ -408,9 +418,9 @@
         return (self.polls.turn, self.queued_since or self.polls.since) if self.polls else (0, 0.0)
 
     def unread_for(self, turn: int, opened: float) -> int:
-        """us for which what is read now may have waited, at the most: a sender that is late (just started, on
-        a shared core) owes the end of a message all the same. `turn`, `opened`: of its connection, which is
-        polled a few turns after it is taken."""
+        """Upper limit, in us, of how long the bytes read now may have waited: a late sender (just started, or
+        on a shared core) still has to finish the message in time. `turn`, `opened`: when the connection was
+        accepted, as it is first polled a few turns later."""
         if self.polls is None:
             return 0
         since = opened if self.polls.turn - turn <= UNPOLLED else self.polls.since
@@ -419,7 +429,7 @@
         return int(waited * 1e6)
 
     def accept(self) -> bool:
-        """Whether more may wait to be taken."""
+        """Accepts connections; returns whether more may be waiting."""
         for _ in range(self.accepts):
             if self.listener is None:
                 return False
@@ -430,8 +440,8 @@
                 return False
             except OSError as error:
                 if error.errno not in NO_DESCRIPTOR:
-                    continue  # it broke before it was taken
-                log.error("no connection could be taken: %s", error)
+                    continue  # the connection broke before it was accepted
+                log.error("could not accept a connection: %s", error)
                 self.make_room()
                 self.loop.remove_reader(self.listener)
                 self.loop.call_later(ACCEPT_PAUSE, self.accept_again)
@@ -464,17 +474,18 @@
             connection.sock.close()
 
     def hand_over(self) -> Iterator[tuple[dict[str, Any], socket.socket]]:
-        """The clients that another process of this sender goes on with; here all end, those unheard there."""
+        """Yields the clients' connections for the newer process. All of them end here; those that it can't
+        take over get their pending output first."""
         self.ready, self.stopping = False, True
         for connection in list(self.connections):
             if told := connection.told():
                 yield told, connection.sock
                 connection.close()
             elif not connection.discarding:
-                connection.transport.close()  # once it has read its answers
+                connection.transport.close()  # after its output is sent
 
     def adopt(self, told: dict[str, Any], sock: socket.socket) -> None:
-        if len(self.connections) >= self.most:  # it is allowed less than the process before
+        if len(self.connections) >= self.most:  # this process has a lower limit than the previous one
             sock.close()
             return
         sock.setblocking(False)
@@ -483,21 +494,23 @@
         self.take_in(connection)
 
     def make_room(self) -> None:
-        """Guards usual clients from crowds that only connect, or only ask whether the sender is ready. One
-        whose request has come but is not read yet serves somebody, and so may one that says nothing yet."""
+        """Closes the first connection that serves nobody, so that clients that only connect or only check
+        readiness do not crowd out others. One with unread input stays."""
         for connection in self.spare():
             if connection.discarding or not (connection.queued or connection.has_unread()):
                 connection.close()
                 return
 
     def spare(self) -> Iterator[Connection]:
-        """Those that serve nobody now, the ones missed least first, and of each kind the oldest."""
+        """Connections that may be closed to make room, the least useful first; within each group the oldest
+        first."""
         now = self.loop.time()
         yield from self.leaving
         yield from self.strangers
         yield from takewhile(lambda each: now - each.since > LEAST_IDLE, self.idle)
         yield from takewhile(lambda each: now - each.heard > STALLED, self.partial)
-        # Some usual clients connect well before they ask; only many that say nothing are a crowd.
+        # Some ordinary clients connect well before their first request, so silent ones are closed early only
+        # if there are many.
         if len(self.silent) > self.most * SILENT_SHARE:
             yield from self.silent
         yield from self.idle
@@ -516,13 +529,13 @@
             connection.expire()
 
     def stop(self) -> None:
-        """From now on each answer closes its connection."""
+        """From now on each response closes its connection."""
         self.ready, self.stopping = False, True
 
     def close(self) -> None:
-        """No new connections; those between requests end. A request that has come is answered all the same,
-        and so are clients that wait to be taken or have just been: they could not know. One whose request is
-        still under way to a connection that ends sends again."""
+        """Stops listening and closes idle connections. Clients waiting to be accepted are accepted first, and
+        a request that has arrived is still answered, as neither could know. A client whose request is in
+        flight to a closing connection sends it again."""
         if self.listener:
             while self.accept():
                 pass
@@ -534,11 +547,11 @@
                 connection.close()
 
     def is_done(self) -> bool:
-        """Whether nobody is left who may be owed an answer."""
+        """Whether no client may still need a response."""
         return self.listener is None and all(each.discarding for each in self.connections)
 
     def read_last(self) -> None:
-        """Before the process ends: what has come is read and acted on in this turn, as there is no other."""
+        """Reads and handles all input that has arrived, as the process ends after this turn."""
         for connection in list(self.connections):
             connection.read_rest()
         for waiting in self.to_read:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -124,7 +124,7 @@
             old.send_signal(signal.SIGSTOP)
             new = await start(told, state)
             try:
-                await wait_for(new, rb"hands nothing over")
+                await wait_for(new, rb"does not hand over")
                 assert Lock.take(state) is None
                 if early:  # SIGTERM before the new one has anything
                     old.send_signal(signal.SIGTERM)
