--- a/message_sender/__main__.py
+++ b/message_sender/__main__.py
@@ -11,10 +11,10 @@
 
 from message_sender.net.config import Config
 from message_sender.net.control import Control
-from message_sender.net.discovery import Listed
-from message_sender.net.handover import come_into
+from message_sender.net.discovery import EndpointList
+from message_sender.net.handover import acquire_state_folder
 from message_sender.net.loop import Loop
-from message_sender.net.sender import AGAIN, Sender
+from message_sender.net.sender import EXIT_RESTART, Sender
 from message_sender.settings import settings_from
 from plumline.process_signals import block_signals, finish_unless, handle_signals
 from plumline.wire.http import address_from
@@ -28,24 +28,24 @@
     """The configuration is invalid; the message gives the reason in one line."""
 
 
-def config_from(told: dict[str, Any], state: Path, control: str = "") -> Config:
+def config_from(document: dict[str, Any], state: Path, control: str = "") -> Config:
     """`control`: the operators' address from the environment, which differs for each process."""
     try:
-        limits = told["limits"]
+        limits = document["limits"]
         return Config(
-            name=told["name"],
-            listen=address_from(told["listen"]),
-            discovery=address_from(told["discovery"]),
-            control=address_from(at) if (at := control or told.get("control")) else None,
+            name=document["name"],
+            listen=address_from(document["listen"]),
+            discovery=address_from(document["discovery"]),
+            control=address_from(at) if (at := control or document.get("control")) else None,
             state=state,
-            seed=int(told["seed"], 16),
+            seed=int(document["seed"], 16),
             disk_bytes=int(limits["disk_mb"] * MEGABYTE),
             sockets=int(limits["sockets"]),
-            known=Listed(told["known"]),
+            known=EndpointList(document["known"]),
             # On sockets a list must always be requested, whatever the simulator does at this site, and the
             # list cached on this machine applies as well.
             settings=replace(
-                settings_from(told["settings"], ends_answered=True), must_ask=True, told_unheard=True
+                settings_from(document["settings"], ends_answered=True), must_ask=True, told_unheard=True
             ),
         )
     except KeyError as error:
@@ -65,7 +65,7 @@
         raise BadConfig(" ".join(str(error).split())) from None
 
 
-def reread(sender: Sender) -> None:
+def reload_configuration(sender: Sender) -> None:
     """Applies the replaced configuration after SIGHUP. An invalid one changes nothing."""
     try:
         sender.reconfigure(read_config())
@@ -84,7 +84,7 @@
         """SIGHUP."""
         self.reload_requested.set()
         if self.sender is not None:
-            reread(self.sender)
+            reload_configuration(self.sender)
 
     def on_terminate(self) -> None:
         """SIGTERM."""
@@ -96,7 +96,7 @@
         """Passes the signals received so far to the started sender, and later ones as they arrive."""
         self.sender = sender
         if self.reload_requested.is_set():
-            reread(sender)
+            reload_configuration(sender)
         if self.stop_requested.is_set():
             sender.terminate()
 
@@ -111,7 +111,7 @@
     signals = EarlySignals()
     # Without a handler a signal would end a process that has just taken over clients and calls.
     handle_signals(asyncio.get_running_loop(), signals.on_terminate, signals.on_reload)
-    taken_over = await finish_unless(signals.stop_requested, come_into(config.state))
+    taken_over = await finish_unless(signals.stop_requested, acquire_state_folder(config.state))
     code = 0
     if taken_over is not None:
         sender = Sender(config, taken_over.result(), control)
@@ -126,7 +126,7 @@
 def run() -> int:
     with asyncio.Runner(loop_factory=Loop) as runner:
         code = runner.run(serve(read_config()))
-        if code != AGAIN:
+        if code != EXIT_RESTART:
             block_signals()
         return code
 
@@ -136,7 +136,7 @@
         level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
     try:
-        while (code := run()) == AGAIN:
+        while (code := run()) == EXIT_RESTART:
             log.warning("the successor has ended; this process starts again from the journal")
         return code
     except BadConfig as error:
--- a/message_sender/net/config.py
+++ b/message_sender/net/config.py
@@ -6,7 +6,7 @@
 from typing import ClassVar
 
 from message_sender import interface as face
-from message_sender.net.discovery import Listed
+from message_sender.net.discovery import EndpointList
 from plumline.wire.http import Address
 
 
@@ -20,7 +20,7 @@
     seed: int
     disk_bytes: int
     sockets: int
-    known: Listed
+    known: EndpointList
     settings: face.Settings
 
 
@@ -32,7 +32,7 @@
     # with their successors at a new address (4), check, operators' listener, lock, successor listener: 18.
     # The same again for a newer version running beside this process: handed-over descriptors are closed here
     # at once, except those of calls, few of which are in use.
-    OWN: ClassVar[int] = 2 * 18
+    RESERVED: ClassVar[int] = 2 * 18
 
     clients: int
     lingering: int  # further clients, which only get a refusal
@@ -41,17 +41,19 @@
     accepts: int  # clients accepted in one turn of the loop: each may close another one to make room
 
     @classmethod
-    def of(cls, sockets: int, slots: int) -> "Descriptors":
+    def divide(cls, sockets: int, slots: int) -> "Descriptors":
         """Clients get half, as they may need a third of all; calls get the rest, and always enough for all
         slots."""
         lingering = sockets // 16
-        few = min(max(lingering, 4), 16)
-        own = cls.OWN + few
-        calls = max(sockets - own - sockets // 2, slots + 4)
-        return cls(max(sockets - own - lingering - calls, 1), lingering, calls, few, few)
+        operator_count = min(max(lingering, 4), 16)
+        reserved = cls.RESERVED + operator_count
+        calls = max(sockets - reserved - sockets // 2, slots + 4)
+        return cls(
+            max(sockets - reserved - lingering - calls, 1), lingering, calls, operator_count, operator_count
+        )
 
     def total(self) -> int:
-        return self.OWN + self.clients + self.lingering + self.calls + self.operators
+        return self.RESERVED + self.clients + self.lingering + self.calls + self.operators
 
 
 class Clock:
--- a/message_sender/net/control.py
+++ b/message_sender/net/control.py
@@ -9,9 +9,9 @@
 
 BACKLOG = 128
 LINE_LIMIT = 256  # bytes of a command
-PATIENCE = 2.0  # s for a command to be complete
+COMMAND_TIMEOUT = 2.0  # s for a command to be complete
 LINGER = 0.5  # s for the caller to read its reply
-RETRY = 0.2  # s between attempts to listen
+LISTEN_RETRY_DELAY = 0.2  # s between attempts to listen
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
         self.line = b""
         self.answered = False
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(PATIENCE, self.answer, "fail no call came")
+        self.timer = loop.call_later(COMMAND_TIMEOUT, self.answer, "fail no call came")
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -73,11 +73,12 @@
 
 
 class Control:
-    """Runs the commands in `calls`, by name; an exception becomes a `fail` line. The descriptors of `most`
-    callers are reserved, whatever clients and endpoints use; a further caller closes the oldest."""
+    """Runs the commands in `commands`, by name; an exception becomes a `fail` line. The descriptors of
+    `max_callers` callers are reserved, whatever clients and endpoints use; a further caller closes the
+    oldest."""
 
-    def __init__(self, calls: dict[str, Callable[[], str]] | None = None, most: int = 4) -> None:
-        self.calls, self.most = calls or {}, most
+    def __init__(self, commands: dict[str, Callable[[], str]] | None = None, max_callers: int = 4) -> None:
+        self.commands, self.max_callers = commands or {}, max_callers
         self.loop = asyncio.get_running_loop()
         self.callers: dict[Caller, None] = {}  # oldest first
         self.listener: socket.socket | None = None
@@ -89,13 +90,13 @@
                 self.listener = socket.create_server(address, backlog=BACKLOG)
             except OSError as error:
                 log.error("cannot listen for operators at %s:%d: %s", *address, error)
-                await asyncio.sleep(RETRY)
+                await asyncio.sleep(LISTEN_RETRY_DELAY)
         self.listener.setblocking(False)
         self.loop.add_reader(self.listener, self.accept)
         log.info("listening for operators at %s:%d", *self.listener.getsockname())
 
     def accept(self) -> None:
-        """Accepts one caller per turn of the loop, so that only one above `most` is open, and only
+        """Accepts one caller per turn of the loop, so that only one above `max_callers` is open, and only
         briefly."""
         assert self.listener is not None
         try:
@@ -103,25 +104,25 @@
         except OSError:
             # the connection broke before it was accepted, or the system has no descriptor left at the moment
             return
-        while len(self.callers) >= self.most:
+        while len(self.callers) >= self.max_callers:
             next(iter(self.callers)).close()
         sock.setblocking(False)
         caller = Caller(self, sock)
         self.callers[caller] = None
         task = self.loop.create_task(self.loop.connect_accepted_socket(lambda: caller, sock))
-        task.add_done_callback(lambda task: self.taken_in(task, caller))
+        task.add_done_callback(lambda task: self.on_connection_started(task, caller))
 
-    def taken_in(self, task: asyncio.Task, caller: Caller) -> None:
+    def on_connection_started(self, task: asyncio.Task, caller: Caller) -> None:
         if task.cancelled() or task.exception():
             caller.close()
 
-    def reply(self, call: str) -> str:
-        if (answer := self.calls.get(call)) is None:
-            return f"fail no such call; there are {', '.join(self.calls)}"
+    def reply(self, command: str) -> str:
+        if (answer := self.commands.get(command)) is None:
+            return f"fail no such call; there are {', '.join(self.commands)}"
         try:
             return answer()
         except Exception as error:
-            log.exception("operator command %s failed", call)
+            log.exception("operator command %s failed", command)
             return f"fail {type(error).__name__}"
 
     def close(self) -> None:
--- a/message_sender/net/figures.py
+++ b/message_sender/net/figures.py
@@ -12,18 +12,18 @@
     ABORTED = "aborted"  # failed
 
 
-class Figures:
+class MessageCounters:
     """Counters of message ends by class, and of requests sent to receivers."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.ends = {(name, end): 0 for name in classes for end in End}
         self.forwards = 0
 
-    def ended(self, message_class: str, end: End) -> None:
+    def count_end(self, message_class: str, end: End) -> None:
         # A class in the journal may have been removed from the settings.
         self.ends[message_class, end] = self.ends.get((message_class, end), 0) + 1
 
-    def forwarded(self) -> None:
+    def count_forward(self) -> None:
         self.forwards += 1
 
     def lines(self, gauges: Mapping[str, int]) -> list[str]:
--- a/message_sender/net/handover.py
+++ b/message_sender/net/handover.py
@@ -18,14 +18,14 @@
 
 from plumline.wire.http import readable
 
-ASK = b"hand over, please\n"
+HANDOVER_REQUEST = b"hand over, please\n"
 FRAME = struct.Struct("!I?")  # length of the text in bytes; whether a descriptor is attached
 FRAME_LIMIT = 8 * 1024 * 1024  # bytes
 CREDENTIALS = struct.Struct("3i")  # process, user, group
-PATIENCE = 1.0  # s for the peer to read or write; clients are not served meanwhile
-ANSWER = 2.0  # s for the owner to begin the handover
-PAUSE = 0.05  # s between attempts to take the lock
-CALLERS = 4  # connections whose request has not arrived yet
+FRAME_TIMEOUT = 1.0  # s for the peer to read or write; clients are not served meanwhile
+OWNER_TIMEOUT = 2.0  # s for the owner to begin the handover
+LOCK_RETRY_DELAY = 0.05  # s between attempts to take the lock
+MAX_CALLERS = 4  # connections whose request has not arrived yet
 VERSION = 1  # of the frames' content; incremented if older processes can't read it, or theirs can't be read
 DONE = "done"
 
@@ -33,14 +33,14 @@
 
 
 def address_of(folder: Path) -> bytes:
-    found = os.stat(folder)
-    return f"\0elmglade-{found.st_dev}-{found.st_ino}".encode()
+    status = os.stat(folder)
+    return f"\0elmglade-{status.st_dev}-{status.st_ino}".encode()
 
 
-def is_own(channel: socket.socket) -> bool:
+def is_same_user(channel: socket.socket) -> bool:
     """Whether the peer runs as the same user. Other users must neither get nor give handed-over state."""
-    told = channel.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
-    return CREDENTIALS.unpack(told)[1] == os.getuid()
+    credentials = channel.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
+    return CREDENTIALS.unpack(credentials)[1] == os.getuid()
 
 
 class Lock:
@@ -73,10 +73,10 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        sock.settimeout(PATIENCE)
+        sock.settimeout(FRAME_TIMEOUT)
 
-    def send(self, told: dict[str, Any], descriptor: int | None = None) -> None:
-        text = json.dumps(told).encode()
+    def send(self, frame: dict[str, Any], descriptor: int | None = None) -> None:
+        text = json.dumps(frame).encode()
         head = FRAME.pack(len(text), descriptor is not None)
         if descriptor is None:
             self.sock.sendall(head + text)
@@ -95,8 +95,8 @@
             self.send({"listener": True}, listener.fileno())
 
     def send_all(self, kind: str, connections: Iterable[tuple[dict[str, Any], socket.socket]]) -> None:
-        for told, sock in connections:
-            self.send({kind: told}, sock.fileno())
+        for details, sock in connections:
+            self.send({kind: details}, sock.fileno())
 
     def send_lock(self, lock: Lock) -> None:
         self.send({"lock": True}, lock.descriptor)
@@ -110,28 +110,28 @@
             size, has_descriptor = FRAME.unpack(head + self.read(FRAME.size - len(head)))
             if size > FRAME_LIMIT or has_descriptor != bool(descriptors):
                 raise ValueError("malformed frame")
-            told = json.loads(self.read(size))
-            if not isinstance(told, dict):
+            frame = json.loads(self.read(size))
+            if not isinstance(frame, dict):
                 raise ValueError("malformed frame")
         except BaseException:
             for each in descriptors:
                 os.close(each)
             raise
-        return told, descriptors[0] if descriptors else None
+        return frame, descriptors[0] if descriptors else None
 
     def read(self, size: int) -> bytes:
         data = bytearray()
         while len(data) < size:
-            if not (part := self.sock.recv(size - len(data))):
+            if not (chunk := self.sock.recv(size - len(data))):
                 raise ConnectionError("the other process closed the connection")
-            data += part
+            data += chunk
         return bytes(data)
 
     def close(self) -> None:
         self.sock.close()
 
 
-class Estate:
+class HandoverState:
     """What a process starts with: the lock, and the state that the previous owner handed over, if any."""
 
     def __init__(self, lock: Lock | None = None, channel: Channel | None = None) -> None:
@@ -149,10 +149,10 @@
         assert self.channel is not None
         try:
             while True:
-                told, descriptor = self.channel.receive()
-                if DONE in told:
+                frame, descriptor = self.channel.receive()
+                if DONE in frame:
                     break
-                self.accept(told, descriptor)
+                self.apply_frame(frame, descriptor)
         except BaseException:
             self.drop()
             raise
@@ -161,14 +161,14 @@
             raise ConnectionError("the owner did not hand over its lock")
         if self.state and self.state.get("version") != VERSION:
             log.warning("state of an incompatible version: recovering from the journal instead")
-            self.forget()
+            self.discard_state()
 
-    def accept(self, told: dict[str, Any], descriptor: int | None) -> None:
-        (kind, what), *_ = told.items()
+    def apply_frame(self, frame: dict[str, Any], descriptor: int | None) -> None:
+        (kind, value), *_ = frame.items()
         if kind == "state":
-            self.state = what
+            self.state = value
         elif kind == "lines":
-            self.lines += [each.encode() for each in what]
+            self.lines += [each.encode() for each in value]
         elif kind == "lock" and descriptor is not None:
             self.lock = Lock(descriptor)
         elif descriptor is not None:
@@ -177,11 +177,11 @@
             if kind == "listener":
                 self.listener = sock
             elif kind in ("clients", "calls", "idle"):
-                getattr(self, kind).append((what, sock))
+                getattr(self, kind).append((value, sock))
             else:
                 sock.close()  # a kind that this version does not know
 
-    def forget(self) -> None:
+    def discard_state(self) -> None:
         """Drops the state and connections of an incompatible version. The lock and the listening socket
         remain."""
         for _, sock in [*self.clients, *self.calls, *self.idle]:
@@ -189,7 +189,7 @@
         self.state, self.lines, self.clients, self.calls, self.idle = None, [], [], [], []
 
     def drop(self) -> None:
-        self.forget()
+        self.discard_state()
         if self.listener:
             self.listener.close()
         self.close()
@@ -203,43 +203,45 @@
         self.channel = self.lock = None
 
 
-async def come_into(folder: Path) -> Estate:
+async def acquire_state_folder(folder: Path) -> HandoverState:
     """Waits until this process owns the folder: by taking the free lock, or by a handover from the owner."""
-    why = ""
+    reason = ""
     while (lock := Lock.take(folder)) is None:
         try:
-            return await ask(folder)
+            return await request_handover(folder)
         except Exception as error:  # another version may send anything; only the lock decides ownership
-            if why != (why := str(error) or type(error).__name__):
-                log.info("another process owns the state folder and does not hand over: %s", why)
-        await asyncio.sleep(PAUSE)
-    return Estate(lock)
+            if reason != (reason := str(error) or type(error).__name__):
+                log.info("another process owns the state folder and does not hand over: %s", reason)
+        await asyncio.sleep(LOCK_RETRY_DELAY)
+    return HandoverState(lock)
 
 
-async def ask(folder: Path) -> Estate:
+async def request_handover(folder: Path) -> HandoverState:
     loop = asyncio.get_running_loop()
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     try:
         sock.setblocking(False)
-        async with asyncio.timeout(ANSWER):
+        async with asyncio.timeout(OWNER_TIMEOUT):
             await loop.sock_connect(sock, address_of(folder))
-            if not is_own(sock):
+            if not is_same_user(sock):
                 raise ConnectionError("the owner is another user's process")
-            await loop.sock_sendall(sock, ASK)
+            await loop.sock_sendall(sock, HANDOVER_REQUEST)
             await readable(sock)
     except BaseException:
         sock.close()
         raise
-    estate = Estate(channel=Channel(sock))
-    estate.receive()
-    return estate
+    handover = HandoverState(channel=Channel(sock))
+    handover.receive()
+    return handover
 
 
-class Door:
+class SuccessorListener:
     """Listens for a successor, and hands over to one only."""
 
-    def __init__(self, folder: Path, hand_over: Callable[[Channel], None], lost: Callable[[], None]) -> None:
-        self.folder, self.hand_over, self.lost = folder, hand_over, lost
+    def __init__(
+        self, folder: Path, hand_over: Callable[[Channel], None], on_lost: Callable[[], None]
+    ) -> None:
+        self.folder, self.hand_over, self.on_lost = folder, hand_over, on_lost
         self.loop = asyncio.get_running_loop()
         self.listener: socket.socket | None = None
         self.callers: set[socket.socket] = set()
@@ -264,21 +266,21 @@
             sock = self.listener.accept()[0]
         except OSError:
             return
-        if len(self.callers) >= CALLERS or not is_own(sock):
+        if len(self.callers) >= MAX_CALLERS or not is_same_user(sock):
             sock.close()
             return
         sock.setblocking(False)
         self.callers.add(sock)
-        self.loop.add_reader(sock, self.hear, sock)
+        self.loop.add_reader(sock, self.read_request, sock)
 
-    def hear(self, sock: socket.socket) -> None:
+    def read_request(self, sock: socket.socket) -> None:
         self.loop.remove_reader(sock)
         self.callers.discard(sock)
         try:
-            asked = sock.recv(len(ASK)) == ASK
+            is_request = sock.recv(len(HANDOVER_REQUEST)) == HANDOVER_REQUEST
         except OSError:
-            asked = False
-        if not asked:
+            is_request = False
+        if not is_request:
             sock.close()
             return
         self.close()
@@ -289,7 +291,7 @@
         except Exception as error:  # after any error this process must start again from the journal
             log.error("the handover failed: %s", error, exc_info=not isinstance(error, OSError))
             self.channel.close()
-            self.lost()
+            self.on_lost()
             return
         sock.setblocking(False)
         self.loop.add_reader(sock, self.watch, sock)
@@ -297,7 +299,7 @@
     def watch(self, sock: socket.socket) -> None:
         """Called when the successor's process ends, as it sends nothing."""
         self.loop.remove_reader(sock)
-        self.lost()
+        self.on_lost()
 
     def close(self) -> None:
         """Stops listening; the successor opens its own listener."""
@@ -307,7 +309,7 @@
         self.callers.clear()
         self.listener = None
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         """Stops listening and closes the connection to the successor. Called at the end of the process."""
         self.close()
         if self.channel:
--- a/message_sender/net/sender.py
+++ b/message_sender/net/sender.py
@@ -18,89 +18,101 @@
 from message_sender.net.config import Clock, Config, Descriptors
 from message_sender.net.control import Control
 from message_sender.net.discovery import Discovery
-from message_sender.net.figures import End, Figures
-from message_sender.net.handover import Channel, Door, Estate
+from message_sender.net.figures import End, MessageCounters
+from message_sender.net.handover import Channel, HandoverState, SuccessorListener
 from message_sender.net.journal import Attempt, Entry, Journal
 from message_sender.net.message import HandedIn
 from message_sender.net.server import Connection, Server
 from message_sender.rules import Dispatcher
 
-STOP_LISTENING = 0.6  # s after SIGTERM; the front proxy may route new connections here for up to 0.4 s
-STOP = 3.3  # s after SIGTERM until the process ends; SIGKILL may follow at 3.7 s
+STOP_LISTENING_DELAY = 0.6  # s after SIGTERM; the front proxy may route new connections here for up to 0.4 s
+SHUTDOWN_LIMIT = 3.3  # s after SIGTERM until the process ends; SIGKILL may follow at 3.7 s
 # s between checks for expired connections; below the 3 s within which clients must get an answer or a close
-SWEEP = 0.25
-REPORT = 5.0  # s between status lines in the log
-HELD_LOGGED = 3  # destinations named in a status line
+SWEEP_INTERVAL = 0.25
+REPORT_INTERVAL = 5.0  # s between status lines in the log
+LOGGED_DESTINATIONS = 3  # destinations named in a status line
 # s added to timers: one that fired early on the module's clock would not be set again.
 TIMER_SLACK = 0.0005
 
-NOTICED = {"returned": End.DECLINED, "failed": End.ABORTED}  # by the state that a notice reports
-AGAIN = -1  # exit code of a process that must start again: the handover to its successor failed
+END_BY_NOTICE_STATE = {"returned": End.DECLINED, "failed": End.ABORTED}  # by the state that a notice reports
+EXIT_RESTART = -1  # exit code of a process that must start again: the handover to its successor failed
 # Calls that end without a complete answer. Their connection closes, and the receiver has yet to see that: a
 # retry on another connection must not arrive first, as a second copy. Until then the call keeps its
 # concurrency slot.
-UNHEARD = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.STALE, Outcome.SPOILT, Outcome.CANCELLED})
-HEARD = 0.05  # s for the close to reach the receiver
-OVER = 4096  # finished messages whose ids are still recognized; more than arrive within the longest deadline
+ABANDONED_OUTCOMES = frozenset(
+    {Outcome.TIMEOUT, Outcome.RESET, Outcome.STALE, Outcome.SPOILT, Outcome.CANCELLED}
+)
+CLOSE_DELAY = 0.05  # s for the close to reach the receiver
+# Finished messages whose ids are still recognized; more than arrive within the longest deadline.
+FINISHED_LIMIT = 4096
 
 log = logging.getLogger(__name__)
 
 
-def content(message: HandedIn) -> str:
+def content_digest(message: HandedIn) -> str:
     """A digest that is equal for two requests with the same message. The time left differs with each request
     and is left out."""
     return hashlib.blake2b(repr(replace(message, until=0, again=False)).encode(), digest_size=8).hexdigest()
 
 
-def is_taking(event: face.Event, name: str) -> bool:
+def is_taken_event(event: face.Event, name: str) -> bool:
     return isinstance(event, face.MessageTaken) and event.message == name
 
 
 class Sender:
-    def __init__(self, config: Config, estate: Estate | None = None, control: Control | None = None) -> None:
-        """`estate`: the state folder's lock, and the state that the previous process handed over, if any."""
+    def __init__(
+        self, config: Config, handover: HandoverState | None = None, control: Control | None = None
+    ) -> None:
+        """`handover`: the state folder's lock, and the state that the previous process handed over, if
+        any."""
         self.config, self.settings = config, config.settings
         self.loop = asyncio.get_running_loop()
-        self.estate = estate or Estate()
-        inherited = self.estate.state
+        self.handover = handover or HandoverState()
+        inherited = self.handover.state
         self.clock = Clock(inherited["clock"] if inherited else None)
         self.now = self.clock.now
         self.dispatcher = Dispatcher(config.settings, config.seed)
-        self.journal = Journal(config.state, config.disk_bytes, self.estate.lines if inherited else None)
+        self.journal = Journal(config.state, config.disk_bytes, self.handover.lines if inherited else None)
         classes = {each.name: each for each in config.settings.classes}
-        self.once = {name for name, each in classes.items() if each.effect is face.Effect.UNSAFE}
-        self.figures = Figures(classes)
-        share = Descriptors.of(config.sockets, config.settings.slots)
+        self.unsafe_classes = {name for name, each in classes.items() if each.effect is face.Effect.UNSAFE}
+        self.counters = MessageCounters(classes)
+        share = Descriptors.divide(config.sockets, config.settings.slots)
         self.control = control or Control()
-        self.control.calls = {"STATUS": self.status, "METRICS": self.metrics}
-        self.control.most = share.operators
-        self.door = Door(config.state, self.hand_over, self.successor_lost)
+        self.control.commands = {"STATUS": self.status, "METRICS": self.metrics}
+        self.control.max_callers = share.operators
+        self.successor_listener = SuccessorListener(config.state, self.hand_over, self.successor_lost)
         self.server = Server(
-            classes, self.take, self.now, share.clients, share.lingering, self.is_named, share.accepts
+            classes,
+            self.receive_message,
+            self.now,
+            share.clients,
+            share.lingering,
+            self.is_known_destination,
+            share.accepts,
         )
         self.discovery = Discovery(
-            config.discovery, config.known, self.list_told, self.end_answered, config.settings.fleet_size
+            config.discovery, config.known, self.on_list, self.on_notice_answered, config.settings.fleet_size
         )
         self.client = Client(
             config.settings.conn_idle / 1e6,
             config.settings.connect_timeout / 1e6,
             share.calls,
-            lambda: self.discovery.dials,
+            lambda: self.discovery.addresses,
             lambda endpoint, wait: self.dispatcher.wait_told(endpoint, self.now() + wait),
-            self.figures.forwarded,
+            self.counters.count_forward,
         )
         self.inbox: list[face.Event] = []
         # Messages in the inbox that are not answered yet. A client that retries after its connection broke
         # may wait on two connections.
-        self.arrived: dict[str, tuple[HandedIn, list[Connection]]] = {}
+        self.pending: dict[str, tuple[HandedIn, list[Connection]]] = {}
         self.calls: dict[tuple[str, int], asyncio.Task[Answer]] = {}
-        # by message id, the digest of a finished message; oldest first, OVER at most
-        self.ended: dict[str, str] = {}
-        self.watching: asyncio.Task[None] | None = None
-        self.wake: asyncio.TimerHandle | None = None
+        # by message id, the digest of a finished message; oldest first, FINISHED_LIMIT at most
+        self.finished: dict[str, str] = {}
+        self.watch_task: asyncio.Task[None] | None = None
+        self.wake_timer: asyncio.TimerHandle | None = None
         self.tasks: set[asyncio.Task[None]] = set()
         self.counts: Counter[str] = Counter()  # outcomes of calls and messages since the last status line
-        self.turning = self.over = self.handed_over = self.terminated = False
+        self.turn_scheduled = self.halted = self.handed_over = self.terminated = False
         self.stopped: asyncio.Future[int] = self.loop.create_future()
 
     # Start and stop.
@@ -112,71 +124,72 @@
         self.loop.add_signal_handler(signal.SIGTERM, self.terminate)
         self.loop.add_signal_handler(signal.SIGINT, self.terminate)
         listing = face.Listing.CACHED
-        if self.estate.state:  # the previous process watched discovery until now, so its list is current
-            self.discovery.recall(self.estate.state["discovery"])
+        if self.handover.state:  # the previous process watched discovery until now, so its list is current
+            self.discovery.restore(self.handover.state["discovery"])
             listing = face.Listing.FULL
-        self.discovery.unheard = listing is face.Listing.CACHED
+        self.discovery.is_unconfirmed = listing is face.Listing.CACHED
         self.post(face.EndpointsListed(listing, self.discovery.endpoints()))
-        self.take_over()
+        self.restore()
         log.info("%s: settings %s", self.config.name, self.settings)
         log.info("%s: recovered %d messages from the journal", self.config.name, len(self.journal.entries))
         self.turn()
-        self.spawn(self.discovery.tell())
-        self.spawn(self.discovery.check(at_once=bool(self.estate.state)))
+        self.spawn(self.discovery.send_notices())
+        self.spawn(self.discovery.check_periodically(at_once=bool(self.handover.state)))
         self.sweeping = self.spawn(self.sweep())
         self.spawn(self.report())
-        self.server.listen(*self.config.listen, self.estate.listener)
-        for told, sock in self.estate.clients:
-            self.server.adopt(told, sock)
+        self.server.listen(*self.config.listen, self.handover.listener)
+        for details, sock in self.handover.clients:
+            self.server.adopt(details, sock)
         self.server.ready = not self.server.stopping
-        self.door.open()
+        self.successor_listener.open()
         host, port = self.server.address()
         log.info("%s: ready on %s:%d", self.config.name, host, port)
 
     async def run(self) -> int:
         """Serves until it is stopped; returns the exit code."""
         code = await self.stopped
-        if code == 0 and not self.over:
-            self.last_turn()
-        self.over = True  # calls in flight get no outcome in the journal: the next start counts them as reset
-        self.server.end()
+        if code == 0 and not self.halted:
+            self.final_turn()
+        # Calls in flight get no outcome in the journal, so the next start counts them as reset.
+        self.halted = True
+        self.server.shut_down()
         for task in [*self.calls.values(), *self.tasks]:
             task.cancel()
         self.client.close()
         self.control.close()
         self.journal.close()
-        self.door.end()
-        self.estate.close()
+        self.successor_listener.shut_down()
+        self.handover.close()
         return code
 
-    def last_turn(self) -> None:
+    def final_turn(self) -> None:
         """Accepts the messages that have arrived by now, so that their requests are answered; the next start
         sends them."""
         self.post(face.Stopping(0))
-        self.server.read_last()
+        self.server.read_remaining()
         self.turn()
 
-    def take_over(self) -> None:
+    def restore(self) -> None:
         """Restores the messages in the journal, and the calls and connections that the previous process
         handed over."""
-        estate = self.estate
-        out = {told["message"]: told["number"] for told, _ in estate.calls}
+        handover = self.handover
+        in_flight = {details["message"]: details["number"] for details, _ in handover.calls}
         for entry in self.journal.entries.values():
             self.discovery.destinations.add(entry.message.destination)
             name = entry.message.id
-            self.post(self.restored(entry, (out[name],) if name in out else ()))
-        if not estate.state:
+            self.post(self.restored_event(entry, (in_flight[name],) if name in in_flight else ()))
+        if not handover.state:
             return
-        self.post(face.TakenOver(estate.state["module"]))
-        self.ended = estate.state["ended"]
-        for told, sock in estate.idle:
-            self.client.adopt_idle(told, sock)
-        for told, sock in estate.calls:
-            name, number = told["message"], told["number"]
-            self.watch_call(name, number, self.client.resume(name, self.client.adopt_call(told, sock)))
+        self.post(face.TakenOver(handover.state["module"]))
+        self.finished = handover.state["ended"]
+        for details, sock in handover.idle:
+            self.client.adopt_idle(details, sock)
+        for details, sock in handover.calls:
+            name, number = details["message"], details["number"]
+            self.watch_call(name, number, self.client.resume(name, self.client.adopt_call(details, sock)))
         log.info(
             "%s: the previous process handed over %d clients, %d calls and %d idle connections",
-            *(self.config.name, len(estate.clients), len(estate.calls), len(estate.idle)),
+            *(self.config.name, len(handover.clients), len(handover.calls), len(handover.idle)),
         )
 
     def hand_over(self, channel: Channel) -> None:
@@ -187,22 +200,22 @@
                 if task.done():
                     self.call_ended(*key, task)
             self.turn()
-        self.over = self.handed_over = True
+        self.halted = self.handed_over = True
         calls = self.calls_to_hand_over()
         module = self.dispatcher.memory()
-        out = {told["message"] for told, _ in calls}
+        in_flight = {details["message"] for details, _ in calls}
         for call in module["calls"]:
-            call["messages"] = [each for each in call["messages"] if each[0] in out]
+            call["messages"] = [each for each in call["messages"] if each[0] in in_flight]
         state = {
             "clock": self.clock.base,
             "module": module,
-            "discovery": self.discovery.told(),
-            "ended": self.ended,
+            "discovery": self.discovery.handover_state(),
+            "ended": self.finished,
         }
         channel.send_state(state, self.journal.lines(), self.server.listener)
-        for told, sock in calls:
-            channel.send_all("calls", [(told, sock)])
-            self.client.let_go(told["message"])
+        for details, sock in calls:
+            channel.send_all("calls", [(details, sock)])
+            self.client.release_call(details["message"])
         channel.send_all("idle", self.client.hand_over_idle())
         channel.send_all("clients", self.server.hand_over())
         self.server.close()
@@ -210,15 +223,15 @@
             task.cancel()
         self.client.close()
         self.journal.close()
-        if self.estate.lock:
-            channel.send_lock(self.estate.lock)
-        self.estate.close()
+        if self.handover.lock:
+            channel.send_lock(self.handover.lock)
+        self.handover.close()
         log.info("%s: handed over to another process, with %d calls in flight", self.config.name, len(calls))
         if self.terminated:
             self.stop(0)
 
     def successor_lost(self) -> None:
-        self.stop(0 if self.terminated else AGAIN)
+        self.stop(0 if self.terminated else EXIT_RESTART)
 
     def calls_to_hand_over(self) -> list[tuple[dict[str, Any], socket.socket]]:
         """The calls that wait for an answer. All others are ended: a call that is not completely written
@@ -228,22 +241,22 @@
             if not task.cancelling() and (call := self.client.hand_over_call(name)):
                 calls.append((call[0] | {"message": name, "number": number}, call[1]))
             elif name in self.journal.entries:
-                self.journal.outcome(name, number, self.client.break_off(name))
+                self.journal.record_outcome(name, number, self.client.abort_call(name))
         return calls
 
-    def restored(self, entry: Entry, out: Container[int] = ()) -> face.MessageRestored:
-        """`out`: numbers of attempts that the previous process handed over in flight. If it handed over its
-        state too, that already includes the failures of destinations."""
-        risk = entry.first_risk(out)
+    def restored_event(self, entry: Entry, in_flight: Container[int] = ()) -> face.MessageRestored:
+        """`in_flight`: numbers of attempts that the previous process handed over in flight. If it handed over
+        its state too, that already includes the failures of destinations."""
+        risk = entry.first_risky_attempt(in_flight)
         served = self.journal.served.get(entry.message.destination, 0)
-        since = [each for each in entry.attempts.values() if each.at >= served and not self.estate.state]
+        since = [each for each in entry.attempts.values() if each.at >= served and not self.handover.state]
         return face.MessageRestored(
-            taken=self.taken(entry.message),
+            taken=self.taken_event(entry.message),
             attempts=max(entry.attempts, default=-1) + 1,
             risky_since=min(risk.at, self.now()) if risk else None,
             risky_zone=risk.zone if risk else "",
             outcomes=tuple((each.endpoint, each.outcome) for each in since if each.outcome),
-            held=not out and entry.message.id not in self.discovery.notices,
+            held=not in_flight and entry.message.id not in self.discovery.notices,
         )
 
     def reconfigure(self, config: Config) -> None:
@@ -251,8 +264,8 @@
         if config.discovery != self.discovery.address and not self.handed_over:
             log.info("%s: discovery address changed to %s:%d", self.config.name, *config.discovery)
             self.discovery.move(config.discovery)
-            if self.watching:  # the old watch continues until the new address has sent a list
-                self.watching = self.spawn(self.discovery.watch())
+            if self.watch_task:  # the old watch continues until the new address has sent a list
+                self.watch_task = self.spawn(self.discovery.watch())
 
     def terminate(self) -> None:
         """SIGTERM: begins to stop. Clients still get answers, and new messages are accepted: the journal
@@ -265,9 +278,9 @@
             self.stop(0)
             return
         self.server.stop()
-        self.post(face.Stopping(int(STOP * 1e6)))
-        self.loop.call_later(STOP_LISTENING, self.stop_listening)
-        self.loop.call_later(STOP, self.stop, 0)
+        self.post(face.Stopping(int(SHUTDOWN_LIMIT * 1e6)))
+        self.loop.call_later(STOP_LISTENING_DELAY, self.stop_listening)
+        self.loop.call_later(SHUTDOWN_LIMIT, self.stop, 0)
 
     def stop_listening(self) -> None:
         self.server.close()
@@ -307,14 +320,14 @@
 
     async def sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP)
+            await asyncio.sleep(SWEEP_INTERVAL)
             self.server.expire()
-            self.client.drop_old()
+            self.client.close_expired()
             self.stop_if_done()
 
     async def report(self) -> None:
         while True:
-            await asyncio.sleep(REPORT)
+            await asyncio.sleep(REPORT_INTERVAL)
             counts, self.counts = self.counts, Counter()
             log.info(
                 "%s: %d of at most %d messages, %d in the journal, %d notices unanswered; "
@@ -335,7 +348,7 @@
                 self.discovery.seq,
                 len(self.dispatcher.endpoints),
                 ", ".join(f"{name} {count}" for name, count in sorted(counts.items())) or "nothing",
-                "; ".join(self.dispatcher.most_held(HELD_LOGGED)) or "none",
+                "; ".join(self.dispatcher.most_held(LOGGED_DESTINATIONS)) or "none",
             )
             self.server.longest_unread = 0.0
 
@@ -356,21 +369,21 @@
     def metrics(self) -> str:
         gauges = {
             "outstanding": 0 if self.handed_over else len(self.journal.entries),
-            "discovered": len(self.discovery.dials),
+            "discovered": len(self.discovery.addresses),
             "ejected": self.dispatcher.avoided(),
         }
-        return "\n".join([*self.figures.lines(gauges), "eof"])
+        return "\n".join([*self.counters.lines(gauges), "eof"])
 
     # Events. Those of one loop turn are passed to the module as one batch: clients, calls and decisions share
     # one core.
 
     def post(self, event: face.Event) -> None:
         self.inbox.append(event)
-        if not self.turning:
-            self.turning = True
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
             self.loop.call_soon(self.turn)
 
-    def taken(self, message: HandedIn) -> face.MessageTaken:
+    def taken_event(self, message: HandedIn) -> face.MessageTaken:
         return face.MessageTaken(
             message=message.id,
             message_class=message.message_class,
@@ -381,62 +394,64 @@
             again=message.again,
         )
 
-    def take(self, message: HandedIn, connection: Connection) -> None:
-        known = self.known_as(message.id)
-        if known == content(message):
+    def receive_message(self, message: HandedIn, connection: Connection) -> None:
+        known = self.known_digest(message.id)
+        if known == content_digest(message):
             connection.answer(202)  # a repeated request: the message is or was already accepted
-        elif (arrived := self.arrived.get(message.id)) and content(arrived[0]) == content(message):
-            arrived[1].append(connection)
-        elif known is not None or arrived:
+        elif (pending := self.pending.get(message.id)) and content_digest(pending[0]) == content_digest(
+            message
+        ):
+            pending[1].append(connection)
+        elif known is not None or pending:
             # Another message has this id. A 202 would confirm a message that is not accepted, and later
             # messages with its ordering key would not wait for it. The client may send it again under a new
             # id.
             log.warning("message id %s is already used by another message", message.id)
-            self.turn_away(message, connection, "this id is another message's")
+            self.reject(message, connection, "this id is another message's")
         elif not self.has_room():
             self.counts["turned away"] += 1
-            self.turn_away(message, connection)
+            self.reject(message, connection)
         else:
-            self.arrived[message.id] = message, [connection]
-            self.post(self.taken(message))
+            self.pending[message.id] = message, [connection]
+            self.post(self.taken_event(message))
 
     def has_room(self) -> bool:
-        return len(self.dispatcher.messages) + len(self.arrived) < self.settings.max_open
+        return len(self.dispatcher.messages) + len(self.pending) < self.settings.max_open
 
-    def turn_away(self, message: HandedIn, connection: Connection, text: str = "") -> None:
+    def reject(self, message: HandedIn, connection: Connection, text: str = "") -> None:
         """Rejects a message that was not accepted, so no attempt of it has run."""
-        self.figures.ended(message.message_class, End.DECLINED)
+        self.counters.count_end(message.message_class, End.DECLINED)
         connection.answer(503, self.dispatcher.come_again(), text)
 
-    def known_as(self, name: str) -> str | None:
+    def known_digest(self, name: str) -> str | None:
         if entry := self.journal.entries.get(name):
-            return content(entry.message)
-        return self.ended.get(name)
+            return content_digest(entry.message)
+        return self.finished.get(name)
 
-    def is_named(self, destination: int) -> bool:
+    def is_known_destination(self, destination: int) -> bool:
         """Whether a list ever named this destination; one without endpoints may get some again."""
         return destination in self.discovery.destinations
 
-    def list_told(self, event: face.EndpointsListed) -> None:
-        self.client.drop_gone()
+    def on_list(self, event: face.EndpointsListed) -> None:
+        self.client.close_unlisted()
         self.post(event)
 
-    def message_over(self, name: str) -> None:
+    def finish_message(self, name: str) -> None:
         if entry := self.journal.entries.get(name):
-            self.ended[name] = content(entry.message)
-        self.journal.ended(name)
-        if len(self.ended) > OVER:
-            del self.ended[next(iter(self.ended))]
+            self.finished[name] = content_digest(entry.message)
+        self.journal.record_ended(name)
+        if len(self.finished) > FINISHED_LIMIT:
+            del self.finished[next(iter(self.finished))]
 
-    def end_answered(self, name: str, state: str) -> None:
+    def on_notice_answered(self, name: str, state: str) -> None:
         if entry := self.journal.entries.get(name):
-            self.figures.ended(entry.message.message_class, NOTICED[state])
-        self.message_over(name)
+            self.counters.count_end(entry.message.message_class, END_BY_NOTICE_STATE[state])
+        self.finish_message(name)
         self.post(face.EndAnswered(name))
         self.stop_if_done()
 
     def call_ended(self, name: str, number: int, task: asyncio.Task[Answer]) -> None:
-        if self.calls.pop((name, number), None) is None or self.over:
+        if self.calls.pop((name, number), None) is None or self.halted:
             return
         if task.cancelled():
             answer = Answer(Outcome.CANCELLED)
@@ -447,14 +462,14 @@
             answer = task.result()
         self.counts[answer.outcome.value] += 1
         if name in self.journal.entries:
-            self.journal.outcome(name, number, answer.outcome)
+            self.journal.record_outcome(name, number, answer.outcome)
             if answer.finished:
                 end = End.SUCCEEDED if answer.outcome is Outcome.OK else End.ABORTED
-                self.figures.ended(self.journal.entries[name].message.message_class, end)
-                self.message_over(name)
+                self.counters.count_end(self.journal.entries[name].message.message_class, end)
+                self.finish_message(name)
         ended = face.AttemptEnded(name, number, answer.outcome, answer.finished, answer.wait)
-        if answer.outcome in UNHEARD and not answer.finished:
-            self.loop.call_later(HEARD, self.post, ended)
+        if answer.outcome in ABANDONED_OUTCOMES and not answer.finished:
+            self.loop.call_later(CLOSE_DELAY, self.post, ended)
         else:
             self.post(ended)
         self.stop_if_done()
@@ -462,51 +477,53 @@
     # One turn: the module handles the events, and its actions are carried out.
 
     def turn(self) -> None:
-        self.turning = False
-        if self.over:
+        self.turn_scheduled = False
+        if self.halted:
             return
-        arrived, self.arrived = self.arrived, {}
-        withdrawn = {name for name, (_, clients) in arrived.items() if all(x.gone() for x in clients)}
+        pending, self.pending = self.pending, {}
+        withdrawn = {
+            name for name, (_, clients) in pending.items() if all(x.is_closed_by_client() for x in clients)
+        }
         events, self.inbox = self.inbox, []
         for name in withdrawn:
-            events = [each for each in events if not is_taking(each, name)]
+            events = [each for each in events if not is_taken_event(each, name)]
         actions = self.dispatcher.handle(self.now(), events)
         refused = {each.message: each for each in actions if isinstance(each, face.Refuse | face.Fail)}
-        untaken = set()
-        for name, (message, clients) in arrived.items():
+        rejected = set()
+        for name, (message, clients) in pending.items():
             if name in withdrawn:
                 for connection in clients:
                     connection.transport.close()
             elif name in refused:
                 self.refuse(refused[name], message, clients)
-                untaken.add(name)
-            elif self.journal.taken(message):
+                rejected.add(name)
+            elif self.journal.record_taken(message):
                 self.counts["taken on"] += 1
                 for connection in clients:
                     connection.answer(202)
             else:
                 for connection in clients:
-                    self.turn_away(message, connection)
-                untaken.add(name)
+                    self.reject(message, connection)
+                rejected.add(name)
                 self.post(face.MessageWithdrawn(name))
         for action in actions:
-            self.act(action, untaken)
+            self.perform_action(action, rejected)
 
     def refuse(
         self, action: face.Refuse | face.Fail, message: HandedIn, clients: Iterable[Connection]
     ) -> None:
         """Answers a message that was not accepted, so no attempt of it has run."""
         after = action.retry_after if isinstance(action, face.Refuse) else self.dispatcher.come_again()
-        self.figures.ended(message.message_class, End.DECLINED)
+        self.counters.count_end(message.message_class, End.DECLINED)
         for connection in clients:
             connection.answer(429, after)
         self.post(face.EndAnswered(action.message))
 
-    def act(self, action: face.Action, untaken: set[str]) -> None:
+    def perform_action(self, action: face.Action, rejected: set[str]) -> None:
         match action:
             case face.Send():
-                self.send(action, action.message in untaken)
-            case face.Refuse(name) | face.Fail(name) if name in untaken:
+                self.send(action, action.message in rejected)
+            case face.Refuse(name) | face.Fail(name) if name in rejected:
                 pass  # already answered
             case face.Refuse(name, retry_after):
                 self.counts["returned"] += 1
@@ -518,25 +535,25 @@
                 if task := self.calls.get((name, number)):
                     task.cancel()
             case face.WakeAfter(delay):
-                if self.wake:
+                if self.wake_timer:
                     # the module asks again only for an earlier time, or once this one has passed
-                    self.wake.cancel()
-                self.wake = self.loop.call_later(delay / 1e6 + TIMER_SLACK, self.post, face.WakeUp())
+                    self.wake_timer.cancel()
+                self.wake_timer = self.loop.call_later(delay / 1e6 + TIMER_SLACK, self.post, face.WakeUp())
             case face.Subscribe():
-                if self.watching:
-                    self.watching.cancel()
-                self.watching = self.spawn(self.discovery.watch())
+                if self.watch_task:
+                    self.watch_task.cancel()
+                self.watch_task = self.spawn(self.discovery.watch())
             case face.CloseIdle(endpoint):
                 self.client.close_idle(endpoint)
             case face.Note(text):
                 log.info("%s", text)
 
-    def send(self, action: face.Send, untaken: bool) -> None:
+    def send(self, action: face.Send, rejected: bool) -> None:
         name, number, endpoint = action.message, action.attempt, action.endpoint
         zone = self.dispatcher.endpoints[endpoint].listed.zone
         # The attempt is in the journal before its first byte is sent: after SIGKILL it counts as having run.
-        if untaken or not self.journal.sent(name, number, Attempt(self.now(), endpoint, zone)):
-            self.post(face.AttemptEnded(name, number, Outcome.NOT_SENT, finished=untaken))
+        if rejected or not self.journal.record_sent(name, number, Attempt(self.now(), endpoint, zone)):
+            self.post(face.AttemptEnded(name, number, Outcome.NOT_SENT, finished=rejected))
             return
         message = self.journal.entries[name].message
         call = self.client.call(
@@ -544,7 +561,7 @@
             message,
             action.timeout / 1e6,
             lambda: self.dispatcher.may_still_go(endpoint, message.destination, self.now()),
-            message.message_class in self.once,
+            message.message_class in self.unsafe_classes,
         )
         self.watch_call(name, number, call)
 
--- a/message_sender/net/server.py
+++ b/message_sender/net/server.py
@@ -15,31 +15,31 @@
 import h11
 
 from message_sender.interface import Effect, MessageClass
-from message_sender.net.loop import polls_of
+from message_sender.net.loop import selector_of
 from message_sender.net.message import HandedIn
 from plumline.wire.http import BODY_LIMIT, HEADER_LIMIT, READ_SIZE, Address, decimal, header
 
-READY = "/health/ready"
+READY_PATH = "/health/ready"
 # A client that cannot be served must get an error or a close within 3 s of connecting.
 # s for a request to be complete, as some take 2 s; the first one's time runs from connecting
-READ_LIMIT = 2.5
-IDLE_LIMIT = 3.0  # s for which a connection may be idle after its first request
-LEAST_IDLE = 2.0  # s for which an idle connection is kept, unless nothing else makes room
-STALLED = 0.5  # s without a byte after which an incomplete request may be dropped for a new client
+READ_TIMEOUT = 2.5
+IDLE_TIMEOUT = 3.0  # s for which a connection may be idle after its first request
+MIN_IDLE = 2.0  # s for which an idle connection is kept, unless nothing else makes room
+STALL_TIME = 0.5  # s without a byte after which an incomplete request may be dropped for a new client
 SILENT_SHARE = 1 / 3  # share of the connections that may be open without having sent a byte
 LINGER = 0.5  # s for the client to read its last response
 LINGER_BYTES = 1024 * 1024  # bytes read and discarded meanwhile; after that, reading stops
-UNREAD_LIMIT = 64 * 1024  # bytes of unread responses after which a client is disconnected
+OUTPUT_LIMIT = 64 * 1024  # bytes of unread responses after which a client is disconnected
 # us taken off a message's time left: the request has waited to be read since it was sent, and a response at
 # the last moment would count as a delivery after the deadline had passed for every other party.
-ON_THE_WAY = 150_000
+TRANSIT_ALLOWANCE = 150_000
 # us taken off at least; between the two limits, half of the time left is taken off
-LEAST_ON_THE_WAY = 50_000
-UNPOLLED = 3  # turns of the loop at most, from accepting a connection to its first poll
+MIN_TRANSIT_ALLOWANCE = 50_000
+MAX_UNPOLLED_TURNS = 3  # turns of the loop at most, from accepting a connection to its first poll
 # s of a turn for reading requests, so that responses of receivers and timers are handled as well
-READ_SHARE = 0.003
-ACCEPT_PAUSE = 0.05  # s until the next accept after running out of descriptors
-NO_DESCRIPTOR = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+READ_SLICE = 0.003
+ACCEPT_RETRY_DELAY = 0.05  # s until the next accept after running out of descriptors
+DESCRIPTOR_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
 
 log = logging.getLogger(__name__)
 
@@ -57,32 +57,32 @@
     def field(name: str) -> str:
         return header(request.headers, name.lower().encode()) or ""
 
-    def needed(name: str) -> str:
+    def required(name: str) -> str:
         if not (value := field(name)):
             raise BadRequest(400, f"{name} is missing")
         return value
 
-    name = needed("X-Service-Class")
+    name = required("X-Service-Class")
     first = request.target.decode("latin-1").lstrip("/").partition("?")[0].partition("/")[0]
     if name not in classes or first != name:
         raise BadRequest(404, f"no class {name!r} at this path")
     kind = classes[name]
-    route = dict(part.strip().partition("=")[::2] for part in needed("X-Route-To").split(","))
+    route = dict(part.strip().partition("=")[::2] for part in required("X-Route-To").split(","))
     dest = route.get("dest", "")
     if not (dest.isascii() and dest.isdecimal() and len(dest) < 19):
         raise BadRequest(400, f"X-Route-To holds no dest: {route}")
-    if (told := decimal(needed("X-Time-Left"))) is None:
+    if (time_left := decimal(required("X-Time-Left"))) is None:
         raise BadRequest(400, f"X-Time-Left cannot be {field('X-Time-Left')!r}")
-    left = min(int(told * 1e6), kind.deadline)
-    left = max(left - min(ON_THE_WAY, max(left // 2, LEAST_ON_THE_WAY)), 0)
+    left = min(int(time_left * 1e6), kind.deadline)
+    left = max(left - min(TRANSIT_ALLOWANCE, max(left // 2, MIN_TRANSIT_ALLOWANCE)), 0)
     return HandedIn(
-        id=needed("X-Correlation-Id"),
+        id=required("X-Correlation-Id"),
         message_class=name,
         destination=int(dest),
         until=began + left,
         tenant=field("X-Account"),
         key=field("X-Session-Key"),
-        idempotency_key=needed("Idempotency-Key")
+        idempotency_key=required("Idempotency-Key")
         if kind.effect is Effect.KEYED
         else field("Idempotency-Key"),
         again=field("X-Repeat") == "1",
@@ -99,10 +99,10 @@
         self.server, self.sock = server, sock
         self.codec = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER_LIMIT)
         self.began: int | None = None  # us, wall clock: when the current request may have begun to arrive
-        self.opened = server.turn_now()
+        self.accepted_at = server.poll_position()
         # s: when the current wait began, for a request or for the client to close
-        self.since = server.loop.time()
-        self.heard = self.since  # s: when the newest bytes arrived
+        self.wait_started = server.loop.time()
+        self.last_received = self.wait_started  # s: when the newest bytes arrived
         self.request: h11.Request | None = None
         self.body = bytearray()
         self.dropped = 0  # bytes discarded after the last response
@@ -116,11 +116,11 @@
         self.transport = transport
         if self not in self.server.connections:
             transport.abort()  # closed to make room before the transport was ready
-        elif len(self.server.connections) > self.server.most:
+        elif len(self.server.connections) > self.server.max_connections:
             self.refuse(503)
         elif self.head:  # bytes that the previous process has read
             self.codec.receive_data(self.head)
-            self.server.read_on(self)
+            self.server.queue_read(self)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.server.forget(self)
@@ -135,15 +135,15 @@
                 self.transport.pause_reading()
             return
         if self.began is None:
-            self.began = self.server.now() - self.server.unread_for(*self.opened)
+            self.began = self.server.now() - self.server.max_unread_us(*self.accepted_at)
             if self in self.server.silent:
                 del self.server.silent[self]
             else:
-                self.since = self.server.loop.time()
+                self.wait_started = self.server.loop.time()
             self.server.idle.pop(self, None)
             self.server.strangers.pop(self, None)
         if not self.answering:
-            self.heard = self.server.loop.time()
+            self.last_received = self.server.loop.time()
             self.server.partial.pop(self, None)
             self.server.partial[self] = None
         data = bytes(memoryview(self.server.buffer)[:size])
@@ -153,7 +153,7 @@
         if self.answering:
             self.transport.pause_reading()  # limits pipelined requests that have no response yet
         else:
-            self.server.read_on(self)
+            self.server.queue_read(self)
 
     def advance(self) -> None:
         """Parses the received bytes. Invalid input gets an error response; no exception reaches the loop."""
@@ -176,7 +176,7 @@
                 elif isinstance(event, h11.EndOfMessage):
                     self.answering = True
                     self.server.partial.pop(self, None)
-                    self.act()
+                    self.handle_request()
         except BadRequest as error:
             self.refuse(error.status, str(error))
         except h11.RemoteProtocolError as error:
@@ -196,23 +196,23 @@
         if length and int(length) > BODY_LIMIT:
             raise BadRequest(413, "the body is too long")
 
-    def act(self) -> None:
+    def handle_request(self) -> None:
         assert self.request is not None and self.began is not None
         method, target = self.request.method, self.request.target.decode("latin-1")
-        if target == READY and method in (b"GET", b"HEAD"):
+        if target == READY_PATH and method in (b"GET", b"HEAD"):
             self.answer(200 if self.server.ready else 503)
-        elif method == b"POST" and target != READY:
+        elif method == b"POST" and target != READY_PATH:
             try:
                 message = read_message(self.request, bytes(self.body), self.began, self.server.classes)
-                if not self.server.named(message.destination):
+                if not self.server.is_known_destination(message.destination):
                     raise BadRequest(404, f"no destination {message.destination}")
             except BadRequest as error:
                 self.answer(error.status, text=str(error))
             else:
                 self.handed_in = True
-                self.server.take(message, self)
+                self.server.on_message(message, self)
         else:
-            self.answer(405 if target == READY or method != b"GET" else 404)
+            self.answer(405 if target == READY_PATH or method != b"GET" else 404)
 
     def write(self, event: h11.Event) -> None:
         self.transport.write(self.codec.send(event) or b"")
@@ -237,19 +237,19 @@
             return
         self.respond(status, retry_after, text, close=self.server.stopping)
         if self.codec.our_state is h11.MUST_CLOSE or self.codec.their_state is not h11.DONE:
-            self.leave()
+            self.start_lingering()
             return
-        if self.transport.get_write_buffer_size() > UNREAD_LIMIT:
+        if self.transport.get_write_buffer_size() > OUTPUT_LIMIT:
             self.transport.abort()
             return
         self.codec.start_next_cycle()
         self.request, self.began, self.answering = None, None, False
-        self.since = self.server.loop.time()
+        self.wait_started = self.server.loop.time()
         self.head = self.codec.trailing_data[0]
         if self.head:
-            self.began, self.heard = self.server.now(), self.since
+            self.began, self.last_received = self.server.now(), self.wait_started
             self.server.partial[self] = None
-            self.server.read_on(self)
+            self.server.queue_read(self)
         else:
             (self.server.idle if self.handed_in else self.server.strangers)[self] = None
             self.transport.resume_reading()
@@ -259,20 +259,20 @@
         self.proven = False
         if self.codec.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self.respond(status, None, text, close=True)
-        self.leave()
+        self.start_lingering()
 
-    def leave(self) -> None:
+    def start_lingering(self) -> None:
         """Closes after the last response. Further input is read and discarded for a while: closing with
         unread bytes would reset the connection, and the client might not see its response."""
         self.discarding = True
-        self.since = self.server.loop.time()
-        self.server.leave_kinds(self)
+        self.wait_started = self.server.loop.time()
+        self.server.remove_from_groups(self)
         if not self.transport.is_closing():
-            self.server.leaving[self] = None
+            self.server.closing[self] = None
             self.transport.write_eof()
             self.transport.resume_reading()
 
-    def read_rest(self) -> None:
+    def read_remaining(self) -> None:
         if self.transport and not (self.answering or self.discarding or self.transport.is_closing()):
             try:
                 size = self.sock.recv_into(self.server.buffer)
@@ -286,7 +286,7 @@
         poll.register(self.sock.fileno(), events)
         return bool(poll.poll(0))
 
-    def gone(self) -> bool:
+    def is_closed_by_client(self) -> bool:
         """Whether the client has closed, even if the loop has not read that yet."""
         return self.transport.is_closing() or self.has_unread(select.POLLRDHUP)
 
@@ -299,67 +299,72 @@
 
     # Handover of the connection to a newer process.
 
-    def told(self) -> dict[str, Any] | None:
+    def handover_state(self) -> dict[str, Any] | None:
         """The state to hand over. None if the connection can't continue in another process: it has had its
         last response, has unsent output, or its request body is chunked."""
         chunked = self.request and header(self.request.headers, b"transfer-encoding")
         if self.discarding or chunked or (self.transport and self.transport.get_write_buffer_size()):
             return None
         come = self.head + self.body + self.codec.trailing_data[0] if self.request else self.head
-        kinds = ("silent", "strangers", "idle", "partial")
+        groups = ("silent", "strangers", "idle", "partial")
         return {
             "come": come.decode("latin-1"),
             "began": self.began,
-            "since": self.since,
+            "since": self.wait_started,
             "handed_in": self.handed_in,
             "proven": self.proven,
-            "kind": next((kind for kind in kinds if self in getattr(self.server, kind)), ""),
+            "kind": next((group for group in groups if self in getattr(self.server, group)), ""),
         }
 
-    def recall(self, told: dict[str, Any]) -> None:
-        self.head, self.began, self.since = told["come"].encode("latin-1"), told["began"], told["since"]
-        self.handed_in, self.proven = told["handed_in"], told["proven"]
-        self.heard = max(self.since, self.server.loop.time() - STALLED / 2)
-        if told["kind"]:
-            getattr(self.server, told["kind"])[self] = None
+    def restore(self, state: dict[str, Any]) -> None:
+        self.head, self.began, self.wait_started = (
+            state["come"].encode("latin-1"),
+            state["began"],
+            state["since"],
+        )
+        self.handed_in, self.proven = state["handed_in"], state["proven"]
+        self.last_received = max(self.wait_started, self.server.loop.time() - STALL_TIME / 2)
+        if state["kind"]:
+            getattr(self.server, state["kind"])[self] = None
 
     def expire(self) -> None:
         """Closes or refuses a client that does not finish its request or stays idle, to free its
         descriptor."""
-        passed = self.server.loop.time() - self.since
+        passed = self.server.loop.time() - self.wait_started
         if self.discarding:
             if passed > LINGER:
                 self.close()
         elif self in self.server.silent:
-            if passed > READ_LIMIT:
+            if passed > READ_TIMEOUT:
                 self.close()
         elif self.began is None:
-            if passed > IDLE_LIMIT and not self.has_unread():
+            if passed > IDLE_TIMEOUT and not self.has_unread():
                 self.transport.close()
-        elif not self.answering and passed > READ_LIMIT:
+        elif not self.answering and passed > READ_TIMEOUT:
             self.refuse(408, "the request did not come in time")
 
 
 class Server:
-    """Serves up to `most` connections, and up to `lingering` more that only get a refusal. A further one
-    closes a connection that serves nobody."""
+    """Serves up to `max_connections` connections, and up to `lingering` more that only get a refusal. A
+    further one closes a connection that serves nobody."""
 
     def __init__(
         self,
         classes: dict[str, MessageClass],
-        take: Callable[[HandedIn, Connection], None],
+        on_message: Callable[[HandedIn, Connection], None],
         now: Callable[[], int],
-        most: int,
+        max_connections: int,
         lingering: int = 16,
-        named: Callable[[int], bool] = lambda destination: True,
+        is_known_destination: Callable[[int], bool] = lambda destination: True,
         accepts: int = 16,  # limit per turn of the loop, so that open connections are served as well
     ) -> None:
-        self.classes, self.take, self.now, self.named = classes, take, now, named
+        self.classes, self.on_message, self.now = classes, on_message, now
+        self.is_known_destination = is_known_destination
         self.accepts = accepts
-        self.most, self.lingering = most, lingering
+        self.max_connections, self.lingering = max_connections, lingering
         self.loop = asyncio.get_running_loop()
-        self.polls = polls_of(self.loop)
-        self.queued_since: float | None = None  # clients may have waited since then to be accepted
+        self.polls = selector_of(self.loop)
+        self.accept_queue_since: float | None = None  # clients may have waited since then to be accepted
         self.longest_unread = 0.0  # s, since the last status line
         # shared by all connections: received bytes are copied before another one reads
         self.buffer = bytearray(READ_SIZE)
@@ -370,9 +375,9 @@
         self.idle: dict[Connection, None] = {}  # between requests
         # with an incomplete request; the one quiet for longest first
         self.partial: dict[Connection, None] = {}
-        self.leaving: dict[Connection, None] = {}  # after their last response
+        self.closing: dict[Connection, None] = {}  # after their last response
         # connections whose last request was valid, and all others
-        self.to_read: tuple[deque[Connection], deque[Connection]] = (deque(), deque())
+        self.read_queues: tuple[deque[Connection], deque[Connection]] = (deque(), deque())
         self.ready = self.stopping = False
         self.accepted = 0  # connections since the start
         self.listener: socket.socket | None = None
@@ -387,19 +392,19 @@
         assert self.listener is not None
         return self.listener.getsockname()
 
-    def read_on(self, connection: Connection) -> None:
+    def queue_read(self, connection: Connection) -> None:
         if not connection.queued:
             connection.queued = True
-            if not any(self.to_read):
-                self.loop.call_soon(self.read_some)
-            self.to_read[not connection.proven].append(connection)
+            if not any(self.read_queues):
+                self.loop.call_soon(self.read_queued)
+            self.read_queues[not connection.proven].append(connection)
 
-    def read_some(self) -> None:
-        """Parses queued requests for READ_SHARE of each turn, so that a flood of requests does not delay
+    def read_queued(self) -> None:
+        """Parses queued requests for READ_SLICE of each turn, so that a flood of requests does not delay
         calls to receivers. Connections whose last request was valid go first; at least one of the others is
         read as well."""
-        until = self.loop.time() + READ_SHARE
-        proven, others = self.to_read
+        until = self.loop.time() + READ_SLICE
+        proven, others = self.read_queues
         while proven or others:
             connection = (proven or others).popleft()
             connection.queued = False
@@ -412,18 +417,22 @@
             others[0].queued = False
             others.popleft().advance()
         if proven or others:
-            self.loop.call_soon(self.read_some)
+            self.loop.call_soon(self.read_queued)
 
-    def turn_now(self) -> tuple[int, float]:
-        return (self.polls.turn, self.queued_since or self.polls.since) if self.polls else (0, 0.0)
+    def poll_position(self) -> tuple[int, float]:
+        return (
+            (self.polls.turn, self.accept_queue_since or self.polls.earliest_arrival)
+            if self.polls
+            else (0, 0.0)
+        )
 
-    def unread_for(self, turn: int, opened: float) -> int:
+    def max_unread_us(self, turn: int, accepted_at: float) -> int:
         """Upper limit, in us, of how long the bytes read now may have waited: a late sender (just started, or
-        on a shared core) still has to finish the message in time. `turn`, `opened`: when the connection was
-        accepted, as it is first polled a few turns later."""
+        on a shared core) still has to finish the message in time. `turn`, `accepted_at`: when the connection
+        was accepted, as it is first polled a few turns later."""
         if self.polls is None:
             return 0
-        since = opened if self.polls.turn - turn <= UNPOLLED else self.polls.since
+        since = accepted_at if self.polls.turn - turn <= MAX_UNPOLLED_TURNS else self.polls.earliest_arrival
         waited = max(time.monotonic() - since, 0.0)
         self.longest_unread = max(self.longest_unread, waited)
         return int(waited * 1e6)
@@ -436,39 +445,39 @@
             try:
                 sock = self.listener.accept()[0]
             except (BlockingIOError, InterruptedError):
-                self.queued_since = None
+                self.accept_queue_since = None
                 return False
             except OSError as error:
-                if error.errno not in NO_DESCRIPTOR:
+                if error.errno not in DESCRIPTOR_ERRORS:
                     continue  # the connection broke before it was accepted
                 log.error("could not accept a connection: %s", error)
-                self.make_room()
+                self.evict_connection()
                 self.loop.remove_reader(self.listener)
-                self.loop.call_later(ACCEPT_PAUSE, self.accept_again)
+                self.loop.call_later(ACCEPT_RETRY_DELAY, self.accept_again)
                 return False
             self.accepted += 1
-            if len(self.connections) >= self.most:
-                self.make_room()
-            if len(self.connections) >= self.most + self.lingering:
+            if len(self.connections) >= self.max_connections:
+                self.evict_connection()
+            if len(self.connections) >= self.max_connections + self.lingering:
                 sock.close()
                 continue
             sock.setblocking(False)
             connection = Connection(self, sock)
             self.silent[connection] = None
-            self.take_in(connection)
-        self.queued_since = self.turn_now()[1]
+            self.start_connection(connection)
+        self.accept_queue_since = self.poll_position()[1]
         return True
 
-    def take_in(self, connection: Connection) -> None:
+    def start_connection(self, connection: Connection) -> None:
         self.connections.add(connection)
         task = self.loop.create_task(self.loop.connect_accepted_socket(lambda: connection, connection.sock))
-        task.add_done_callback(lambda task: self.taken_in(task, connection))
+        task.add_done_callback(lambda task: self.on_connection_started(task, connection))
 
     def accept_again(self) -> None:
         if self.listener:
             self.loop.add_reader(self.listener, self.accept)
 
-    def taken_in(self, task: asyncio.Task, connection: Connection) -> None:
+    def on_connection_started(self, task: asyncio.Task, connection: Connection) -> None:
         if task.cancelled() or task.exception():
             self.forget(connection)
             connection.sock.close()
@@ -478,51 +487,53 @@
         take over get their pending output first."""
         self.ready, self.stopping = False, True
         for connection in list(self.connections):
-            if told := connection.told():
-                yield told, connection.sock
+            if state := connection.handover_state():
+                yield state, connection.sock
                 connection.close()
             elif not connection.discarding:
                 connection.transport.close()  # after its output is sent
 
-    def adopt(self, told: dict[str, Any], sock: socket.socket) -> None:
-        if len(self.connections) >= self.most:  # this process has a lower limit than the previous one
+    def adopt(self, state: dict[str, Any], sock: socket.socket) -> None:
+        if (
+            len(self.connections) >= self.max_connections
+        ):  # this process has a lower limit than the previous one
             sock.close()
             return
         sock.setblocking(False)
         connection = Connection(self, sock)
-        connection.recall(told)
-        self.take_in(connection)
+        connection.restore(state)
+        self.start_connection(connection)
 
-    def make_room(self) -> None:
+    def evict_connection(self) -> None:
         """Closes the first connection that serves nobody, so that clients that only connect or only check
         readiness do not crowd out others. One with unread input stays."""
-        for connection in self.spare():
+        for connection in self.eviction_candidates():
             if connection.discarding or not (connection.queued or connection.has_unread()):
                 connection.close()
                 return
 
-    def spare(self) -> Iterator[Connection]:
+    def eviction_candidates(self) -> Iterator[Connection]:
         """Connections that may be closed to make room, the least useful first; within each group the oldest
         first."""
         now = self.loop.time()
-        yield from self.leaving
+        yield from self.closing
         yield from self.strangers
-        yield from takewhile(lambda each: now - each.since > LEAST_IDLE, self.idle)
-        yield from takewhile(lambda each: now - each.heard > STALLED, self.partial)
+        yield from takewhile(lambda each: now - each.wait_started > MIN_IDLE, self.idle)
+        yield from takewhile(lambda each: now - each.last_received > STALL_TIME, self.partial)
         # Some ordinary clients connect well before their first request, so silent ones are closed early only
         # if there are many.
-        if len(self.silent) > self.most * SILENT_SHARE:
+        if len(self.silent) > self.max_connections * SILENT_SHARE:
             yield from self.silent
         yield from self.idle
         yield from self.silent
 
     def forget(self, connection: Connection) -> None:
         self.connections.discard(connection)
-        self.leave_kinds(connection)
+        self.remove_from_groups(connection)
 
-    def leave_kinds(self, connection: Connection) -> None:
-        for kind in (self.silent, self.leaving, self.strangers, self.idle, self.partial):
-            kind.pop(connection, None)
+    def remove_from_groups(self, connection: Connection) -> None:
+        for group in (self.silent, self.closing, self.strangers, self.idle, self.partial):
+            group.pop(connection, None)
 
     def expire(self) -> None:
         for connection in list(self.connections):
@@ -550,17 +561,17 @@
         """Whether no client may still need a response."""
         return self.listener is None and all(each.discarding for each in self.connections)
 
-    def read_last(self) -> None:
+    def read_remaining(self) -> None:
         """Reads and handles all input that has arrived, as the process ends after this turn."""
         for connection in list(self.connections):
-            connection.read_rest()
-        for waiting in self.to_read:
+            connection.read_remaining()
+        for waiting in self.read_queues:
             while waiting:
                 connection = waiting.popleft()
                 connection.queued = False
                 connection.advance()
 
-    def end(self) -> None:
+    def shut_down(self) -> None:
         self.close()
         for connection in list(self.connections):
             connection.close()
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -14,7 +14,7 @@
 from message_sender.interface import Outcome
 from message_sender.net import client as module
 from message_sender.net.client import Answer, Client, answer_from
-from message_sender.net.reuse import Reuse
+from message_sender.net.reuse import ReuseRisk
 from plumline.wire import http
 from plumline.wire.http import Address, Connection
 
@@ -35,7 +35,7 @@
     client: Client, address: Address, timeout: float = 10, body: bytes = b"x", may_go: bool = True
 ) -> asyncio.Task[Answer]:
     """A call to the endpoint "r", which stands at `address`."""
-    client.dials = lambda: {"r": address}
+    client.addresses = lambda: {"r": address}
     work = client.call("r", handed_in(body=body), timeout, lambda: may_go)
     return asyncio.create_task(work)
 
@@ -188,7 +188,7 @@
                 await soon(receiver.ends.get())
 
     monkeypatch.setattr(http, "HEAD_PATIENCE", 0.05)
-    monkeypatch.setattr(module, "BODY_PATIENCE", 0.05)
+    monkeypatch.setattr(module, "BODY_TIMEOUT", 0.05)
     play(test)(Path())
 
 
@@ -259,12 +259,12 @@
         (await receiver.next()).answer(200)
         await soon(going)
         assert list(client.pool) == ["r"]
-        client.dials = lambda: {"new": receiver.address}
-        client.drop_gone()
+        client.addresses = lambda: {"new": receiver.address}
+        client.close_unlisted()
         await soon(receiver.ends.get())
         going = asyncio.create_task(client.call("new", handed_in(), 10, lambda: True))
         request = await receiver.next()
-        client.dials = dict  # it goes while its call is out: what the call used is not kept either
+        client.addresses = dict  # it goes while its call is out: what the call used is not kept either
         request.answer(200)
         assert await soon(going) == DELIVERED and receiver.accepted == 2
         await soon(receiver.ends.get())
@@ -275,7 +275,7 @@
 async def test_a_full_pool_closes_the_connection_idle_for_longest(_: Path) -> None:
     async with Peer() as receiver:
         client = client_with(most=2)
-        client.dials = lambda: dict.fromkeys("abc", receiver.address)
+        client.addresses = lambda: dict.fromkeys("abc", receiver.address)
         for endpoint in "abc":
             going = asyncio.create_task(client.call(endpoint, handed_in(), 10, lambda: True))
             (await receiver.next()).answer(200)
@@ -370,7 +370,7 @@
                 await soon(receiver.ends.get())
             if spoil == "old":
                 kept[0].idle_since -= 8.5  # the receiver may close it after 10
-                client.drop_old()
+                client.close_expired()
                 assert not client.pool
 
 
@@ -394,22 +394,22 @@
 
 
 def test_idle_times_at_which_connections_break_are_risky_once_they_are_known() -> None:
-    reuse = Reuse()
-    assert not reuse.risky(0.3)
-    reuse.count(0.3, broke=True)
-    assert not reuse.risky(0.3)  # one break proves nothing
+    reuse = ReuseRisk()
+    assert not reuse.is_risky(0.3)
+    reuse.record(0.3, broke=True)
+    assert not reuse.is_risky(0.3)  # one break proves nothing
     for n in range(40):
-        reuse.count(0.3, broke=n % 5 == 0)
+        reuse.record(0.3, broke=n % 5 == 0)
         for idle in (None, 0.02, 5.0):
-            reuse.count(idle, broke=n % 25 == 0)
-    assert reuse.risky(0.3) and not reuse.risky(0.02) and not reuse.risky(5.0)
+            reuse.record(idle, broke=n % 25 == 0)
+    assert reuse.is_risky(0.3) and not reuse.is_risky(0.02) and not reuse.is_risky(5.0)
     for n in range(40):
-        reuse.count(None, broke=n % 5 == 0)
-    assert not reuse.risky(0.3)  # a new connection is no safer
+        reuse.record(None, broke=n % 5 == 0)
+    assert not reuse.is_risky(0.3)  # a new connection is no safer
     for _ in range(1000):
-        reuse.count(0.3, broke=False)
-        reuse.count(None, broke=False)
-    assert not reuse.risky(0.3)  # what has passed is forgotten
+        reuse.record(0.3, broke=False)
+        reuse.record(None, broke=False)
+    assert not reuse.is_risky(0.3)  # what has passed is forgotten
 
 
 @play
@@ -420,21 +420,21 @@
         await soon(going)
         client.pool["r"][0].idle_since -= 0.3
         for _n in range(40):
-            client.reuse.count(0.3, broke=True)
-            client.reuse.count(None, broke=False)
+            client.reuse.record(0.3, broke=True)
+            client.reuse.record(None, broke=False)
         for once, accepted in ((True, 2), (False, 2)):
             going = asyncio.create_task(client.call("r", handed_in(), 10, lambda: True, once))
             (await receiver.next()).answer(200)
             assert (await soon(going)).outcome is Outcome.OK and receiver.accepted == accepted
             while len(client.pool["r"]) > 1:  # what the first has left; the one set back is still there
-                client.close_one(client.pool["r"][-1])
+                client.close_idle_connection(client.pool["r"][-1])
 
 
 @play
 async def test_a_told_wait_is_heard_before_the_rest_of_its_answer(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         heard: asyncio.Queue[tuple[str, int]] = asyncio.Queue()
-        client.wait_told = lambda *told: heard.put_nowait(told)
+        client.on_wait = lambda *told: heard.put_nowait(told)
         going = call(client, receiver.address)
         (await receiver.next()).write(head("429 Wait", "Retry-After: 2", "Content-Length: 9") + "half")
         assert await soon(heard.get()) == ("r", 2_000_000)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -148,11 +148,13 @@
 async def test_silent_and_half_callers_keep_nobody_out_and_are_ended(tmp_path: Path) -> None:
     async with Watched(tmp_path) as world:
         address = await world.control()
-        callers = [await asyncio.open_connection(*address) for _ in range(3 * world.sender.control.most)]
+        callers = [
+            await asyncio.open_connection(*address) for _ in range(3 * world.sender.control.max_callers)
+        ]
         for _, writer in callers[::2]:
             writer.write(b"STAT")
         assert await world.call("STATUS") == ["ok"]
-        assert len(world.sender.control.callers) <= world.sender.control.most
+        assert len(world.sender.control.callers) <= world.sender.control.max_callers
         for reader, writer in callers:
             try:
                 assert (await soon(reader.read())) in (b"", b"fail no call came\n")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
 from message_sender import interface as face
 from message_sender.interface import EndpointState, Listing
 from message_sender.net import discovery as module
-from message_sender.net.discovery import Discovery, Listed
+from message_sender.net.discovery import Discovery, EndpointList
 
 OLD, NEW = "127.0.0.1:1", "127.0.0.1:2"
 
@@ -34,11 +34,15 @@
     async with Platform() as platform:
         heard: asyncio.Queue[face.EndpointsListed] = asyncio.Queue()
         answered: asyncio.Queue[str] = asyncio.Queue()
-        known = Listed({"seq": 41, "whole": True, "hosts": [host(OLD)]})
+        known = EndpointList({"seq": 41, "whole": True, "hosts": [host(OLD)]})
         discovery = Discovery(
             platform.address, known, heard.put_nowait, lambda name, state: answered.put_nowait(name), senders
         )
-        work = [discovery.watch(), discovery.tell(), *([discovery.check()] if checked else [])]
+        work = [
+            discovery.watch(),
+            discovery.send_notices(),
+            *([discovery.check_periodically()] if checked else []),
+        ]
         tasks = [asyncio.create_task(each) for each in work]
         yield discovery, platform, heard, answered
         for task in tasks:
@@ -58,10 +62,10 @@
         assert told.endpoints[1] == face.Endpoint("s", 4, EndpointState.READY, "k", "y", 1.0)
         tell(watch, 44, host(NEW, health="gone"))
         await soon(heard.get())
-        assert discovery.dials == {"s": ("127.0.0.1", 2)}
+        assert discovery.addresses == {"s": ("127.0.0.1", 2)}
         tell(watch, 50, host(NEW), whole=True)
         assert (await soon(heard.get())).listing is Listing.FULL
-        assert discovery.dials == {"r": ("127.0.0.1", 2)}
+        assert discovery.addresses == {"r": ("127.0.0.1", 2)}
         watch.break_off()
         assert (await soon(heard.get())).listing is Listing.FAILED
         again = asyncio.create_task(discovery.watch())
@@ -102,17 +106,17 @@
 
 @pytest.mark.parametrize("text", ["{\n}}\n", '{"seq":42,"who\n', "{\n]\n}\n", "}\n", '{\n"seq": 4x,\n}\n'])
 def test_what_can_be_the_beginning_of_no_list_is_not_waited_on(text: str) -> None:
-    told = module.Told()
+    told = module.WatchParser()
     with pytest.raises(ValueError):
         told.feed(text.encode())
 
 
 def test_a_list_that_is_begun_and_not_ended_does_not_keep_a_watch_alive() -> None:
-    told = module.Told()
-    assert told.feed(b'\n{\n"seq": 42,\n') == [] and told.lives
-    assert told.feed(b"\n\n") == [] and not told.lives
+    told = module.WatchParser()
+    assert told.feed(b'\n{\n"seq": 42,\n') == [] and told.keepalive_received
+    assert told.feed(b"\n\n") == [] and not told.keepalive_received
     assert told.feed(b'"whole": false, "hosts": []\n}\n\n') == [{"seq": 42, "whole": False, "hosts": []}]
-    assert told.lives
+    assert told.keepalive_received
 
 
 def test_a_silent_watch_is_opened_anew_at_once_in_any_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -128,7 +132,7 @@
                 assert (await soon(heard.get())).listing is Listing.CHANGES
                 assert (await soon(platform.watches.get())).target.endswith("after=42")
 
-    monkeypatch.setattr(module, "SILENCE", 0.05)
+    monkeypatch.setattr(module, "SILENCE_TIMEOUT", 0.05)
     play(test)(Path())
 
 
@@ -143,7 +147,7 @@
                 await asyncio.sleep(0.02)
             assert not platform.watches.empty()
 
-    monkeypatch.setattr(module, "SILENCE", 0.2)
+    monkeypatch.setattr(module, "SILENCE_TIMEOUT", 0.2)
     play(test)(Path())
 
 
@@ -158,7 +162,7 @@
             (await soon(platform.watches.get())).break_off()
             assert (await soon(heard.get())).listing is Listing.FAILED
 
-    monkeypatch.setattr(module, "SILENCE", 0.3)
+    monkeypatch.setattr(module, "SILENCE_TIMEOUT", 0.3)
     play(test)(Path())
 
 
@@ -169,7 +173,7 @@
 
     async def test(_: Path) -> None:
         async with Deaf() as platform:
-            known = Listed({"seq": 41, "whole": True, "hosts": [host(OLD)]})
+            known = EndpointList({"seq": 41, "whole": True, "hosts": [host(OLD)]})
             heard: asyncio.Queue[face.EndpointsListed] = asyncio.Queue()
             discovery = Discovery(platform.address, known, heard.put_nowait, lambda name, state: None, 200)
             watching = asyncio.create_task(discovery.watch())
@@ -179,7 +183,7 @@
             assert platform.accepted == 2
             watching.cancel()
 
-    monkeypatch.setattr(module, "BESIDE", 0.05)
+    monkeypatch.setattr(module, "HEDGE_DELAY", 0.05)
     play(test)(Path())
 
 
@@ -187,7 +191,7 @@
     """What discovery has at its return counts as told at once."""
 
     async def test(_: Path) -> None:
-        known = Listed({"seq": 41, "whole": True, "hosts": [host(OLD)]})
+        known = EndpointList({"seq": 41, "whole": True, "hosts": [host(OLD)]})
         with socket.create_server(("127.0.0.1", 0)) as bound:
             address = bound.getsockname()
         discovery = Discovery(address, known, lambda _: None, lambda name, state: None, 200)
@@ -219,7 +223,7 @@
             assert [each.id for each in (await soon(heard.get())).endpoints] == ["new"]
             assert discovery.seq == 44 and heard.empty()
 
-    monkeypatch.setattr(module, "CHECK", 0.02)
+    monkeypatch.setattr(module, "CHECK_INTERVAL", 0.02)
     play(test)(Path())
 
 
@@ -284,7 +288,7 @@
             watch = await soon(platform.watches.get())
             tell(watch, 42, host(NEW, "new"), host(OLD) | bad)
             assert (await soon(heard.get())).listing is Listing.FAILED
-            assert (discovery.seq, discovery.dials) == (41, {"r": ("127.0.0.1", 1)})
+            assert (discovery.seq, discovery.addresses) == (41, {"r": ("127.0.0.1", 1)})
 
     play(test)(Path())
 
@@ -295,7 +299,7 @@
         watch = await soon(platform.watches.get())
         tell(watch, 42, host(OLD, "never seen", health="gone"), host(NEW, "new"))
         assert (await soon(heard.get())).listing is Listing.CHANGES
-        assert discovery.seq == 42 and list(discovery.dials) == ["r", "new"]
+        assert discovery.seq == 42 and list(discovery.addresses) == ["r", "new"]
 
 
 @play
@@ -325,7 +329,7 @@
         assert (await soon(new.watches.get())).target.endswith("after=7")
         tell(watch, 100, host(OLD))
         await soon(old.ends.get())  # the old watch ends without a word, and what it told last is not heard
-        assert heard.empty() and discovery.seq == 7 and list(discovery.dials) == ["new"]
+        assert heard.empty() and discovery.seq == 7 and list(discovery.addresses) == ["new"]
         moved.cancel()
 
 
@@ -358,7 +362,7 @@
     """How long it waits before each check, where the ones so far were answered like this."""
 
     async def test() -> list[float]:
-        known = Listed({"seq": 41, "whole": True, "hosts": [host(OLD)]})
+        known = EndpointList({"seq": 41, "whole": True, "hosts": [host(OLD)]})
         discovery = Discovery(("127.0.0.1", 9), known, lambda _: None, lambda name, state: None, senders)
         pauses: list[float] = []
         left = list(answers)
@@ -374,7 +378,7 @@
         monkeypatch.setattr(module.asyncio, "sleep", sleep)
         monkeypatch.setattr(discovery, "check_once", check_once)
         with pytest.raises(asyncio.CancelledError):
-            await discovery.check()
+            await discovery.check_periodically()
         return pauses
 
     return asyncio.run(test())
@@ -412,16 +416,16 @@
 @play
 async def test_a_watch_after_one_that_was_not_answered_has_longer(_: Path) -> None:
     async with Peer() as silent, Platform() as platform:
-        known = Listed({"seq": 41, "whole": True, "hosts": [host(OLD)]})
+        known = EndpointList({"seq": 41, "whole": True, "hosts": [host(OLD)]})
         discovery = Discovery(silent.address, known, lambda _: None, lambda name, state: None)
-        assert discovery.patience == module.ANSWER_TIMEOUT
+        assert discovery.watch_timeout == module.ANSWER_TIMEOUT
         with pytest.raises(TimeoutError):
-            await discovery.opened(silent.address)
-        assert discovery.patience == module.WATCH_PATIENCE > module.ANSWER_TIMEOUT
-        watching = asyncio.create_task(discovery.opened(platform.address))
+            await discovery.open_hedged(silent.address)
+        assert discovery.watch_timeout == module.WATCH_TIMEOUT > module.ANSWER_TIMEOUT
+        watching = asyncio.create_task(discovery.open_hedged(platform.address))
         await soon(platform.watches.get())
         async with asyncio.timeout(20):
-            while discovery.patience != module.ANSWER_TIMEOUT:
+            while discovery.watch_timeout != module.ANSWER_TIMEOUT:
                 await asyncio.sleep(0.001)
         watching.cancel()
 
@@ -430,15 +434,15 @@
 async def test_many_senders_keep_their_place_in_the_queue_of_a_busy_discovery(_: Path) -> None:
     """Seen on the large fleet: 31 of 40 gave up after 1 to 2 s, again and again, and never heard a list."""
     async with Peer() as busy:
-        known = Listed({"seq": 41, "whole": True, "hosts": [host(OLD)]})
+        known = EndpointList({"seq": 41, "whole": True, "hosts": [host(OLD)]})
         few, many = (
             Discovery(busy.address, known, lambda _: None, lambda name, state: None, senders)
             for senders in (4, 40)
         )
-        asking = [asyncio.create_task(each.opened(busy.address)) for each in (few, many)]
+        asking = [asyncio.create_task(each.open_hedged(busy.address)) for each in (few, many)]
         await asyncio.wait(asking, timeout=20, return_when=asyncio.FIRST_COMPLETED)
         assert asking[0].done() and isinstance(asking[0].exception(), TimeoutError)
         assert not asking[1].done()
         asking[1].cancel()
-        patience = [few.first_patience, few.next_patience, many.first_patience, many.next_patience]
-        assert patience == [module.ANSWER_TIMEOUT, module.WATCH_PATIENCE, *[module.MOST_PATIENCE] * 2]
+        patience = [few.first_timeout, few.next_timeout, many.first_timeout, many.next_timeout]
+        assert patience == [module.ANSWER_TIMEOUT, module.WATCH_TIMEOUT, *[module.MAX_TIMEOUT] * 2]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -18,7 +18,7 @@
 
 from message_sender import interface as face
 from message_sender.interface import Outcome
-from message_sender.net.handover import ASK, VERSION, Channel, Estate, Lock, address_of
+from message_sender.net.handover import HANDOVER_REQUEST, VERSION, Channel, HandoverState, Lock, address_of
 from message_sender.rules import Dispatcher
 
 ONCE = {"semantics": "once"}
@@ -146,7 +146,7 @@
 @play
 async def test_strangers_at_the_door_change_nothing(tmp_path: Path) -> None:
     async with first(tmp_path) as (_, __, old, address, ___, state):
-        for data in (b"", b"who is there?\n", ASK[:-1]):
+        for data in (b"", b"who is there?\n", HANDOVER_REQUEST[:-1]):
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as stranger:
                 stranger.settimeout(20)
                 stranger.connect(address_of(state))
@@ -210,7 +210,7 @@
     assert not sent(actions)
 
 
-def estate_from(*frames: dict[str, Any], lock: Lock) -> Estate:
+def handover_from(*frames: dict[str, Any], lock: Lock) -> HandoverState:
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
     channel = Channel(theirs)
     for frame in frames:
@@ -219,22 +219,22 @@
         channel.send({"listener": True}, listener.fileno())
     channel.send_lock(lock)
     channel.send_done()
-    estate = Estate(channel=Channel(ours))
+    handover = HandoverState(channel=Channel(ours))
     try:
-        estate.receive()
+        handover.receive()
     finally:
         channel.close()
-    return estate
+    return handover
 
 
 def test_another_versions_state_leaves_the_lock_and_the_listener(tmp_path: Path) -> None:
     lock = Lock.take(tmp_path)
     assert lock is not None
-    estate = estate_from({"state": {"version": VERSION + 1}}, {"lines": ["x"]}, {"new": 1}, lock=lock)
+    handover = handover_from({"state": {"version": VERSION + 1}}, {"lines": ["x"]}, {"new": 1}, lock=lock)
     lock.close()
-    assert estate.state is None and estate.lines == [] and estate.listener is not None
+    assert handover.state is None and handover.lines == [] and handover.listener is not None
     assert Lock.take(tmp_path) is None  # it came along
-    estate.drop()
+    handover.drop()
     assert Lock.take(tmp_path) is not None
 
 
@@ -247,10 +247,10 @@
     channel.send_lock(lock)
     lock.close()
     channel.close()  # the owner died before the last frame
-    estate = Estate(channel=Channel(ours))
+    handover = HandoverState(channel=Channel(ours))
     with pytest.raises(ConnectionError):
-        estate.receive()
-    assert estate.state is None and Lock.take(tmp_path) is not None
+        handover.receive()
+    assert handover.state is None and Lock.take(tmp_path) is not None
 
 
 @play
@@ -271,10 +271,10 @@
     async def __aenter__(self) -> "Handing":
         await super().__aenter__()
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
-        self.channel, self.successor = Channel(theirs), Estate(channel=Channel(ours))
+        self.channel, self.successor = Channel(theirs), HandoverState(channel=Channel(ours))
         await self.hand_in("m1")
         self.request = await self.receiver.next()
-        self.out = self.sender.client.flights["m1"].connection.sock
+        self.out = self.sender.client.in_flight["m1"].connection.sock
         return self
 
     def hand_over(self) -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -19,17 +19,17 @@
 def test_what_is_owed_is_replayed_in_the_order_taken(tmp_path: Path) -> None:
     first = Journal(tmp_path, LIMIT)
     for name in ("a", "b", "c"):
-        assert first.taken(handed_in(name, body=bytes(range(256)), until=7))
-    first.sent("a", 0, Attempt(5, "r", "z"))
-    first.outcome("a", 0, Outcome.FULL)
-    first.sent("a", 1, Attempt(6, "s", "y"))
-    first.sent("c", 0, Attempt(7, "r", "z"))
-    first.ended("b")
+        assert first.record_taken(handed_in(name, body=bytes(range(256)), until=7))
+    first.record_sent("a", 0, Attempt(5, "r", "z"))
+    first.record_outcome("a", 0, Outcome.FULL)
+    first.record_sent("a", 1, Attempt(6, "s", "y"))
+    first.record_sent("c", 0, Attempt(7, "r", "z"))
+    first.record_ended("b")
     # No close: a process that is killed does none.
     second = Journal(tmp_path, LIMIT)
     assert list(second.entries) == ["a", "c"]
     assert second.entries["a"].message == handed_in("a", body=bytes(range(256)), until=7)
-    risk = second.entries["a"].first_risk()
+    risk = second.entries["a"].first_risky_attempt()
     assert risk is not None and (risk.at, risk.endpoint, risk.zone) == (6, "s", "y")
 
 
@@ -38,14 +38,14 @@
     tmp_path: Path, cut: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     first = Journal(tmp_path, LIMIT)
-    first.taken(handed_in("a"))
-    first.taken(handed_in("b"))
-    file = tmp_path / module.FILE
+    first.record_taken(handed_in("a"))
+    first.record_taken(handed_in("b"))
+    file = tmp_path / module.JOURNAL_FILE
     file.write_bytes(file.read_bytes()[:-cut])
     second = Journal(tmp_path, LIMIT)
     assert list(second.entries) == ["a"] and "dropped" in caplog.text
     # What is written next stands on a line of its own.
-    second.taken(handed_in("c"))
+    second.record_taken(handed_in("c"))
     assert list(Journal(tmp_path, LIMIT).entries) == ["a", "c"]
 
 
@@ -60,21 +60,21 @@
 )
 def test_a_record_that_cannot_be_read_does_not_take_the_others_with_it(tmp_path: Path, text: bytes) -> None:
     first = Journal(tmp_path, LIMIT)
-    first.taken(handed_in("a"))
-    with open(tmp_path / module.FILE, "ab") as file:
+    first.record_taken(handed_in("a"))
+    with open(tmp_path / module.JOURNAL_FILE, "ab") as file:
         file.write(text)
-    first.taken(handed_in("b"))
+    first.record_taken(handed_in("b"))
     assert list(Journal(tmp_path, LIMIT).entries) == ["a", "b"]
 
 
 def test_compacting_leaves_out_what_is_over(tmp_path: Path) -> None:
     journal = Journal(tmp_path, 400_000)
-    journal.taken(handed_in("kept", body=b"k" * 100))
-    journal.sent("kept", 0, Attempt(5, "r", "z"))
-    journal.outcome("kept", 0, Outcome.FULL)
+    journal.record_taken(handed_in("kept", body=b"k" * 100))
+    journal.record_sent("kept", 0, Attempt(5, "r", "z"))
+    journal.record_outcome("kept", 0, Outcome.FULL)
     for number in range(2000):
-        assert journal.taken(handed_in(f"m{number}"))
-        journal.ended(f"m{number}")
+        assert journal.record_taken(handed_in(f"m{number}"))
+        journal.record_ended(f"m{number}")
         assert used(tmp_path) <= 400_000
     replayed = Journal(tmp_path, 400_000).entries
     assert list(replayed) == ["kept"] and replayed["kept"] == journal.entries["kept"]
@@ -84,10 +84,10 @@
 def test_when_a_destination_served_last_outlives_its_messages_and_compacting(tmp_path: Path) -> None:
     first = Journal(tmp_path, LIMIT)
     for name, at, outcome in (("a", 7, Outcome.OK), ("b", 5, Outcome.OK), ("c", 9, Outcome.RESET)):
-        first.taken(handed_in(name))
-        first.sent(name, 0, Attempt(at, "r", "z"))
-        first.outcome(name, 0, outcome)
-        first.ended(name)
+        first.record_taken(handed_in(name))
+        first.record_sent(name, 0, Attempt(at, "r", "z"))
+        first.record_outcome(name, 0, outcome)
+        first.record_ended(name)
     for _ in range(2):  # the second start reads what the first one compacted
         assert Journal(tmp_path, LIMIT).served == {3: 7}
 
@@ -105,39 +105,39 @@
 
     monkeypatch.setattr(module.os, "replace", seen)
     journal = Journal(tmp_path, limit)
-    taken = [each for each in range(100) if journal.taken(handed_in(f"m{each}", body=b"x" * 5000))]
+    taken = [each for each in range(100) if journal.record_taken(handed_in(f"m{each}", body=b"x" * 5000))]
     assert 5 < len(taken) < 100
     for each in taken:
         for number in range(6):
-            assert journal.sent(f"m{each}", number, Attempt(1, "r", "z"))
+            assert journal.record_sent(f"m{each}", number, Attempt(1, "r", "z"))
     assert not journal.compact()  # nothing of it is over: no work for each message that is refused
     for each in taken[:-1]:
-        journal.ended(f"m{each}")
-    assert journal.taken(handed_in("later", body=b"x" * 5000))
+        journal.record_ended(f"m{each}")
+    assert journal.record_taken(handed_in("later", body=b"x" * 5000))
     assert journal.compact()
     assert 0 < most <= limit and used(tmp_path) <= limit
 
 
 def test_what_a_process_left_that_died_while_compacting_is_cleared(tmp_path: Path) -> None:
-    Journal(tmp_path, LIMIT).taken(handed_in("a"))
-    (tmp_path / module.COMPACTED).write_bytes(b"half")
+    Journal(tmp_path, LIMIT).record_taken(handed_in("a"))
+    (tmp_path / module.COMPACTED_FILE).write_bytes(b"half")
     assert list(Journal(tmp_path, LIMIT).entries) == ["a"]
-    assert not (tmp_path / module.COMPACTED).exists()
+    assert not (tmp_path / module.COMPACTED_FILE).exists()
 
 
 def test_a_failed_or_short_write_refuses_and_leaves_the_file_whole(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal, write = Journal(tmp_path, LIMIT), module.os.write
-    journal.taken(handed_in("a"))
+    journal.record_taken(handed_in("a"))
     monkeypatch.setattr(module.os, "write", lambda file, data: write(file, data[:20]))
-    assert not journal.taken(handed_in("b"))
+    assert not journal.record_taken(handed_in("b"))
 
     def full(file: int, data: bytes) -> int:
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(module.os, "write", full)
-    assert not journal.sent("a", 0, Attempt(1, "r", "z"))
+    assert not journal.record_sent("a", 0, Attempt(1, "r", "z"))
     monkeypatch.setattr(module.os, "write", write)
-    journal.taken(handed_in("c"))
+    journal.record_taken(handed_in("c"))
     assert list(Journal(tmp_path, LIMIT).entries) == ["a", "c"]
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -30,7 +30,7 @@
 from message_sender.net import sender as module
 from message_sender.net.config import Descriptors
 from message_sender.net.journal import Attempt, Journal
-from message_sender.net.sender import HEARD, Sender
+from message_sender.net.sender import CLOSE_DELAY, Sender
 
 GONE = {"X_Route_To": "dest=9"}  # no endpoint: held until its time is up
 SHORT_S = 4.0  # left of a message that is to end in a test: far more than this process may stall
@@ -79,9 +79,9 @@
     seen: list[str] = []
     async with World(state) as world:
         journal, client = world.sender.journal, world.sender.client
-        taken, sent, call = journal.taken, journal.sent, client.call
-        journal.taken = lambda message: seen.append("taken") or taken(message)
-        journal.sent = lambda *told: seen.append("sent") or sent(*told)
+        taken, sent, call = journal.record_taken, journal.record_sent, client.call
+        journal.record_taken = lambda message: seen.append("taken") or taken(message)
+        journal.record_sent = lambda *told: seen.append("sent") or sent(*told)
         client.call = lambda *told: seen.append("call") or call(*told)
         respond = module.Connection.answer
         try:
@@ -129,9 +129,9 @@
         world.sender.turn = lambda: None  # the loop is late: the turn does not come
         _, writer = await asyncio.open_connection(*world.running.address)
         writer.write(message("m1"))
-        while not world.sender.arrived:
+        while not world.sender.pending:
             await asyncio.sleep(0.001)
-        (connection,) = world.sender.arrived["m1"][1]
+        (connection,) = world.sender.pending["m1"][1]
         connection.transport.pause_reading()
         writer.close()
         await writer.wait_closed()
@@ -359,13 +359,13 @@
 async def test_a_request_read_as_the_process_ends_is_taken_on_and_answered(state: Path) -> None:
     """The end comes as the last byte is read, before the turn that answers."""
     async with World(state) as world:
-        take = world.sender.take
+        take = world.sender.receive_message
 
         def end_and_take(*told: Any) -> None:  # noqa: ANN401
             world.sender.stop(0)
             take(*told)
 
-        world.sender.server.take = end_and_take
+        world.sender.server.on_message = end_and_take
         assert (await world.hand_in("m1")).status == 202
         assert await soon(world.running.task) == 0
         assert journalled(state) == ["m1"] and world.receiver.requests.empty()
@@ -413,7 +413,7 @@
         turn, world.sender.turn = world.sender.turn, lambda: None  # the loop is late
         for _, writer in clients:
             writer.write(message("m1"))
-        while not any(len(told[1]) == 2 for told in world.sender.arrived.values()):
+        while not any(len(told[1]) == 2 for told in world.sender.pending.values()):
             await asyncio.sleep(0.001)
         world.sender.turn = turn
         turn()
@@ -457,12 +457,12 @@
             await world.hand_in("m1", **GONE)
             journal = world.sender.journal
             for number, outcome in enumerate((Outcome.FULL, Outcome.ERROR, Outcome.RESET)):
-                journal.sent("m1", number, Attempt(1000 + number, "r", f"z{number}"))
-                journal.outcome("m1", number, outcome)
+                journal.record_sent("m1", number, Attempt(1000 + number, "r", f"z{number}"))
+                journal.record_outcome("m1", number, outcome)
             world.sender.stop(0)
             await world.running.task
             again = Sender(config_from(world.told, state))
-            restored = again.restored(again.journal.entries["m1"])
+            restored = again.restored_event(again.journal.entries["m1"])
             assert (restored.attempts, restored.risky_since, restored.risky_zone) == (3, 1001, "z1")
 
     play(test)(tmp_path)
@@ -474,14 +474,14 @@
     async with World(state) as world:
         for name, at, outcome in (("m1", 1000, Outcome.RESET), ("m2", 1001, Outcome.OK)):
             await world.hand_in(name, **GONE)
-            world.sender.journal.sent(name, 0, Attempt(at, "r", "z"))
-            world.sender.journal.outcome(name, 0, outcome)
-        world.sender.journal.sent("m1", 1, Attempt(1002, "r", "z"))
-        world.sender.journal.outcome("m1", 1, Outcome.CONNECT_FAILED)
+            world.sender.journal.record_sent(name, 0, Attempt(at, "r", "z"))
+            world.sender.journal.record_outcome(name, 0, outcome)
+        world.sender.journal.record_sent("m1", 1, Attempt(1002, "r", "z"))
+        world.sender.journal.record_outcome("m1", 1, Outcome.CONNECT_FAILED)
         world.sender.stop(0)
         await world.running.task
         again = Sender(config_from(world.told, state))
-        restored = again.restored(again.journal.entries["m1"])
+        restored = again.restored_event(again.journal.entries["m1"])
         assert restored.outcomes == (("r", Outcome.CONNECT_FAILED),)
 
 
@@ -512,14 +512,14 @@
         asked = [module.face.WakeAfter(each * 1_000_000) for each in (50, 40, 30)]
         timers = []
         for each in asked:
-            world.sender.act(each, set())
-            timers.append(world.sender.wake)
+            world.sender.perform_action(each, set())
+            timers.append(world.sender.wake_timer)
         assert [each.cancelled() for each in timers] == [True, True, False]
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 256, 384, 1024])
 def test_the_shares_of_the_descriptors_add_up(sockets: int) -> None:
-    share = Descriptors.of(sockets, slots=12)
+    share = Descriptors.divide(sockets, slots=12)
     assert share.total() <= sockets
     assert share.calls >= 16 and (sockets < 256 or share.clients > sockets / 3)
 
@@ -559,4 +559,4 @@
         began = asyncio.get_running_loop().time()
         first.break_off()
         assert (await world.receiver.next()).id == "m1"
-        assert asyncio.get_running_loop().time() - began >= HEARD
+        assert asyncio.get_running_loop().time() - began >= CLOSE_DELAY
--- a/tests/test_sender_drain.py
+++ b/tests/test_sender_drain.py
@@ -17,7 +17,7 @@
 from test_process import running, start, wait_for
 
 import message_sender.__main__ as sender_main
-from message_sender.net.handover import Estate
+from message_sender.net.handover import HandoverState
 
 CLIENTS = 8
 READY_LINE = rb"ready on (\S+):(\d+)"
@@ -241,11 +241,11 @@
     async def scene() -> int:
         loop = asyncio.get_running_loop()
 
-        async def wait_forever(folder: Path) -> Estate:
+        async def wait_forever(folder: Path) -> HandoverState:
             loop.call_soon(os.kill, os.getpid(), signal.SIGTERM)
             return await loop.create_future()
 
-        monkeypatch.setattr(sender_main, "come_into", wait_forever)
+        monkeypatch.setattr(sender_main, "acquire_state_folder", wait_forever)
         async with Platform() as platform:
             return await soon(sender_main.serve(sender_main.config_from(config_json(platform), tmp_path)))
 
@@ -256,14 +256,14 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> int:
-        come_into = sender_main.come_into
+        acquire_state_folder = sender_main.acquire_state_folder
 
-        async def told_meanwhile(folder: Path) -> Estate:
-            estate = await come_into(folder)
+        async def told_meanwhile(folder: Path) -> HandoverState:
+            handover = await acquire_state_folder(folder)
             os.kill(os.getpid(), signal.SIGTERM)
-            return estate
+            return handover
 
-        monkeypatch.setattr(sender_main, "come_into", told_meanwhile)
+        monkeypatch.setattr(sender_main, "acquire_state_folder", told_meanwhile)
         async with Platform() as platform:
             return await soon(sender_main.serve(sender_main.config_from(config_json(platform), tmp_path)))
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -14,12 +14,12 @@
 from message_sender import interface as face
 from message_sender.net.message import HandedIn
 from message_sender.net.server import (
-    IDLE_LIMIT,
+    IDLE_TIMEOUT,
     LINGER,
     LINGER_BYTES,
-    ON_THE_WAY,
-    READ_LIMIT,
-    STALLED,
+    READ_TIMEOUT,
+    STALL_TIME,
+    TRANSIT_ALLOWANCE,
     Connection,
     Server,
 )
@@ -55,7 +55,7 @@
         assert (await raw(server, data)).status == 202
         until = taken[0].until
         assert taken == [HandedIn("é1", "c", 3, until, "acme", "k", "key of é1", True, body)]
-        assert NOW - 5_000_000 < until <= NOW + 480_000 - ON_THE_WAY  # a late loop takes some off
+        assert NOW - 5_000_000 < until <= NOW + 480_000 - TRANSIT_ALLOWANCE  # a late loop takes some off
 
 
 @play
@@ -70,13 +70,13 @@
         time.sleep(0.3)
         while not taken:
             await asyncio.sleep(0.001)
-        assert taken[0].until <= NOW + 600_000 - ON_THE_WAY
+        assert taken[0].until <= NOW + 600_000 - TRANSIT_ALLOWANCE
         await asyncio.sleep(0.2)
         sock.sendall(message("m2", X_Time_Left="0.900"))
         time.sleep(0.3)
         while len(taken) < 2:
             await asyncio.sleep(0.001)
-        assert taken[1].until <= NOW + 600_000 - ON_THE_WAY and server.longest_unread >= 0.3
+        assert taken[1].until <= NOW + 600_000 - TRANSIT_ALLOWANCE and server.longest_unread >= 0.3
         sock.close()
 
 
@@ -169,7 +169,7 @@
         server.now = lambda: NOW + 700_000
         writer.write(data[40:])
         assert (await read_reply(reader)).status == 202
-        assert NOW < taken[0].until <= NOW + 6_000_000 - ON_THE_WAY
+        assert NOW < taken[0].until <= NOW + 6_000_000 - TRANSIT_ALLOWANCE
         writer.close()
 
 
@@ -253,7 +253,7 @@
         while server.silent or not server.connections:
             await asyncio.sleep(0)
         (connection,) = server.connections
-        connection.heard += 100  # it goes on writing, however slow the test is
+        connection.last_received += 100  # it goes on writing, however slow the test is
         assert (await raw(server, b"")).status == 503
         server.lingering = -1
         assert await (await Held.open(server, b"x")).ended() == b""
@@ -268,12 +268,14 @@
         while len(server.partial) < 3:
             await asyncio.sleep(0)
         for connection in server.connections:
-            connection.heard -= STALLED + 0.1
+            connection.last_received -= STALL_TIME + 0.1
         slow.writer.write(message("slow")[30:40])
-        while all(each.heard < server.loop.time() - STALLED for each in server.connections):
+        while all(each.last_received < server.loop.time() - STALL_TIME for each in server.connections):
             await asyncio.sleep(0)
-        (going,) = [each for each in server.connections if each.heard > server.loop.time() - STALLED]
-        going.heard += 100
+        (going,) = [
+            each for each in server.connections if each.last_received > server.loop.time() - STALL_TIME
+        ]
+        going.last_received += 100
         for name in "ab":
             assert (await raw(server, message(name))).status == 202
         for each in stopped:
@@ -288,13 +290,13 @@
 @play
 async def test_a_whole_request_that_waits_to_be_read_is_never_pushed_out(_: Path) -> None:
     async with serving(most=1) as (server, taken):
-        server.read_some = lambda: None  # too much else is to be read
+        server.read_queued = lambda: None  # too much else is to be read
         held = await Held.open(server, message("a"))
         while not server.partial:
             await asyncio.sleep(0)
         (connection,) = server.connections
-        connection.heard -= STALLED + 0.1
-        server.make_room()
+        connection.last_received -= STALL_TIME + 0.1
+        server.evict_connection()
         assert server.connections == {connection}
         connection.advance()
         assert (await read_reply(held.reader)).status == 202 and [each.id for each in taken] == ["a"]
@@ -338,7 +340,7 @@
         server.expire()
         assert len(server.connections) == 3
         for connection in server.connections:
-            connection.since -= READ_LIMIT + 0.1
+            connection.wait_started -= READ_TIMEOUT + 0.1
         (dripping,) = [each for each in server.connections if each.began]
         half.writer.write(message("m")[30:40])
         while len(dripping.codec.trailing_data[0]) < 40:
@@ -347,7 +349,7 @@
         assert (await read_reply(half.reader)).status == 408
         assert await silent.ended() == b""
         for connection in server.connections:
-            connection.since -= IDLE_LIMIT
+            connection.wait_started -= IDLE_TIMEOUT
         server.expire()
         assert await idle.ended() == b"" and await half.ended() == b""
         for each in (half, silent, idle):
@@ -363,7 +365,7 @@
         while connection.transport.is_reading():
             await asyncio.sleep(0)
         assert connection.dropped < 2 * LINGER_BYTES and taken == []
-        connection.since -= LINGER + 0.1
+        connection.wait_started -= LINGER + 0.1
         server.expire()
         await held.ended()
         assert not server.connections
@@ -386,7 +388,7 @@
 @play
 async def test_requests_by_the_hundred_are_not_read_before_their_turn(_: Path) -> None:
     async with serving() as (server, _taken):
-        server.take = lambda *_: None  # the answer is still pending
+        server.on_message = lambda *_: None  # the answer is still pending
         held = await Held.open(server, message("m"))
         while not any(each.answering for each in server.connections):
             await asyncio.sleep(0)
@@ -395,7 +397,7 @@
         while connection.transport.is_reading():
             await asyncio.sleep(0)
         assert len(connection.codec.trailing_data[0]) <= 1024 * 1024
-        server.take = lambda _, connection: connection.answer(202)
+        server.on_message = lambda _, connection: connection.answer(202)
         connection.answer(202)
         for _n in range(201):
             assert (await read_reply(held.reader)).status == 202
@@ -408,14 +410,14 @@
     async with serving(most=40) as (server, taken):
         usual = await Held.open(server, message("a"))
         assert (await read_reply(usual.reader)).status == 202
-        read_some, server.read_some = server.read_some, lambda: None  # type: ignore[method-assign]
+        read_queued, server.read_queued = server.read_queued, lambda: None  # type: ignore[method-assign]
         flood = [await Held.open(server, message(f"m{each}")) for each in range(10)]
         usual.writer.write(message("b"))
-        while sum(map(len, server.to_read)) < 11:
+        while sum(map(len, server.read_queues)) < 11:
             await asyncio.sleep(0)
-        server.read_some, clock = read_some, server.loop.time  # type: ignore[method-assign]
+        server.read_queued, clock = read_queued, server.loop.time  # type: ignore[method-assign]
         server.loop.time = lambda: clock() + len(taken)  # type: ignore[method-assign]  # each takes a second
-        read_some()
+        read_queued()
         assert [each.id for each in taken] == ["a", "b"]
         server.loop.time = clock  # type: ignore[method-assign]
         for each in flood:
@@ -427,7 +429,7 @@
 @play
 async def test_a_destination_that_no_list_ever_named_is_turned_away(_: Path) -> None:
     async with serving() as (server, taken):
-        server.named = lambda destination: destination == 3
+        server.is_known_destination = lambda destination: destination == 3
         assert (await raw(server, message("m", X_Route_To="dest=4"))).status == 404
         assert (await raw(server, message("m"))).status == 202
         assert [each.destination for each in taken] == [3]
@@ -436,9 +438,9 @@
 @play
 async def test_what_nobody_foresaw_ends_one_connection_only(_: Path) -> None:
     async with serving() as (server, _taken):
-        take, server.take = server.take, None  # type: ignore[assignment]
+        take, server.on_message = server.on_message, None  # type: ignore[assignment]
         assert await (await Held.open(server, message("m"))).ended() == b""
-        server.take = take
+        server.on_message = take
         assert (await raw(server, message("m"))).status == 202
 
 
