--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""The other sides of a real sender on loopback sockets: a scripted receiver, platform and client."""
+"""The peers of a sender on loopback sockets: a scripted receiver, discovery service and client."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from message_sender.net.sender import Sender
 from plumline.wire.http import Address
 
-PATIENCE = 20.0  # s; only a failing test waits so long
+PATIENCE = 20.0  # s; reached only by a failing test
 READY = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 CLASS = ENV["services"][0]
 KEYED = CLASS | {
@@ -42,7 +42,7 @@
 
 
 class Request:
-    """A request that came in, and the means to answer it."""
+    """A received request, with methods to respond to it."""
 
     def __init__(self, head: bytes, body: bytes, writer: asyncio.StreamWriter) -> None:
         first, *lines = head.decode("latin-1").rstrip().split("\r\n")
@@ -63,12 +63,13 @@
 
 
 class Peer:
-    """A server whose requests a test takes from a queue and answers itself."""
+    """A server that queues its requests for the test, which responds to them itself."""
 
     def __init__(self) -> None:
         self.requests: asyncio.Queue[Request] = asyncio.Queue()
         self.accepted = 0
-        self.ends: asyncio.Queue[None] = asyncio.Queue()  # connections that the sender ended
+        # one item for each connection that the sender closed
+        self.ends: asyncio.Queue[None] = asyncio.Queue()
 
     async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -105,13 +106,14 @@
 
 
 class Platform(Peer):
-    """Discovery, whose watch the test feeds; calls for the whole list in `lists`, notices in `requests`."""
+    """A discovery service. The test writes the lines of the watch; reads of the full list are queued in
+    `lists`, notices in `requests`."""
 
     def __init__(self) -> None:
         super().__init__()
         self.watches: asyncio.Queue[Request] = asyncio.Queue()
         self.lists: asyncio.Queue[Request] = asyncio.Queue()
-        self.listing = ""  # what it answers with to calls for the whole list, by itself
+        self.listing = ""  # the automatic response to reads of the full list, if not empty
 
     def came(self, request: Request) -> None:
         if self.listing and request.target == "/registry/instances":
@@ -154,7 +156,7 @@
 
 
 class Running:
-    """A sender in this process."""
+    """A sender that runs in the test's process."""
 
     def __init__(self, told: dict[str, Any], state: Path) -> None:
         self.sender = Sender(config_from(told, state))
@@ -176,7 +178,7 @@
 
 
 class World(AsyncExitStack):
-    """A receiver, a platform and a sender that knows the receiver."""
+    """A receiver, a discovery service, and a sender that knows the receiver."""
 
     def __init__(self, state: Path, **kind: object) -> None:
         super().__init__()
@@ -192,8 +194,8 @@
         return self
 
     def tell(self) -> dict[str, Any]:
-        """The configuration."""
-        empty = host("127.0.0.1:9", "d", block=9, health="draining")  # destination 9 has no endpoint now
+        """Returns the sender's configuration."""
+        empty = host("127.0.0.1:9", "d", block=9, health="draining")  # destination 9 has no usable endpoint
         return config_json(self.platform, host(self.receiver.dial), empty, **self.kind)
 
 
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -1,4 +1,4 @@
-"""Each outcome of a call, as the protocol's table has it, and the pool of connections."""
+"""The outcome of each kind of call by the protocol's table, and the connection pool."""
 
 import asyncio
 import socket
@@ -34,7 +34,7 @@
 def call(
     client: Client, address: Address, timeout: float = 10, body: bytes = b"x", may_go: bool = True
 ) -> asyncio.Task[Answer]:
-    """A call to the endpoint "r", which stands at `address`."""
+    """Starts a call to the endpoint "r" at `address`."""
     client.addresses = lambda: {"r": address}
     work = client.call("r", handed_in(body=body), timeout, lambda: may_go)
     return asyncio.create_task(work)
@@ -98,7 +98,7 @@
 
 
 def test_break_before_the_last_byte_is_written_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Buffers on both sides too small for the body, so that a part of it is still unwritten."""
+    """The socket buffers are too small for the body, so part of it stays unwritten."""
 
     async def test(_: Path) -> None:
         loop = asyncio.get_running_loop()
@@ -159,8 +159,8 @@
 
 @pytest.mark.parametrize(("text", "answer"), SPOILT)
 def test_a_spoilt_answer_has_its_outcome_at_once_and_its_connection_ends(text: str, answer: Answer) -> None:
-    """The receiver leaves the connection open: nothing but what has come can decide. Guards against waiting
-    for the deadline, and against taking a message that has run for one that has not."""
+    """The receiver keeps the connection open, so the outcome must follow from the received bytes. Guards
+    against waiting for the deadline, and against counting a message that has run as one that has not."""
 
     async def test(_: Path) -> None:
         async with client_and_receiver() as (client, receiver):
@@ -194,8 +194,8 @@
 
 @pytest.mark.parametrize("behind", [head("200 OK", "Content-Length: 0"), "noise"])
 def test_what_comes_behind_an_answer_is_not_the_next_calls_answer(behind: str) -> None:
-    """Guards against a second copy that ends the next message while its call is still out: seen as second
-    copies, broken order and lost messages at once."""
+    """Bytes behind a response must not count as the response to the next call. That ended the next message
+    while its call was in flight, with duplicates, broken order and lost messages."""
 
     async def test(_: Path) -> None:
         async with client_and_receiver() as (client, receiver):
@@ -264,7 +264,8 @@
         await soon(receiver.ends.get())
         going = asyncio.create_task(client.call("new", handed_in(), 10, lambda: True))
         request = await receiver.next()
-        client.addresses = dict  # it goes while its call is out: what the call used is not kept either
+        # the endpoint is removed during the call, so its connection is not kept either
+        client.addresses = dict
         request.answer(200)
         assert await soon(going) == DELIVERED and receiver.accepted == 2
         await soon(receiver.ends.get())
@@ -306,7 +307,8 @@
 
 
 def test_a_200_read_after_the_deadline_is_no_delivery(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a late loop: seen as a message lost, its answer read 3 ms after its time was up."""
+    """A late loop may read a response after the deadline, when the message no longer counts as delivered. One
+    read 3 ms late was lost."""
 
     async def test(_: Path) -> None:
         async with client_and_receiver() as (client, receiver):
@@ -314,13 +316,13 @@
             (await receiver.next()).answer(200)
             assert (await soon(going)).outcome is Outcome.TIMEOUT
 
-    monkeypatch.setattr(asyncio, "timeout_at", lambda _: nullcontext())  # its timer comes too late
+    monkeypatch.setattr(asyncio, "timeout_at", lambda _: nullcontext())  # the timer fires too late
     play(test)(Path())
 
 
 @play
 async def test_what_is_kept_beside_a_call_given_up_is_not_used_again(_: Path) -> None:
-    """Guards a repeat against another connection that has fallen silent like the first."""
+    """A retry must not use another idle connection that may have gone dead with the first one."""
     async with client_and_receiver() as (client, receiver):
         both = [call(client, receiver.address) for _n in range(2)]
         first, second = [await receiver.next() for _n in range(2)]
@@ -369,7 +371,7 @@
                 request.writer.close()
                 await soon(receiver.ends.get())
             if spoil == "old":
-                kept[0].idle_since -= 8.5  # the receiver may close it after 10
+                kept[0].idle_since -= 8.5  # the receiver may close it after 10 s
                 client.close_expired()
                 assert not client.pool
 
@@ -378,7 +380,8 @@
 async def test_a_kept_connection_that_breaks_is_told_from_a_new_one_and_takes_the_others_with_it(
     _: Path,
 ) -> None:
-    """Guards a healthy destination from counting as failed, and the repeat from the next stale one."""
+    """A stale connection must not count against the destination, and the retry must not use the next stale
+    one."""
     async with client_and_receiver() as (client, receiver):
         both = [call(client, receiver.address) for _n in range(2)]
         for _n in range(2):
@@ -397,7 +400,7 @@
     reuse = ReuseRisk()
     assert not reuse.is_risky(0.3)
     reuse.record(0.3, broke=True)
-    assert not reuse.is_risky(0.3)  # one break proves nothing
+    assert not reuse.is_risky(0.3)  # one break is no evidence
     for n in range(40):
         reuse.record(0.3, broke=n % 5 == 0)
         for idle in (None, 0.02, 5.0):
@@ -409,7 +412,7 @@
     for _ in range(1000):
         reuse.record(0.3, broke=False)
         reuse.record(None, broke=False)
-    assert not reuse.is_risky(0.3)  # what has passed is forgotten
+    assert not reuse.is_risky(0.3)  # old breaks lose their weight
 
 
 @play
@@ -426,7 +429,8 @@
             going = asyncio.create_task(client.call("r", handed_in(), 10, lambda: True, once))
             (await receiver.next()).answer(200)
             assert (await soon(going)).outcome is Outcome.OK and receiver.accepted == accepted
-            while len(client.pool["r"]) > 1:  # what the first has left; the one set back is still there
+            # connections of the first call; the one with the changed time is still there
+            while len(client.pool["r"]) > 1:
                 client.close_idle_connection(client.pool["r"][-1])
 
 
@@ -482,7 +486,7 @@
         going = call(client, receiver.address)
         (await receiver.next()).answer(200)
         await soon(going)
-        going = call(client, receiver.address)  # on the kept one: it had its connection
+        going = call(client, receiver.address)  # on the pooled connection, which was already accepted
         (await receiver.next()).answer(503, "Connection: close")
         assert await soon(going) == Answer(Outcome.FULL)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""What operators ask at their own address, and the figures that they are told."""
+"""The operators' commands, and the metrics that they report."""
 
 import asyncio
 from pathlib import Path
@@ -11,7 +11,7 @@
 
 
 class Watched(World):
-    """A sender that operators may call."""
+    """A sender with an operators' address."""
 
     def tell(self) -> dict[str, Any]:
         return super().tell() | {"control": "127.0.0.1:0"}
@@ -30,7 +30,7 @@
         return dict(each.split(":") for each in lines)
 
     async def become(self, **figures: str) -> None:
-        """Waits until the figures are these, by their last part."""
+        """Waits until the metrics, named by their last part, have these values."""
         seen: dict[str, str] = {}
         async with asyncio.timeout(20):
             while seen != figures:
@@ -85,7 +85,7 @@
 @play
 async def test_what_is_handed_back_or_turned_away_is_declined(tmp_path: Path) -> None:
     async with Watched(tmp_path) as world:
-        await world.hand_in("m1", X_Time_Left="0.3")  # its endpoint never answers
+        await world.hand_in("m1", X_Time_Left="0.3")  # its endpoint never responds
         await world.receiver.next()
         notice = await world.platform.next()
         notice.answer(204)
@@ -111,14 +111,14 @@
         await world.become(ejected="1|g", discovered="2|g")
         watch = await soon(world.platform.watches.get())
         tell(watch, 42, host(world.receiver.dial, "s"))
-        await world.become(ejected="2|g", discovered="3|g")  # they share their destination's breaker
+        await world.become(ejected="2|g", discovered="3|g")  # the endpoints share their destination's breaker
 
 
 @play
 async def test_status_is_ok_only_while_messages_are_taken_on(tmp_path: Path) -> None:
     async with Watched(tmp_path) as world:
         assert await world.call("STATUS") == ["ok"]
-        world.sender.journal.limit = 512  # the folder is full
+        world.sender.journal.limit = 512  # the state folder is full
         (status,) = await world.call("STATUS")
         assert status.startswith("fail") and (await world.hand_in("m1")).status == 503
         world.sender.journal.limit = 3_000_000
@@ -159,7 +159,7 @@
             try:
                 assert (await soon(reader.read())) in (b"", b"fail no call came\n")
             except ConnectionResetError:
-                pass  # pushed out
+                pass  # closed to make room
             writer.close()
         async with asyncio.timeout(20):
             while world.sender.control.callers:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -20,7 +20,7 @@
 
 
 class Deaf(Platform):
-    """The first request for a watch is never answered."""
+    """A discovery service that never answers the first request for a watch."""
 
     def came(self, request: Request) -> None:
         if self.accepted > 1:
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("ends", ["\n", "\r\n"])
 def test_a_list_may_span_lines_of_the_watch(ends: str) -> None:
-    """Each line comes alone, so that every one of them has been the last for a while."""
+    """Each line arrives separately, so that each has been the last one for a while."""
 
     async def test(_: Path) -> None:
         async with watching() as (discovery, platform, heard, _answered):
@@ -120,7 +120,8 @@
 
 
 def test_a_silent_watch_is_opened_anew_at_once_in_any_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What it misses counts as told 6 s after it fell silent. Also one that told nothing before."""
+    """Changes that it misses count as known 6 s after it fell silent. This includes a watch that never
+    reported anything."""
 
     async def test(_: Path) -> None:
         for senders in (1, 200):
@@ -169,7 +170,8 @@
 def test_a_request_for_a_watch_that_died_unseen_has_another_beside_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """In a large fleet the first may wait for a busy discovery for 10 s; the one that is heard stays."""
+    """In a large fleet the first request may wait 10 s for a busy discovery. The one that is answered is
+    kept."""
 
     async def test(_: Path) -> None:
         async with Deaf() as platform:
@@ -179,7 +181,7 @@
             watching = asyncio.create_task(discovery.watch())
             tell(await soon(platform.watches.get()), 42, host(NEW))
             assert (await soon(heard.get())).listing is Listing.CHANGES
-            await soon(platform.ends.get())  # the first one is given up
+            await soon(platform.ends.get())  # the first one is closed
             assert platform.accepted == 2
             watching.cancel()
 
@@ -188,7 +190,7 @@
 
 
 def test_nobody_listening_is_asked_again_soon_in_any_fleet() -> None:
-    """What discovery has at its return counts as told at once."""
+    """A list counts as known as soon as discovery is back."""
 
     async def test(_: Path) -> None:
         known = EndpointList({"seq": 41, "whole": True, "hosts": [host(OLD)]})
@@ -218,7 +220,7 @@
             (await soon(platform.lists.get())).answer(200, body=list_line(43, drained, whole=True))
             told = await soon(heard.get())
             assert (told.listing, told.endpoints[0].state) == (Listing.FULL, EndpointState.DRAINING)
-            tell(watch, 42, host(OLD))  # the watch is behind: what it tells now is no longer so
+            tell(watch, 42, host(OLD))  # the watch is behind: this change is outdated
             tell(watch, 44, host(NEW, "new"))
             assert [each.id for each in (await soon(heard.get())).endpoints] == ["new"]
             assert discovery.seq == 44 and heard.empty()
@@ -281,7 +283,8 @@
     ],
 )
 def test_a_line_is_applied_whole_or_not_at_all_and_asked_for_again(bad: dict[str, Any]) -> None:
-    """Guards against a change half believed, or lost as its version was taken before it was read."""
+    """A change must not be applied in part, nor be lost because its version was stored before it was
+    parsed."""
 
     async def test(_: Path) -> None:
         async with watching() as (discovery, platform, heard, _answered):
@@ -312,8 +315,8 @@
 
 @play
 async def test_a_watch_moves_to_a_new_address_without_a_gap(_: Path) -> None:
-    """The versions of another service mean nothing to this one: its whole list is asked for. Until that has
-    come, the old address is heard; then it is not."""
+    """Versions of another service are not comparable, so its full list is requested. Until it arrives the old
+    watch is used, and afterwards no more."""
     async with watching() as (discovery, old, heard, _answered), Platform() as new:
         watch = await soon(old.watches.get())
         discovery.move(new.address)
@@ -328,7 +331,7 @@
         assert (told.listing, [each.id for each in told.endpoints]) == (Listing.FULL, ["new"])
         assert (await soon(new.watches.get())).target.endswith("after=7")
         tell(watch, 100, host(OLD))
-        await soon(old.ends.get())  # the old watch ends without a word, and what it told last is not heard
+        await soon(old.ends.get())  # the old watch ends silently, and its last line is ignored
         assert heard.empty() and discovery.seq == 7 and list(discovery.addresses) == ["new"]
         moved.cancel()
 
@@ -359,7 +362,7 @@
 
 
 def pauses_between_checks(monkeypatch: pytest.MonkeyPatch, senders: int, *answers: bool) -> list[float]:
-    """How long it waits before each check, where the ones so far were answered like this."""
+    """The delays before each check, given the results of the previous ones."""
 
     async def test() -> list[float]:
         known = EndpointList({"seq": 41, "whole": True, "hosts": [host(OLD)]})
@@ -432,7 +435,7 @@
 
 @play
 async def test_many_senders_keep_their_place_in_the_queue_of_a_busy_discovery(_: Path) -> None:
-    """Seen on the large fleet: 31 of 40 gave up after 1 to 2 s, again and again, and never heard a list."""
+    """31 of 40 senders gave up after 1 to 2 s, again and again, and never got a list."""
     async with Peer() as busy:
         known = EndpointList({"seq": 41, "whole": True, "hosts": [host(OLD)]})
         few, many = (
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one sender: what a newer one takes over from the one that runs."""
+"""Two processes of one sender: what the newer one takes over from the older one."""
 
 import asyncio
 import os
@@ -26,7 +26,7 @@
 
 @asynccontextmanager
 async def first(tmp_path: Path, **kind: object) -> AsyncIterator[tuple[Any, ...]]:
-    """A receiver, a platform, a process, its clients' address, and the configuration and folder."""
+    """A receiver, a discovery service, a process, its clients' address, and the configuration and folder."""
     state = tmp_path / "state"
     state.mkdir()
     async with Peer() as receiver, Platform() as platform:
@@ -47,12 +47,12 @@
             old.send_signal(signal.SIGTERM)
             assert await soon(old.wait()) == 0
             call.answer(200)
-            writer.write(message("m2"))  # the client goes on, on the connection that it has
+            writer.write(message("m2"))  # the client continues on its connection
             assert (await read_reply(reader)).status == 202
             second = await receiver.next()
             assert second.id == "m2" and second.headers.get("x-correlation-id") == "m2"
             second.answer(200)
-            writer.write(message("m1"))  # an id that is over is known there
+            writer.write(message("m1"))  # the new process recognizes the id of a finished message
             assert (await read_reply(reader)).status == 202
             assert (await ask(address, message("m3"))).status == 202
             assert (await receiver.next()).id == "m3"
@@ -69,7 +69,7 @@
         for part, (_, writer) in zip(parts, streams, strict=True):
             writer.write(part.replace(b": m1\r", b": m%d\r" % len(part)))
             await writer.drain()
-        assert (await ask(address, message("m2"))).status == 202  # read after those
+        assert (await ask(address, message("m2"))).status == 202  # read after the incomplete ones
         (await receiver.next()).answer(200)
         async with running(told, state):
             old.send_signal(signal.SIGTERM)
@@ -126,13 +126,13 @@
             try:
                 await wait_for(new, rb"does not hand over")
                 assert Lock.take(state) is None
-                if early:  # SIGTERM before the new one has anything
+                if early:  # SIGTERM before anything is handed over
                     old.send_signal(signal.SIGTERM)
                     old.send_signal(signal.SIGCONT)
                 else:
                     old.send_signal(signal.SIGKILL)
                 await wait_for(new, rb"ready on")
-                if not early:  # its calls were broken, as after any SIGKILL
+                if not early:  # its calls were broken off, as after any SIGKILL
                     assert (await receiver.next()).id == "m1"
                 await soon(old.wait())
                 assert new.returncode is None
@@ -233,7 +233,7 @@
     handover = handover_from({"state": {"version": VERSION + 1}}, {"lines": ["x"]}, {"new": 1}, lock=lock)
     lock.close()
     assert handover.state is None and handover.lines == [] and handover.listener is not None
-    assert Lock.take(tmp_path) is None  # it came along
+    assert Lock.take(tmp_path) is None  # the lock was handed over
     handover.drop()
     assert Lock.take(tmp_path) is not None
 
@@ -246,7 +246,7 @@
     channel.send({"state": {"version": VERSION}})
     channel.send_lock(lock)
     lock.close()
-    channel.close()  # the owner died before the last frame
+    channel.close()  # the owner ended before the last frame
     handover = HandoverState(channel=Channel(ours))
     with pytest.raises(ConnectionError):
         handover.receive()
@@ -266,7 +266,7 @@
 
 
 class Handing(Sending):
-    """A sender whose call of m1 is out, and the channel of its successor."""
+    """A sender with a call of m1 in flight, and the channel to its successor."""
 
     async def __aenter__(self) -> "Handing":
         await super().__aenter__()
@@ -289,8 +289,8 @@
 
 @play
 async def test_a_call_that_is_handed_over_is_held_by_one_process(tmp_path: Path) -> None:
-    """Guards against a second copy: a connection that this process still held would outlast its successor's
-    giving the call up."""
+    """If this process kept the connection open, the receiver would not see the successor give the call up,
+    and would get a second copy."""
     async with Handing(tmp_path) as world:
         world.hand_over()
         assert world.out.fileno() == -1
@@ -306,11 +306,11 @@
 async def test_a_call_that_is_given_up_has_ended_before_its_message_is_handed_over(tmp_path: Path) -> None:
     async with Handing(tmp_path) as world:
         ((key, task),) = world.sender.calls.items()
-        task.cancel()  # called off, and not at its end yet
+        task.cancel()  # cancelled, but not finished yet
         with pytest.raises(BlockingIOError):
             world.out.recv(1, socket.MSG_PEEK)
         world.hand_over()
-        assert world.out.recv(1, socket.MSG_PEEK) == b""  # no turn of the loop has passed
+        assert world.out.recv(1, socket.MSG_PEEK) == b""  # before another turn of the loop
         assert world.successor.calls == [] and key == ("m1", 0)
         assert b'"outcome":"cancelled"' in b"".join(world.successor.lines)
         await soon(world.receiver.ends.get())
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""What was taken on outlives the process: replay, torn records, room."""
+"""The journal: replay after a process ended, incomplete records, and the size limit."""
 
 from pathlib import Path
 
@@ -25,7 +25,7 @@
     first.record_sent("a", 1, Attempt(6, "s", "y"))
     first.record_sent("c", 0, Attempt(7, "r", "z"))
     first.record_ended("b")
-    # No close: a process that is killed does none.
+    # Not closed, as a killed process would not close it either.
     second = Journal(tmp_path, LIMIT)
     assert list(second.entries) == ["a", "c"]
     assert second.entries["a"].message == handed_in("a", body=bytes(range(256)), until=7)
@@ -44,7 +44,7 @@
     file.write_bytes(file.read_bytes()[:-cut])
     second = Journal(tmp_path, LIMIT)
     assert list(second.entries) == ["a"] and "dropped" in caplog.text
-    # What is written next stands on a line of its own.
+    # The next record starts on a line of its own.
     second.record_taken(handed_in("c"))
     assert list(Journal(tmp_path, LIMIT).entries) == ["a", "c"]
 
@@ -110,7 +110,7 @@
     for each in taken:
         for number in range(6):
             assert journal.record_sent(f"m{each}", number, Attempt(1, "r", "z"))
-    assert not journal.compact()  # nothing of it is over: no work for each message that is refused
+    assert not journal.compact()  # nothing has ended, so a refused message costs no compaction
     for each in taken[:-1]:
         journal.record_ended(f"m{each}")
     assert journal.record_taken(handed_in("later", body=b"x" * 5000))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as the platform starts it: SIGKILL, SIGTERM, and a bad configuration."""
+"""The sender's process as it is started in production: SIGKILL, SIGTERM, and an invalid configuration."""
 
 import asyncio
 import json
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -1,4 +1,4 @@
-"""The whole sender in this process, between a scripted receiver and platform."""
+"""The complete sender in the test's process, between a scripted receiver and discovery service."""
 
 import asyncio
 import json
@@ -32,13 +32,13 @@
 from message_sender.net.journal import Attempt, Journal
 from message_sender.net.sender import CLOSE_DELAY, Sender
 
-GONE = {"X_Route_To": "dest=9"}  # no endpoint: held until its time is up
-SHORT_S = 4.0  # left of a message that is to end in a test: far more than this process may stall
+GONE = {"X_Route_To": "dest=9"}  # no usable endpoint: queued until its time is up
+SHORT_S = 4.0  # s left of a message that must expire in a test: more than this process may stall
 SHORT = {"X_Time_Left": f"{SHORT_S}"}
 
 
 def pass_time(world: World, seconds: float) -> None:
-    """Both clocks of the sender go on, as if its process had stood still for so long: timers are due."""
+    """Advances both clocks of the sender, as if its process had stalled for so long."""
     loop = asyncio.get_running_loop()
     steady = loop.time
     loop.time = lambda: steady() + seconds  # type: ignore[method-assign]
@@ -46,13 +46,13 @@
 
 
 async def answer_notices(platform: Peer) -> None:
-    """Those too that follow where the sender, in a process that stalls, had no answer to one in time."""
+    """Answers all notices, including repeated ones: a stalled process may miss the first answer."""
     while True:
         (await platform.requests.get()).answer(204)
 
 
 def journalled(state: Path) -> list[str]:
-    """What a start now would find; read from a copy, so that the sender's own file is left alone."""
+    """The messages that a start now would recover, read from a copy of the journal."""
     copy = state / "copy"
     copy.mkdir(exist_ok=True)
     (copy / "journal").write_bytes((state / "journal").read_bytes())
@@ -67,7 +67,7 @@
         assert (await world.hand_in("m1")).status == 202
         request = await world.receiver.next()
         assert request.id == "m1" and journalled(state) == ["m1"]
-        assert (await world.hand_in("m1")).status == 202  # the same hand-in again is not a second message
+        assert (await world.hand_in("m1")).status == 202  # a repeated request is not a second message
         request.answer(200)
         while world.sender.journal.entries:
             await asyncio.sleep(0.001)
@@ -126,7 +126,7 @@
 async def test_a_client_that_closed_before_its_answer_withdraws_its_message(state: Path) -> None:
     async with World(state) as world:
         turn, closed = world.sender.turn, asyncio.Event()
-        world.sender.turn = lambda: None  # the loop is late: the turn does not come
+        world.sender.turn = lambda: None  # the loop is late: the turn does not run
         _, writer = await asyncio.open_connection(*world.running.address)
         writer.write(message("m1"))
         while not world.sender.pending:
@@ -185,7 +185,7 @@
             await asyncio.sleep(0.001)
         await world.hand_in("m2", **SHORT)
         pass_time(world, SHORT_S)
-        # m2 ends by its time without a call, and m1 is held.
+        # m2 expires without a call, and m1 stays queued.
         assert json.loads((await world.platform.next()).body)["id"] == "m2"
         assert world.receiver.requests.empty() and list(world.sender.dispatcher.messages) == ["m1"]
 
@@ -268,8 +268,8 @@
 
 @play
 async def test_nothing_goes_by_an_old_list_before_the_agent_s_is_heard(state: Path) -> None:
-    """What the agent holds counts as told from a process's first moment. The list comes once all that the
-    sender does before it has been done."""
+    """A list at the agent counts as known from the process's start. It arrives last, after everything that
+    the sender does before."""
     async with World(state) as world, Peer() as other:
         await world.hand_in("m1")
         (await world.receiver.next()).break_off()
@@ -286,7 +286,7 @@
             assert world.receiver.requests.empty()
             assert (await soon(world.platform.watches.get())).target.endswith(
                 "after=41"
-            )  # of the start before
+            )  # from the first process
             assert (await soon(world.platform.watches.get())).target.endswith("after=43")
 
 
@@ -357,7 +357,7 @@
 
 @play
 async def test_a_request_read_as_the_process_ends_is_taken_on_and_answered(state: Path) -> None:
-    """The end comes as the last byte is read, before the turn that answers."""
+    """The process is stopped as the last byte is read, before the turn that responds."""
     async with World(state) as world:
         take = world.sender.receive_message
 
@@ -377,7 +377,7 @@
         reader, writer = await asyncio.open_connection(*world.running.address)
         writer.write(READY)
         assert (await read_reply(reader)).status == 200
-        writer.write(message("m1"))  # goes at once: it is there before the loop polls again
+        writer.write(message("m1"))  # is sent at once, so it has arrived before the loop polls again
         world.sender.stop(0)
         reply = await read_reply(reader)
         assert reply.status == 202
@@ -387,7 +387,8 @@
 
 @play
 async def test_clients_that_have_come_as_the_listener_closes_are_answered(state: Path) -> None:
-    """One has connected and asked, one only connected, one asks on a connection of before: all unread."""
+    """One client has connected and sent a request, one has only connected, one sends a request on an older
+    connection; all of it is unread."""
     async with World(state) as world:
         old = await asyncio.open_connection(*world.running.address)
         old[1].write(message("m1", **GONE))
@@ -450,7 +451,7 @@
 
 
 def test_an_outcome_on_record_is_told_to_the_module_after_a_restart(tmp_path: Path) -> None:
-    """Attempts that are proved not to have run bind nothing; the first that may have run does."""
+    """Attempts that certainly did not run are ignored; the first that may have run is restored."""
 
     async def test(state: Path) -> None:
         async with World(state) as world:
@@ -470,7 +471,7 @@
 
 @play
 async def test_failures_before_the_last_served_call_do_not_count_after_a_restart(state: Path) -> None:
-    """What was served is over and off the record: the failures alone would look like an outage."""
+    """A delivered message is no longer in the journal, so the failures alone would look like an outage."""
     async with World(state) as world:
         for name, at, outcome in (("m1", 1000, Outcome.RESET), ("m2", 1001, Outcome.OK)):
             await world.hand_in(name, **GONE)
@@ -487,7 +488,7 @@
 
 @play
 async def test_an_id_that_is_over_is_not_a_new_message(state: Path) -> None:
-    """Guards against a second effect by the same hand-in once more, as by one whose answer was lost."""
+    """A repeated request, as from a client that lost the response, must not take effect twice."""
     async with World(state) as world:
         await world.hand_in("m1")
         (await world.receiver.next()).answer(200)
@@ -507,7 +508,8 @@
 
 @play
 async def test_no_timer_outlives_an_earlier_one(state: Path) -> None:
-    """Guards a process that lasts: the module asks for ever earlier times and unsets none."""
+    """The module requests ever earlier wake-ups and cancels none, so timers would pile up in a long-running
+    process."""
     async with World(state) as world:
         asked = [module.face.WakeAfter(each * 1_000_000) for each in (50, 40, 30)]
         timers = []
@@ -526,8 +528,8 @@
 
 @pytest.mark.parametrize("over", [False, True])
 def test_an_id_that_another_message_has_is_not_taken_for_it(tmp_path: Path, over: bool) -> None:
-    """Guards against one client's use of another one's id: seen as an order broken, the second of a key sent
-    while the first, answered 202 for what somebody else had handed in, was in no line."""
+    """A client may use another client's id. If its message gets 202 without being accepted, the next one with
+    its key does not wait for it, and their order breaks."""
 
     async def test(state: Path) -> None:
         async with World(state, **KEYED) as world:
--- a/tests/test_sender_drain.py
+++ b/tests/test_sender_drain.py
@@ -1,5 +1,5 @@
-"""The message sender's process while it leaves: by SIGTERM, by handing over, and by both at once, with
-clients that use their connections until it is gone."""
+"""Stopping the sender's process by SIGTERM, by a handover, and by both at once, with clients that use their
+connections until it ends."""
 
 import asyncio
 import json
@@ -21,11 +21,11 @@
 
 CLIENTS = 8
 READY_LINE = rb"ready on (\S+):(\d+)"
-LOSS_SLACK_S = 0.2  # by which a request may cross the close of its connection
+LOSS_SLACK_S = 0.2  # s by which a request may cross the close of its connection
 
 
 class Receiver(Peer):
-    """An endpoint that takes every message after a moment."""
+    """An endpoint that accepts every message after a short delay."""
 
     def __init__(self, chance: random.Random) -> None:
         super().__init__()
@@ -39,7 +39,8 @@
 
 
 class Notified(Platform):
-    """Discovery that answers notices: `told` are the messages whose end was told of, other than delivered."""
+    """A discovery service that answers notices; `told` has the messages reported as ended other than by
+    delivery."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -55,17 +56,17 @@
 
 @dataclass(slots=True)
 class HandIn:
-    """One message that a client handed in. Times are steady s."""
+    """A message that a client sent. Times are s of the monotonic clock."""
 
     id: str
     sent: float = 0.0
     ended: float = 0.0
-    status: int = 0  # 0: the connection ended first
+    status: int = 0  # 0: the connection closed first
 
 
 @dataclass(slots=True)
 class KeptClient:
-    """Hands message after message in on the same connection, and takes a new one where that ends."""
+    """Sends messages on one connection, and opens a new one when it closes."""
 
     number: int
     address: Any
@@ -89,7 +90,7 @@
                 writer.close()
 
     async def hand_in(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Whether the connection stands."""
+        """Sends a message; returns whether the connection stays open."""
         one = HandIn(f"m{self.number}-{len(self.handed_in)}")
         data = message(one.id)
         cut = self.chance.choice([len(data), len(data), len(data) - 1])
@@ -112,7 +113,7 @@
 
 
 def lost(clients: list[KeptClient]) -> list[HandIn]:
-    """Whole requests that ended without an answer, other than by crossing the close."""
+    """Complete requests without a response, except those that crossed the close of their connection."""
     return [
         each
         for client in clients
@@ -122,17 +123,17 @@
 
 
 class Scene:
-    """Clients, an endpoint, and processes of one sender that follow one another."""
+    """Clients, an endpoint, and successive processes of one sender."""
 
     def __init__(self, seed: int, state: Path, receiver: Receiver, platform: Notified) -> None:
         self.chance, self.state = random.Random(seed), state
         self.receiver, self.platform = receiver, platform
         self.told = config_json(platform, host(receiver.dial))
-        self.gone = asyncio.Event()  # clients end
+        self.gone = asyncio.Event()  # stops the clients
         self.clients: list[KeptClient] = []
 
     async def begin(self, address: Any) -> None:  # noqa: ANN401
-        """Clients hand messages in from now on."""
+        """Starts the clients."""
         self.clients = [KeptClient(n, address, self.chance, self.gone) for n in range(CLIENTS)]
         self.tasks = [asyncio.ensure_future(each.run()) for each in self.clients]
         await asyncio.sleep(0.5)
@@ -142,7 +143,8 @@
         return await start(self.told, self.state)
 
     async def check(self) -> None:
-        """Nothing that was read is unanswered, and what was taken on comes to its end."""
+        """Checks that every request was answered, and that every accepted message was delivered or reported
+        as ended."""
         self.gone.set()
         await soon(asyncio.gather(*self.tasks))
         assert lost(self.clients) == []
@@ -185,8 +187,8 @@
 
 
 async def catches_sigterm(process: asyncio.subprocess.Process) -> None:
-    """Returns once the process has a handler of SIGTERM: before that the interpreter is still starting, which
-    takes a busy machine longer than any time that a test could sleep."""
+    """Returns once the process handles SIGTERM. Before that the interpreter is still starting, for an
+    unbounded time on a busy machine."""
     status = Path(f"/proc/{process.pid}/status")
     async with asyncio.timeout(10):
         while True:
@@ -199,7 +201,7 @@
 async def leave_while_the_successor_is_told_to_end(
     scene: Scene, process: asyncio.subprocess.Process
 ) -> asyncio.subprocess.Process:
-    """The successor gets SIGTERM as it starts or takes over; it ends in order, whatever it has by then."""
+    """The successor gets SIGTERM while it starts or takes over, and must exit cleanly at any point."""
     first = await scene.successor()
     await catches_sigterm(first)
     await asyncio.sleep(scene.chance.uniform(0.0, 0.2))
@@ -236,7 +238,7 @@
 def test_a_sender_can_be_told_to_end_before_anything_is_handed_over_to_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It ends in order while it still waits for its folder."""
+    """It exits cleanly while it waits for the state folder."""
 
     async def scene() -> int:
         loop = asyncio.get_running_loop()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Clients in: what is read, and what is turned away without harm."""
+"""The HTTP server for clients: valid requests, and rejection of invalid ones."""
 
 import asyncio
 import errno
@@ -55,13 +55,13 @@
         assert (await raw(server, data)).status == 202
         until = taken[0].until
         assert taken == [HandedIn("é1", "c", 3, until, "acme", "k", "key of é1", True, body)]
-        assert NOW - 5_000_000 < until <= NOW + 480_000 - TRANSIT_ALLOWANCE  # a late loop takes some off
+        assert NOW - 5_000_000 < until <= NOW + 480_000 - TRANSIT_ALLOWANCE  # a late loop takes some time off
 
 
 @play
 async def test_the_time_that_a_message_waited_to_be_read_is_not_its_own(_: Path) -> None:
-    """Seen on the large fleet: a sender just started read messages 0.3 s after they were sent, and ended them
-    that much too late."""
+    """A sender that had just started read messages 0.3 s after they were sent, and ended them that much too
+    late."""
     async with serving() as (server, taken):
         for _turn in range(5):
             await asyncio.sleep(0)
@@ -174,7 +174,7 @@
 
 
 class Held:
-    """A connection that a test keeps."""
+    """A client connection that the test keeps open."""
 
     @classmethod
     async def open(cls, server: Server, data: bytes = b"") -> "Held":
@@ -194,7 +194,7 @@
 
 @play
 async def test_silent_and_idle_connections_make_room_for_those_that_ask(_: Path) -> None:
-    """Guards usual clients against some that connect by hundreds and say nothing."""
+    """Hundreds of silent connections must not keep ordinary clients out."""
     async with serving(most=3) as (server, taken):
         usual = await Held.open(server, message("a"))
         assert (await read_reply(usual.reader)).status == 202
@@ -212,7 +212,7 @@
 
 @play
 async def test_a_crowd_that_asks_for_readiness_pushes_out_its_own_and_nobody_who_just_came(_: Path) -> None:
-    """Seen as an incident: with the room full, each new connection was closed before its request had come."""
+    """At the connection limit, each new connection was closed before its request had arrived."""
     async with serving(most=4) as (server, _taken):
         usual = await Held.open(server, message("a"))
         assert (await read_reply(usual.reader)).status == 202
@@ -230,8 +230,8 @@
 
 @play
 async def test_one_who_has_just_come_is_not_closed_for_those_between_requests(_: Path) -> None:
-    """Seen as an incident: with the room full of kept connections, each new one was closed before its request
-    had come, and its client tried again and again."""
+    """At the connection limit with idle connections only, each new one was closed before its request had
+    arrived, and its client retried again and again."""
     async with serving(most=4) as (server, taken):
         kept = [await Held.open(server, message(name)) for name in "abcd"]
         for each in kept:
@@ -253,7 +253,7 @@
         while server.silent or not server.connections:
             await asyncio.sleep(0)
         (connection,) = server.connections
-        connection.last_received += 100  # it goes on writing, however slow the test is
+        connection.last_received += 100  # it counts as still sending, however slow the test is
         assert (await raw(server, b"")).status == 503
         server.lingering = -1
         assert await (await Held.open(server, b"x")).ended() == b""
@@ -290,7 +290,7 @@
 @play
 async def test_a_whole_request_that_waits_to_be_read_is_never_pushed_out(_: Path) -> None:
     async with serving(most=1) as (server, taken):
-        server.read_queued = lambda: None  # too much else is to be read
+        server.read_queued = lambda: None  # the queue is too long to be read now
         held = await Held.open(server, message("a"))
         while not server.partial:
             await asyncio.sleep(0)
@@ -324,12 +324,12 @@
         server.listener = Short()  # type: ignore[assignment]
         server.loop.add_reader(listener, server.accept)
         assert (await raw(server, message("b"))).status == 202
-        assert await idle.ended() == b""  # what served nobody made room
+        assert await idle.ended() == b""  # the idle connection was closed to make room
 
 
 @play
 async def test_connections_that_never_finish_or_never_come_back_are_closed(_: Path) -> None:
-    """A request that drips in has its time from connecting: each drop does not give it more."""
+    """A request that arrives slowly has its time limit from connecting; further bytes do not extend it."""
     async with serving() as (server, _taken):
         half = await Held.open(server, message("m")[:30])
         silent = await Held.open(server)
@@ -388,7 +388,7 @@
 @play
 async def test_requests_by_the_hundred_are_not_read_before_their_turn(_: Path) -> None:
     async with serving() as (server, _taken):
-        server.on_message = lambda *_: None  # the answer is still pending
+        server.on_message = lambda *_: None  # the response is still pending
         held = await Held.open(server, message("m"))
         while not any(each.answering for each in server.connections):
             await asyncio.sleep(0)
@@ -406,7 +406,8 @@
 
 @play
 async def test_a_flood_is_read_for_a_part_of_each_turn_and_proven_clients_first(_: Path) -> None:
-    """Guards what receivers say from a loop busy with bad requests: seen as a told wait not heeded."""
+    """Bad requests that kept the loop busy delayed the responses of receivers, and a Retry-After came too
+    late."""
     async with serving(most=40) as (server, taken):
         usual = await Held.open(server, message("a"))
         assert (await read_reply(usual.reader)).status == 202
@@ -416,7 +417,7 @@
         while sum(map(len, server.read_queues)) < 11:
             await asyncio.sleep(0)
         server.read_queued, clock = read_queued, server.loop.time  # type: ignore[method-assign]
-        server.loop.time = lambda: clock() + len(taken)  # type: ignore[method-assign]  # each takes a second
+        server.loop.time = lambda: clock() + len(taken)  # type: ignore[method-assign]  # one second each
         read_queued()
         assert [each.id for each in taken] == ["a", "b"]
         server.loop.time = clock  # type: ignore[method-assign]
