--- a/message_sender/net/handover.py
+++ b/message_sender/net/handover.py
@@ -1,8 +1,8 @@
 """Ownership of the state folder, and its handover from one process to its successor.
 
 The owner holds a lock on the folder, which the operating system releases when the process ends, and listens
-for its successor on an abstract socket, which leaves no file behind. The handover takes place within one turn
-of the owner's loop, as JSON frames, many with a file descriptor. The last frame marks the end.
+on an abstract socket, which leaves no file behind. The handover runs in one turn of the owner's loop as JSON
+frames, many with a file descriptor; the last one marks the end.
 """
 
 import asyncio
--- a/message_sender/net/journal.py
+++ b/message_sender/net/journal.py
@@ -89,7 +89,7 @@
         self.folder, self.limit, self.reserved_bytes = folder, limit, limit // SPARE_DIVISOR
         self.entries: dict[str, Entry] = {}
         #: By destination, the start of the newest delivered call: failures before it no longer count. Needed
-        #: since only failed messages are unfinished and so still in the file.
+        #: since delivered messages leave the file and only failed ones stay.
         self.served: dict[int, int] = {}
         self.size = self.live_bytes = 0  # bytes of the file, and of the records of unfinished messages
         self.served_bytes = 0  # bytes of the other records that the last compaction wrote
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(("status", "headers", "answer"), ANSWERS)
-def test_what_an_answer_means(status: str, headers: tuple[str, ...], answer: Answer) -> None:
+def test_each_response_maps_to_its_outcome(status: str, headers: tuple[str, ...], answer: Answer) -> None:
     async def test(_: Path) -> None:
         async with client_and_receiver() as (client, receiver):
             going = call(client, receiver.address)
@@ -64,7 +64,7 @@
 
 
 @play
-async def test_id_key_and_body_go_on_unchanged_with_the_time_left(_: Path) -> None:
+async def test_id_key_and_body_are_forwarded_unchanged_with_the_time_left(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         body = bytes(range(256)) * 200
         going = call(client, receiver.address, body=body)
@@ -83,7 +83,7 @@
     assert (await soon(call(client_with(), address))).outcome is Outcome.CONNECT_FAILED
 
 
-def test_connection_that_never_comes_up_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connect_timeout_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     async def never(address: Address) -> Connection:
         await asyncio.Event().wait()
         raise AssertionError
@@ -126,7 +126,7 @@
 
 
 @play
-async def test_break_after_the_last_byte_is_a_reset_and_nothing_goes_twice(_: Path) -> None:
+async def test_break_after_the_last_byte_is_a_reset_without_a_retry(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address)
         (await receiver.next()).break_off()
@@ -158,7 +158,7 @@
 
 
 @pytest.mark.parametrize(("text", "answer"), SPOILT)
-def test_a_spoilt_answer_has_its_outcome_at_once_and_its_connection_ends(text: str, answer: Answer) -> None:
+def test_a_malformed_response_is_final_at_once_and_closes_its_connection(text: str, answer: Answer) -> None:
     """The receiver keeps the connection open, so the outcome must follow from the received bytes. Guards
     against waiting for the deadline, and against counting a message that has run as one that has not."""
 
@@ -174,7 +174,7 @@
     play(test)(Path())
 
 
-def test_what_does_not_end_is_given_up_long_before_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_response_times_out_long_before_the_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(_: Path) -> None:
         async with client_and_receiver() as (client, receiver):
             for text, answer in (
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("behind", [head("200 OK", "Content-Length: 0"), "noise"])
-def test_what_comes_behind_an_answer_is_not_the_next_calls_answer(behind: str) -> None:
+def test_bytes_behind_a_response_do_not_answer_the_next_call(behind: str) -> None:
     """Bytes behind a response must not count as the response to the next call. That ended the next message
     while its call was in flight, with duplicates, broken order and lost messages."""
 
@@ -210,7 +210,7 @@
 
 
 @play
-async def test_interim_answers_and_unreadable_load_reports_do_no_harm(_: Path) -> None:
+async def test_interim_responses_and_malformed_load_reports_are_ignored(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         for _n in range(2):
             going = call(client, receiver.address)
@@ -222,7 +222,7 @@
 
 
 @play
-async def test_the_outcome_does_not_wait_for_the_body_and_the_connection_is_kept_after_it(_: Path) -> None:
+async def test_the_outcome_does_not_wait_for_the_body_but_the_pool_does(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address)
         request = await receiver.next()
@@ -234,7 +234,7 @@
 
 
 @play
-async def test_a_connection_cut_short_is_a_reset(_: Path) -> None:
+async def test_a_connection_closed_before_the_response_is_a_reset(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address)
         (await receiver.next()).writer.close()
@@ -242,18 +242,18 @@
 
 
 @pytest.mark.parametrize("told", ["1e308", "1_0", "inf", "nan", "-1", "٣", "9" * 400])
-def test_a_wait_that_is_no_plain_number_is_none(told: str) -> None:
+def test_a_malformed_retry_after_is_ignored(told: str) -> None:
     response = h11.Response(status_code=429, headers=[("Retry-After", told.encode())])
     assert answer_from(response) == Answer(Outcome.FULL)
 
 
-def test_a_wait_longer_than_any_message_lives_is_cut() -> None:
+def test_a_retry_after_is_limited() -> None:
     response = h11.Response(status_code=429, headers=[("Retry-After", "999999999999")])
     assert answer_from(response) == Answer(Outcome.FULL, wait=3_600_000_000)
 
 
 @play
-async def test_an_address_used_again_gets_none_of_the_connections_of_the_one_before(_: Path) -> None:
+async def test_a_reused_address_gets_no_connection_of_the_previous_endpoint(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address)
         (await receiver.next()).answer(200)
@@ -287,7 +287,7 @@
 
 
 @play
-async def test_an_answer_whose_body_breaks_off_stands(_: Path) -> None:
+async def test_a_200_counts_although_its_body_breaks_off(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address)
         request = await receiver.next()
@@ -298,7 +298,7 @@
 
 
 @play
-async def test_time_out_closes_the_connection(_: Path) -> None:
+async def test_timeout_closes_the_connection(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address, timeout=0.05)
         await receiver.next()
@@ -321,7 +321,7 @@
 
 
 @play
-async def test_what_is_kept_beside_a_call_given_up_is_not_used_again(_: Path) -> None:
+async def test_idle_connections_are_closed_when_a_call_is_given_up(_: Path) -> None:
     """A retry must not use another idle connection that may have gone dead with the first one."""
     async with client_and_receiver() as (client, receiver):
         both = [call(client, receiver.address) for _n in range(2)]
@@ -347,7 +347,7 @@
 
 
 @play
-async def test_state_is_looked_at_once_more_as_the_first_byte_goes(_: Path) -> None:
+async def test_permission_is_checked_again_before_the_first_byte(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         answer = await soon(call(client, receiver.address, may_go=False))
         assert answer == Answer(Outcome.NOT_SENT) and receiver.requests.empty()
@@ -357,7 +357,7 @@
 
 
 @play
-async def test_a_connection_is_used_again_until_it_ends_or_is_old(_: Path) -> None:
+async def test_a_connection_is_reused_until_it_closes_or_expires(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         for accepted, spoil in ((1, ""), (1, "ended"), (2, "old"), (3, "close")):
             going = call(client, receiver.address)
@@ -377,7 +377,7 @@
 
 
 @play
-async def test_a_kept_connection_that_breaks_is_told_from_a_new_one_and_takes_the_others_with_it(
+async def test_a_stale_connection_differs_from_a_reset_and_closes_the_others(
     _: Path,
 ) -> None:
     """A stale connection must not count against the destination, and the retry must not use the next stale
@@ -416,7 +416,7 @@
 
 
 @play
-async def test_what_may_go_only_once_takes_no_connection_that_is_likely_to_break(_: Path) -> None:
+async def test_an_at_most_once_message_avoids_connections_likely_to_break(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address)
         (await receiver.next()).answer(200)
@@ -435,7 +435,7 @@
 
 
 @play
-async def test_a_told_wait_is_heard_before_the_rest_of_its_answer(_: Path) -> None:
+async def test_a_retry_after_applies_before_the_rest_of_its_response(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         heard: asyncio.Queue[tuple[str, int]] = asyncio.Queue()
         client.on_wait = lambda *told: heard.put_nowait(told)
@@ -446,7 +446,7 @@
 
 
 @play
-async def test_an_answer_in_pieces_is_a_delivery_at_its_first_line_and_keeps_its_connection(_: Path) -> None:
+async def test_a_200_in_pieces_is_a_delivery_at_its_status_line_and_keeps_its_connection(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address)
         request = await receiver.next()
@@ -465,7 +465,7 @@
 
 
 @play
-async def test_the_rest_of_an_answer_that_never_comes_costs_its_connection_alone(_: Path) -> None:
+async def test_a_200_whose_rest_never_comes_only_closes_its_connection(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address)
         (await receiver.next()).write("HTTP/1.1 200 It\r\n")
@@ -475,7 +475,7 @@
 
 
 @play
-async def test_a_new_connection_that_is_turned_away_and_closed_is_told_from_a_limit(_: Path) -> None:
+async def test_a_refused_new_connection_differs_from_a_full_receiver(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address)
         (await receiver.next()).answer(503, "Connection: close")
@@ -492,7 +492,7 @@
 
 
 @play
-async def test_an_error_in_pieces_ends_with_its_connection_before_its_message_may_go_again(_: Path) -> None:
+async def test_an_incomplete_error_closes_its_connection_before_a_retry(_: Path) -> None:
     async with client_and_receiver() as (client, receiver):
         going = call(client, receiver.address)
         (await receiver.next()).write("HTTP/1.1 500 It\r\nContent-Length: 5\r\n\r\nhe")
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
 from message_sender.net.handover import HANDOVER_REQUEST, VERSION, Channel, HandoverState, Lock, address_of
 from message_sender.rules import Dispatcher
 
-ONCE = {"semantics": "once"}
+AT_MOST_ONCE = {"semantics": "once"}
 
 
 @asynccontextmanager
@@ -37,7 +37,7 @@
 
 @play
 async def test_a_call_that_is_out_is_answered_to_the_new_process(tmp_path: Path) -> None:
-    async with first(tmp_path, **ONCE) as (receiver, platform, old, address, told, state):
+    async with first(tmp_path, **AT_MOST_ONCE) as (receiver, platform, old, address, told, state):
         reader, writer = await asyncio.open_connection(*address)
         writer.write(message("m1"))
         assert (await read_reply(reader)).status == 202
@@ -87,7 +87,7 @@
 
 
 @play
-async def test_told_waits_and_slots_are_the_whole_senders(tmp_path: Path) -> None:
+async def test_a_retry_after_is_handed_over(tmp_path: Path) -> None:
     async with first(tmp_path) as (receiver, _, old, address, told, state):
         assert (await ask(address, message("m1"))).status == 202
         refused = await receiver.next()
@@ -101,7 +101,7 @@
 
 
 @play
-async def test_the_old_process_starts_again_when_its_successor_is_gone(tmp_path: Path) -> None:
+async def test_the_old_process_starts_again_when_its_successor_ends(tmp_path: Path) -> None:
     async with first(tmp_path) as (receiver, _, old, address, told, state):
         assert (await ask(address, message("m1"))).status == 202
         await receiver.next()
@@ -144,7 +144,7 @@
 
 
 @play
-async def test_strangers_at_the_door_change_nothing(tmp_path: Path) -> None:
+async def test_invalid_handover_requests_are_ignored(tmp_path: Path) -> None:
     async with first(tmp_path) as (_, __, old, address, ___, state):
         for data in (b"", b"who is there?\n", HANDOVER_REQUEST[:-1]):
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as stranger:
@@ -156,7 +156,7 @@
         assert (await ask(address, message("m1"))).status == 202 and old.returncode is None
 
 
-def test_the_lock_is_one_processs_and_goes_with_its_descriptor(tmp_path: Path) -> None:
+def test_the_lock_has_one_owner_and_follows_its_descriptor(tmp_path: Path) -> None:
     lock = Lock.take(tmp_path)
     assert lock is not None and Lock.take(tmp_path) is None
     passed = Lock(os.dup(lock.descriptor))
@@ -178,7 +178,7 @@
     return face.MessageRestored(face.MessageTaken(name, kind, 1, 20 * SECOND), attempts, None, "", held=held)
 
 
-def test_the_module_goes_on_with_a_call_that_is_out() -> None:
+def test_the_module_continues_with_a_call_in_flight() -> None:
     world = World(max_attempts=1)
     world.take("once")
     successor, actions = taken_over(world, restored("m1"))
@@ -188,7 +188,7 @@
     assert not successor.out and successor.breakers[1, ""].failures == 1
 
 
-def test_the_module_remembers_open_breakers_and_told_waits() -> None:
+def test_the_module_restores_open_breakers_and_waits() -> None:
     world = World()
     world.open_breaker()
     successor, actions = taken_over(world, restored("x", "safe", 0, held=True))
@@ -201,7 +201,7 @@
     assert sent(successor.handle(world.now + 4 * SECOND, []))
 
 
-def test_the_module_counts_no_call_twice_against_the_slots() -> None:
+def test_a_restored_call_uses_one_slot() -> None:
     world = World(slots=2)
     world.take()
     world.take()
@@ -227,7 +227,7 @@
     return handover
 
 
-def test_another_versions_state_leaves_the_lock_and_the_listener(tmp_path: Path) -> None:
+def test_incompatible_state_leaves_the_lock_and_the_listener(tmp_path: Path) -> None:
     lock = Lock.take(tmp_path)
     assert lock is not None
     handover = handover_from({"state": {"version": VERSION + 1}}, {"lines": ["x"]}, {"new": 1}, lock=lock)
@@ -238,7 +238,7 @@
     assert Lock.take(tmp_path) is not None
 
 
-def test_a_handover_that_breaks_off_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_an_incomplete_handover_is_dropped(tmp_path: Path) -> None:
     lock = Lock.take(tmp_path)
     assert lock is not None
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -254,7 +254,7 @@
 
 
 @play
-async def test_what_has_been_handed_over_is_not_reloaded(tmp_path: Path) -> None:
+async def test_a_sender_that_has_handed_over_ignores_a_reload(tmp_path: Path) -> None:
     async with Sending(tmp_path) as world:
         moved = replace(world.sender.config, discovery=("127.0.0.1", 9))
         world.sender.handed_over = True
@@ -265,16 +265,16 @@
         assert world.sender.discovery.address == moved.discovery
 
 
-class Handing(Sending):
+class SenderWithCall(Sending):
     """A sender with a call of m1 in flight, and the channel to its successor."""
 
-    async def __aenter__(self) -> "Handing":
+    async def __aenter__(self) -> "SenderWithCall":
         await super().__aenter__()
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
         self.channel, self.successor = Channel(theirs), HandoverState(channel=Channel(ours))
         await self.hand_in("m1")
         self.request = await self.receiver.next()
-        self.out = self.sender.client.in_flight["m1"].connection.sock
+        self.call_socket = self.sender.client.in_flight["m1"].connection.sock
         return self
 
     def hand_over(self) -> None:
@@ -288,12 +288,12 @@
 
 
 @play
-async def test_a_call_that_is_handed_over_is_held_by_one_process(tmp_path: Path) -> None:
+async def test_a_handed_over_call_is_open_in_one_process_only(tmp_path: Path) -> None:
     """If this process kept the connection open, the receiver would not see the successor give the call up,
     and would get a second copy."""
-    async with Handing(tmp_path) as world:
+    async with SenderWithCall(tmp_path) as world:
         world.hand_over()
-        assert world.out.fileno() == -1
+        assert world.call_socket.fileno() == -1
         ((told, sock),) = world.successor.calls
         assert told["message"] == "m1"
         await asyncio.sleep(0)
@@ -303,14 +303,14 @@
 
 
 @play
-async def test_a_call_that_is_given_up_has_ended_before_its_message_is_handed_over(tmp_path: Path) -> None:
-    async with Handing(tmp_path) as world:
+async def test_a_cancelled_call_is_aborted_before_its_message_is_handed_over(tmp_path: Path) -> None:
+    async with SenderWithCall(tmp_path) as world:
         ((key, task),) = world.sender.calls.items()
         task.cancel()  # cancelled, but not finished yet
         with pytest.raises(BlockingIOError):
-            world.out.recv(1, socket.MSG_PEEK)
+            world.call_socket.recv(1, socket.MSG_PEEK)
         world.hand_over()
-        assert world.out.recv(1, socket.MSG_PEEK) == b""  # before another turn of the loop
+        assert world.call_socket.recv(1, socket.MSG_PEEK) == b""  # before another turn of the loop
         assert world.successor.calls == [] and key == ("m1", 0)
         assert b'"outcome":"cancelled"' in b"".join(world.successor.lines)
         await soon(world.receiver.ends.get())
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -16,7 +16,7 @@
     return sum(-(-each.stat().st_size // 512) * 512 for each in folder.iterdir())
 
 
-def test_what_is_owed_is_replayed_in_the_order_taken(tmp_path: Path) -> None:
+def test_unfinished_messages_are_replayed_in_order(tmp_path: Path) -> None:
     first = Journal(tmp_path, LIMIT)
     for name in ("a", "b", "c"):
         assert first.record_taken(handed_in(name, body=bytes(range(256)), until=7))
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 10, 60])
-def test_a_torn_last_record_is_dropped_with_a_log_line(
+def test_an_incomplete_last_record_is_dropped_with_a_log_line(
     tmp_path: Path, cut: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     first = Journal(tmp_path, LIMIT)
@@ -58,7 +58,7 @@
         b"[" * 100_000 + b"\n",
     ],
 )
-def test_a_record_that_cannot_be_read_does_not_take_the_others_with_it(tmp_path: Path, text: bytes) -> None:
+def test_a_malformed_record_does_not_affect_the_others(tmp_path: Path, text: bytes) -> None:
     first = Journal(tmp_path, LIMIT)
     first.record_taken(handed_in("a"))
     with open(tmp_path / module.JOURNAL_FILE, "ab") as file:
@@ -67,7 +67,7 @@
     assert list(Journal(tmp_path, LIMIT).entries) == ["a", "b"]
 
 
-def test_compacting_leaves_out_what_is_over(tmp_path: Path) -> None:
+def test_compaction_drops_finished_messages(tmp_path: Path) -> None:
     journal = Journal(tmp_path, 400_000)
     journal.record_taken(handed_in("kept", body=b"k" * 100))
     journal.record_sent("kept", 0, Attempt(5, "r", "z"))
@@ -81,7 +81,7 @@
     assert replayed["kept"].attempts[0].outcome is Outcome.FULL
 
 
-def test_when_a_destination_served_last_outlives_its_messages_and_compacting(tmp_path: Path) -> None:
+def test_the_last_delivery_of_a_destination_survives_compaction(tmp_path: Path) -> None:
     first = Journal(tmp_path, LIMIT)
     for name, at, outcome in (("a", 7, Outcome.OK), ("b", 5, Outcome.OK), ("c", 9, Outcome.RESET)):
         first.record_taken(handed_in(name))
@@ -92,7 +92,7 @@
         assert Journal(tmp_path, LIMIT).served == {3: 7}
 
 
-def test_both_files_stay_under_the_limit_and_more_is_refused(
+def test_both_files_stay_under_the_limit_and_further_messages_are_refused(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     limit, most = 200_000, 0
@@ -118,14 +118,14 @@
     assert 0 < most <= limit and used(tmp_path) <= limit
 
 
-def test_what_a_process_left_that_died_while_compacting_is_cleared(tmp_path: Path) -> None:
+def test_the_file_of_an_interrupted_compaction_is_removed(tmp_path: Path) -> None:
     Journal(tmp_path, LIMIT).record_taken(handed_in("a"))
     (tmp_path / module.COMPACTED_FILE).write_bytes(b"half")
     assert list(Journal(tmp_path, LIMIT).entries) == ["a"]
     assert not (tmp_path / module.COMPACTED_FILE).exists()
 
 
-def test_a_failed_or_short_write_refuses_and_leaves_the_file_whole(
+def test_a_failed_or_short_write_is_refused_and_leaves_the_file_intact(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     journal, write = Journal(tmp_path, LIMIT), module.os.write
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -46,7 +46,7 @@
 
 
 @play
-async def test_sigkill_loses_nothing_that_was_taken_on(tmp_path: Path) -> None:
+async def test_sigkill_loses_no_accepted_message(tmp_path: Path) -> None:
     state = tmp_path / "state"
     state.mkdir()
     async with Peer() as receiver, Platform() as platform:
@@ -70,7 +70,7 @@
 
 
 @play
-async def test_sigterm_ends_the_process_well(tmp_path: Path) -> None:
+async def test_sigterm_ends_the_process_cleanly(tmp_path: Path) -> None:
     state = tmp_path / "state"
     state.mkdir()
     async with Platform() as platform, running(config_json(platform), state) as (process, _):
@@ -92,7 +92,7 @@
         ("[]", "list"),
     ],
 )
-def test_a_bad_configuration_ends_in_one_plain_line(tmp_path: Path, change: Any, words: str) -> None:  # noqa: ANN401
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, change: Any, words: str) -> None:  # noqa: ANN401
     async def test(_: Path) -> None:
         state = tmp_path / "state"
         state.mkdir()
@@ -107,7 +107,7 @@
 
 
 @play
-async def test_a_state_folder_that_is_not_there_ends_in_one_plain_line(tmp_path: Path) -> None:
+async def test_a_missing_state_folder_is_reported_in_one_line(tmp_path: Path) -> None:
     async with Platform() as platform:
         process = await start(config_json(platform), tmp_path / "nowhere")
         _, text = await soon(process.communicate())
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -32,12 +32,12 @@
 from message_sender.net.journal import Attempt, Journal
 from message_sender.net.sender import CLOSE_DELAY, Sender
 
-GONE = {"X_Route_To": "dest=9"}  # no usable endpoint: queued until its time is up
-SHORT_S = 4.0  # s left of a message that must expire in a test: more than this process may stall
-SHORT = {"X_Time_Left": f"{SHORT_S}"}
+NO_ENDPOINT = {"X_Route_To": "dest=9"}  # no usable endpoint: queued until its time is up
+SHORT_TIME_LEFT_S = 4.0  # s left of a message that must expire in a test: more than this process may stall
+SHORT_TIME_LEFT = {"X_Time_Left": f"{SHORT_TIME_LEFT_S}"}
 
 
-def pass_time(world: World, seconds: float) -> None:
+def advance_clocks(world: World, seconds: float) -> None:
     """Advances both clocks of the sender, as if its process had stalled for so long."""
     loop = asyncio.get_running_loop()
     steady = loop.time
@@ -51,7 +51,7 @@
         (await platform.requests.get()).answer(204)
 
 
-def journalled(state: Path) -> list[str]:
+def recoverable_messages(state: Path) -> list[str]:
     """The messages that a start now would recover, read from a copy of the journal."""
     copy = state / "copy"
     copy.mkdir(exist_ok=True)
@@ -62,20 +62,20 @@
 
 
 @play
-async def test_a_message_is_taken_on_sent_and_over(state: Path) -> None:
+async def test_a_message_is_accepted_sent_and_finished(state: Path) -> None:
     async with World(state) as world:
         assert (await world.hand_in("m1")).status == 202
         request = await world.receiver.next()
-        assert request.id == "m1" and journalled(state) == ["m1"]
+        assert request.id == "m1" and recoverable_messages(state) == ["m1"]
         assert (await world.hand_in("m1")).status == 202  # a repeated request is not a second message
         request.answer(200)
         while world.sender.journal.entries:
             await asyncio.sleep(0.001)
-        assert journalled(state) == [] and world.receiver.requests.empty()
+        assert recoverable_messages(state) == [] and world.receiver.requests.empty()
 
 
 @play
-async def test_a_message_is_on_record_before_its_202_and_each_attempt_before_its_bytes(state: Path) -> None:
+async def test_journal_records_precede_the_202_and_each_attempt(state: Path) -> None:
     seen: list[str] = []
     async with World(state) as world:
         journal, client = world.sender.journal, world.sender.client
@@ -94,15 +94,15 @@
 
 
 @play
-async def test_a_refused_message_is_answered_at_once_with_when_to_come_again(state: Path) -> None:
+async def test_a_refused_message_gets_a_retry_after_at_once(state: Path) -> None:
     async with World(state) as world:
         reply = await world.hand_in("late", X_Time_Left="0")
         assert reply.status == 429 and float(reply.headers["retry-after"]) > 0
-        assert journalled(state) == [] and world.platform.requests.empty()
+        assert recoverable_messages(state) == [] and world.platform.requests.empty()
 
 
 @play
-async def test_no_more_than_the_settings_allow_are_held(state: Path) -> None:
+async def test_messages_above_max_open_are_rejected(state: Path) -> None:
     async with World(state) as world:
         world.sender.settings = replace(world.sender.settings, max_open=1)
         assert (await world.hand_in("m1")).status == 202
@@ -111,7 +111,7 @@
 
 
 @play
-async def test_a_full_journal_refuses_and_nothing_is_sent(state: Path) -> None:
+async def test_a_full_journal_rejects_a_message_and_nothing_is_sent(state: Path) -> None:
     async with World(state) as world:
         world.sender.journal.limit = 0
         reply = await world.hand_in("m1")
@@ -119,11 +119,11 @@
         world.sender.journal.limit = 3_000_000
         assert (await world.hand_in("m2")).status == 202
         assert (await world.receiver.next()).id == "m2"
-        assert journalled(state) == ["m2"] and list(world.sender.dispatcher.messages) == ["m2"]
+        assert recoverable_messages(state) == ["m2"] and list(world.sender.dispatcher.messages) == ["m2"]
 
 
 @play
-async def test_a_client_that_closed_before_its_answer_withdraws_its_message(state: Path) -> None:
+async def test_a_client_that_closes_before_its_response_withdraws_its_message(state: Path) -> None:
     async with World(state) as world:
         turn, closed = world.sender.turn, asyncio.Event()
         world.sender.turn = lambda: None  # the loop is late: the turn does not run
@@ -140,33 +140,33 @@
         turn()
         assert (await world.hand_in("m2")).status == 202
         assert (await world.receiver.next()).id == "m2"
-        assert journalled(state) == ["m2"]
+        assert recoverable_messages(state) == ["m2"]
 
 
 @play
 async def test_an_end_is_journalled_when_its_notice_is_answered(state: Path) -> None:
     async with World(state) as world:
-        assert (await world.hand_in("m1", **GONE, **SHORT)).status == 202
+        assert (await world.hand_in("m1", **NO_ENDPOINT, **SHORT_TIME_LEFT)).status == 202
         assert world.platform.requests.empty()
-        pass_time(world, SHORT_S)
+        advance_clocks(world, SHORT_TIME_LEFT_S)
         notice = await world.platform.next()
         told = json.loads(notice.body)
         assert (told["id"], told["state"]) == ("m1", "returned") and told["after_ms"] > 0
-        assert journalled(state) == ["m1"]
+        assert recoverable_messages(state) == ["m1"]
         notice.answer(204)
         answering = asyncio.create_task(answer_notices(world.platform))
         while world.sender.journal.entries:
             await asyncio.sleep(0.001)
         answering.cancel()
-        assert journalled(state) == []
+        assert recoverable_messages(state) == []
 
 
 @play
-async def test_nothing_for_a_key_goes_before_the_notice_of_the_one_before_is_answered(state: Path) -> None:
+async def test_a_key_waits_until_the_notice_of_its_previous_message_is_answered(state: Path) -> None:
     async with World(state, **KEYED) as world:
-        await world.hand_in("m1", X_Session_Key="k", **GONE, **SHORT)
+        await world.hand_in("m1", X_Session_Key="k", **NO_ENDPOINT, **SHORT_TIME_LEFT)
         await world.hand_in("m2", X_Session_Key="k")
-        pass_time(world, SHORT_S)
+        advance_clocks(world, SHORT_TIME_LEFT_S)
         notice = await world.platform.next()
         await world.hand_in("other", X_Session_Key="l")
         assert (await world.receiver.next()).id == "other" and world.receiver.requests.empty()
@@ -177,21 +177,21 @@
 
 
 @play
-async def test_a_told_wait_is_heeded_for_every_message(state: Path) -> None:
+async def test_a_retry_after_applies_to_every_message(state: Path) -> None:
     async with World(state) as world:
         await world.hand_in("m1")
         (await world.receiver.next()).answer(429, "Retry-After: 3600")
         while world.sender.calls:
             await asyncio.sleep(0.001)
-        await world.hand_in("m2", **SHORT)
-        pass_time(world, SHORT_S)
+        await world.hand_in("m2", **SHORT_TIME_LEFT)
+        advance_clocks(world, SHORT_TIME_LEFT_S)
         # m2 expires without a call, and m1 stays queued.
         assert json.loads((await world.platform.next()).body)["id"] == "m2"
         assert world.receiver.requests.empty() and list(world.sender.dispatcher.messages) == ["m1"]
 
 
 @play
-async def test_a_drain_is_kept_from_the_line_that_tells_it(state: Path) -> None:
+async def test_a_drain_applies_as_soon_as_its_line_is_read(state: Path) -> None:
     async with World(state) as world:
         watch = await soon(world.platform.watches.get())
         await world.hand_in("m1")
@@ -199,14 +199,14 @@
         tell(watch, 42, host(world.receiver.dial, health="draining"))
         while world.sender.dispatcher.endpoints:
             await asyncio.sleep(0.001)
-        await world.hand_in("m2", **SHORT)
-        pass_time(world, SHORT_S)
+        await world.hand_in("m2", **SHORT_TIME_LEFT)
+        advance_clocks(world, SHORT_TIME_LEFT_S)
         assert json.loads((await world.platform.next()).body)["id"] == "m2"
         assert world.receiver.requests.empty()
 
 
 @play
-async def test_a_drain_told_while_a_call_connects_stops_it(state: Path) -> None:
+async def test_a_removal_while_a_call_connects_stops_the_call(state: Path) -> None:
     async with World(state) as world:
         watch, client = await soon(world.platform.watches.get()), world.sender.client
         connecting, go_on, connect = asyncio.Event(), asyncio.Event(), client.connect
@@ -228,14 +228,14 @@
 
 
 @play
-async def test_the_list_is_asked_for_though_the_simulator_pushes_it(state: Path) -> None:
+async def test_the_list_is_requested_though_the_simulator_pushes_it(state: Path) -> None:
     async with World(state) as world:
         assert world.told["settings"]["membership_mode"] == "pushed"
         assert (await soon(world.platform.watches.get())).target.endswith("watch=1&after=41")
 
 
 @play
-async def test_the_watch_is_taken_up_again(state: Path) -> None:
+async def test_a_closed_watch_is_reopened(state: Path) -> None:
     async with World(state) as world:
         watch = await soon(world.platform.watches.get())
         tell(watch, 57, host(world.receiver.dial))
@@ -245,7 +245,7 @@
 
 
 @play
-async def test_what_was_taken_on_goes_on_after_a_restart_in_its_order(state: Path) -> None:
+async def test_accepted_messages_continue_in_order_after_a_restart(state: Path) -> None:
     async with World(state, **KEYED) as world:
         await world.hand_in("m1", X_Session_Key="k")
         await world.hand_in("m2", X_Session_Key="k")
@@ -291,7 +291,7 @@
 
 
 @play
-async def test_a_silent_agent_keeps_messages_only_for_a_while(state: Path) -> None:
+async def test_a_silent_agent_delays_messages_only_for_a_while(state: Path) -> None:
     async with World(state) as world:
         await world.hand_in("m1")
         (await world.receiver.next()).break_off()
@@ -304,7 +304,7 @@
 
 
 @play
-async def test_a_once_only_message_that_was_out_is_ended_as_failed_after_a_restart(state: Path) -> None:
+async def test_an_at_most_once_message_in_flight_fails_after_a_restart(state: Path) -> None:
     async with World(state, semantics="once") as world:
         await world.hand_in("m1")
         await world.receiver.next()
@@ -318,9 +318,9 @@
 
 
 @play
-async def test_a_message_whose_time_is_up_is_ended_after_a_restart(state: Path) -> None:
+async def test_an_expired_message_is_ended_after_a_restart(state: Path) -> None:
     async with World(state) as world:
-        await world.hand_in("m1", **GONE)
+        await world.hand_in("m1", **NO_ENDPOINT)
         world.sender.stop(0)
         await world.running.task
         file = state / "journal"
@@ -334,7 +334,7 @@
 
 
 @play
-async def test_sigterm_lets_calls_end_takes_on_what_comes_and_ends(state: Path) -> None:
+async def test_sigterm_finishes_calls_and_accepts_messages_before_the_end(state: Path) -> None:
     async with World(state) as world:
         await world.hand_in("m1")
         request = await world.receiver.next()
@@ -352,27 +352,27 @@
         request.answer(200)
         (await world.receiver.next()).answer(200)
         assert await asyncio.wait_for(world.running.task, PATIENCE) == 0
-        assert journalled(state) == []
+        assert recoverable_messages(state) == []
 
 
 @play
-async def test_a_request_read_as_the_process_ends_is_taken_on_and_answered(state: Path) -> None:
+async def test_a_request_read_as_the_process_ends_is_accepted_and_answered(state: Path) -> None:
     """The process is stopped as the last byte is read, before the turn that responds."""
     async with World(state) as world:
         take = world.sender.receive_message
 
-        def end_and_take(*told: Any) -> None:  # noqa: ANN401
+        def stop_and_receive(*told: Any) -> None:  # noqa: ANN401
             world.sender.stop(0)
             take(*told)
 
-        world.sender.server.on_message = end_and_take
+        world.sender.server.on_message = stop_and_receive
         assert (await world.hand_in("m1")).status == 202
         assert await soon(world.running.task) == 0
-        assert journalled(state) == ["m1"] and world.receiver.requests.empty()
+        assert recoverable_messages(state) == ["m1"] and world.receiver.requests.empty()
 
 
 @play
-async def test_a_request_that_has_come_as_the_process_ends_is_taken_on_and_answered(state: Path) -> None:
+async def test_a_request_unread_as_the_process_ends_is_accepted_and_answered(state: Path) -> None:
     async with World(state) as world:
         reader, writer = await asyncio.open_connection(*world.running.address)
         writer.write(READY)
@@ -382,33 +382,33 @@
         reply = await read_reply(reader)
         assert reply.status == 202
         assert await soon(world.running.task) == 0
-        assert journalled(state) == ["m1"] and world.receiver.requests.empty()
+        assert recoverable_messages(state) == ["m1"] and world.receiver.requests.empty()
 
 
 @play
-async def test_clients_that_have_come_as_the_listener_closes_are_answered(state: Path) -> None:
+async def test_clients_connected_as_the_listener_closes_are_answered(state: Path) -> None:
     """One client has connected and sent a request, one has only connected, one sends a request on an older
     connection; all of it is unread."""
     async with World(state) as world:
         old = await asyncio.open_connection(*world.running.address)
-        old[1].write(message("m1", **GONE))
+        old[1].write(message("m1", **NO_ENDPOINT))
         assert (await read_reply(old[0])).status == 202
         asked, silent = (socket.create_connection(world.running.address) for _ in "ab")
-        asked.sendall(message("m2", **GONE))
-        old[1].write(message("m3", **GONE))
+        asked.sendall(message("m2", **NO_ENDPOINT))
+        old[1].write(message("m3", **NO_ENDPOINT))
         world.sender.terminate()
         world.sender.stop_listening()
         fresh = await asyncio.open_connection(sock=silent)
-        fresh[1].write(message("m4", **GONE))
+        fresh[1].write(message("m4", **NO_ENDPOINT))
         for reader, writer in (old, await asyncio.open_connection(sock=asked), fresh):
             reply = await read_reply(reader)
             assert (reply.status, reply.headers["connection"]) == (202, "close")
             writer.close()
-        assert sorted(journalled(state)) == ["m1", "m2", "m3", "m4"]
+        assert sorted(recoverable_messages(state)) == ["m1", "m2", "m3", "m4"]
 
 
 @play
-async def test_a_message_that_comes_on_two_connections_in_one_turn_is_taken_on_once(state: Path) -> None:
+async def test_a_message_on_two_connections_in_one_turn_is_accepted_once(state: Path) -> None:
     async with World(state) as world:
         clients = [await asyncio.open_connection(*world.running.address) for _ in "ab"]
         turn, world.sender.turn = world.sender.turn, lambda: None  # the loop is late
@@ -426,18 +426,18 @@
 
 
 @play
-async def test_a_stopping_sender_starts_no_call_that_may_not_end(state: Path) -> None:
+async def test_a_stopping_sender_starts_no_call_that_may_not_finish(state: Path) -> None:
     async with World(state) as world:
         world.sender.dispatcher.stops_at = world.sender.now() + 1000
         await world.hand_in("m1")
         await world.hand_in("m2")
         world.sender.stop(0)
         await world.running.task
-        assert world.receiver.requests.empty() and journalled(state) == ["m1", "m2"]
+        assert world.receiver.requests.empty() and recoverable_messages(state) == ["m1", "m2"]
 
 
 @play
-async def test_what_nobody_foresaw_is_seen_and_ends_the_process(state: Path) -> None:
+async def test_an_unexpected_error_ends_the_process(state: Path) -> None:
     async with World(state) as world:
 
         async def broken(*_: object) -> None:
@@ -447,15 +447,15 @@
         await world.hand_in("m1")
         assert await soon(world.running.task) == 1
         world.running.task = asyncio.create_task(asyncio.sleep(0, 0))
-    assert journalled(state) == ["m1"]
+    assert recoverable_messages(state) == ["m1"]
 
 
-def test_an_outcome_on_record_is_told_to_the_module_after_a_restart(tmp_path: Path) -> None:
+def test_recorded_outcomes_are_restored_after_a_restart(tmp_path: Path) -> None:
     """Attempts that certainly did not run are ignored; the first that may have run is restored."""
 
     async def test(state: Path) -> None:
         async with World(state) as world:
-            await world.hand_in("m1", **GONE)
+            await world.hand_in("m1", **NO_ENDPOINT)
             journal = world.sender.journal
             for number, outcome in enumerate((Outcome.FULL, Outcome.ERROR, Outcome.RESET)):
                 journal.record_sent("m1", number, Attempt(1000 + number, "r", f"z{number}"))
@@ -470,11 +470,11 @@
 
 
 @play
-async def test_failures_before_the_last_served_call_do_not_count_after_a_restart(state: Path) -> None:
+async def test_failures_before_the_last_delivery_do_not_count_after_a_restart(state: Path) -> None:
     """A delivered message is no longer in the journal, so the failures alone would look like an outage."""
     async with World(state) as world:
         for name, at, outcome in (("m1", 1000, Outcome.RESET), ("m2", 1001, Outcome.OK)):
-            await world.hand_in(name, **GONE)
+            await world.hand_in(name, **NO_ENDPOINT)
             world.sender.journal.record_sent(name, 0, Attempt(at, "r", "z"))
             world.sender.journal.record_outcome(name, 0, outcome)
         world.sender.journal.record_sent("m1", 1, Attempt(1002, "r", "z"))
@@ -487,7 +487,7 @@
 
 
 @play
-async def test_an_id_that_is_over_is_not_a_new_message(state: Path) -> None:
+async def test_the_id_of_a_finished_message_is_not_a_new_message(state: Path) -> None:
     """A repeated request, as from a client that lost the response, must not take effect twice."""
     async with World(state) as world:
         await world.hand_in("m1")
@@ -500,14 +500,14 @@
 
 
 @play
-async def test_a_destination_that_is_only_empty_now_is_not_unknown(state: Path) -> None:
+async def test_a_destination_without_endpoints_is_not_unknown(state: Path) -> None:
     async with World(state) as world:
         assert (await world.hand_in("m1", X_Route_To="dest=8")).status == 404
-        assert (await world.hand_in("m2", **GONE)).status == 202
+        assert (await world.hand_in("m2", **NO_ENDPOINT)).status == 202
 
 
 @play
-async def test_no_timer_outlives_an_earlier_one(state: Path) -> None:
+async def test_a_new_wake_up_cancels_the_previous_timer(state: Path) -> None:
     """The module requests ever earlier wake-ups and cancels none, so timers would pile up in a long-running
     process."""
     async with World(state) as world:
@@ -520,14 +520,14 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 128, 256, 384, 1024])
-def test_the_shares_of_the_descriptors_add_up(sockets: int) -> None:
+def test_the_division_of_descriptors_stays_within_the_limit(sockets: int) -> None:
     share = Descriptors.divide(sockets, slots=12)
     assert share.total() <= sockets
     assert share.calls >= 16 and (sockets < 256 or share.clients > sockets / 3)
 
 
 @pytest.mark.parametrize("over", [False, True])
-def test_an_id_that_another_message_has_is_not_taken_for_it(tmp_path: Path, over: bool) -> None:
+def test_a_second_message_with_the_same_id_is_rejected(tmp_path: Path, over: bool) -> None:
     """A client may use another client's id. If its message gets 202 without being accepted, the next one with
     its key does not wait for it, and their order breaks."""
 
@@ -547,14 +547,14 @@
 
 
 @play
-async def test_one_id_twice_in_a_turn_is_one_message(state: Path) -> None:
+async def test_two_messages_with_one_id_in_a_turn_are_not_both_accepted(state: Path) -> None:
     async with World(state) as world:
         replies = await asyncio.gather(*(world.hand_in("m1", body) for body in (b"x", b"y")))
         assert sorted(each.status for each in replies) == [202, 503]
 
 
 @play
-async def test_a_repeat_waits_until_the_end_of_the_call_before_can_have_been_heard(tmp_path: Path) -> None:
+async def test_a_retry_waits_until_the_receiver_can_have_seen_the_close(tmp_path: Path) -> None:
     async with World(tmp_path) as world:
         await world.hand_in("m1")
         first = await world.receiver.next()
--- a/tests/test_sender_drain.py
+++ b/tests/test_sender_drain.py
@@ -38,7 +38,7 @@
         asyncio.get_running_loop().call_later(delay_s, request.answer, 200)
 
 
-class Notified(Platform):
+class NotifiedDiscovery(Platform):
     """A discovery service that answers notices; `told` has the messages reported as ended other than by
     delivery."""
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class HandIn:
+class SentMessage:
     """A message that a client sent. Times are s of the monotonic clock."""
 
     id: str
@@ -65,14 +65,14 @@
 
 
 @dataclass(slots=True)
-class KeptClient:
+class PersistentClient:
     """Sends messages on one connection, and opens a new one when it closes."""
 
     number: int
     address: Any
     chance: random.Random
     gone: asyncio.Event
-    handed_in: list[HandIn] = field(default_factory=list)
+    handed_in: list[SentMessage] = field(default_factory=list)
 
     async def run(self) -> None:
         while not self.gone.is_set():
@@ -91,10 +91,10 @@
 
     async def hand_in(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
         """Sends a message; returns whether the connection stays open."""
-        one = HandIn(f"m{self.number}-{len(self.handed_in)}")
-        data = message(one.id)
+        sent_message = SentMessage(f"m{self.number}-{len(self.handed_in)}")
+        data = message(sent_message.id)
         cut = self.chance.choice([len(data), len(data), len(data) - 1])
-        self.handed_in.append(one)
+        self.handed_in.append(sent_message)
         try:
             writer.write(data[:cut])
             if cut < len(data):
@@ -102,17 +102,17 @@
                 writer.write(data[cut:])
             if reader.at_eof():
                 return False
-            one.sent = time.monotonic()
+            sent_message.sent = time.monotonic()
             head = await soon(reader.readuntil(b"\r\n\r\n"))
             reply = Reply(head, b"")
-            one.status = reply.status
+            sent_message.status = reply.status
             await soon(reader.readexactly(int(reply.headers["content-length"])))
             return reply.headers.get("connection") != "close"
         finally:
-            one.ended = time.monotonic()
+            sent_message.ended = time.monotonic()
 
 
-def lost(clients: list[KeptClient]) -> list[HandIn]:
+def unanswered(clients: list[PersistentClient]) -> list[SentMessage]:
     """Complete requests without a response, except those that crossed the close of their connection."""
     return [
         each
@@ -125,16 +125,16 @@
 class Scene:
     """Clients, an endpoint, and successive processes of one sender."""
 
-    def __init__(self, seed: int, state: Path, receiver: Receiver, platform: Notified) -> None:
+    def __init__(self, seed: int, state: Path, receiver: Receiver, platform: NotifiedDiscovery) -> None:
         self.chance, self.state = random.Random(seed), state
         self.receiver, self.platform = receiver, platform
         self.told = config_json(platform, host(receiver.dial))
         self.gone = asyncio.Event()  # stops the clients
-        self.clients: list[KeptClient] = []
+        self.clients: list[PersistentClient] = []
 
     async def begin(self, address: Any) -> None:  # noqa: ANN401
         """Starts the clients."""
-        self.clients = [KeptClient(n, address, self.chance, self.gone) for n in range(CLIENTS)]
+        self.clients = [PersistentClient(n, address, self.chance, self.gone) for n in range(CLIENTS)]
         self.tasks = [asyncio.ensure_future(each.run()) for each in self.clients]
         await asyncio.sleep(0.5)
 
@@ -147,7 +147,7 @@
         as ended."""
         self.gone.set()
         await soon(asyncio.gather(*self.tasks))
-        assert lost(self.clients) == []
+        assert unanswered(self.clients) == []
         handed_in = [each for client in self.clients for each in client.handed_in]
         taken = {each.id for each in handed_in if each.status in (200, 202)}
         assert len(taken) > CLIENTS
@@ -221,7 +221,7 @@
     async def test(_: Path) -> None:
         state = tmp_path / "state"
         state.mkdir()
-        async with Receiver(random.Random(seed)) as receiver, Notified() as platform:
+        async with Receiver(random.Random(seed)) as receiver, NotifiedDiscovery() as platform:
             scene = Scene(seed, state, receiver, platform)
             async with running(scene.told, state) as (process, address):
                 await scene.begin(address)
@@ -235,7 +235,7 @@
     play(test)(tmp_path)
 
 
-def test_a_sender_can_be_told_to_end_before_anything_is_handed_over_to_it(
+def test_sigterm_before_the_handover_ends_the_sender_cleanly(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It exits cleanly while it waits for the state folder."""
@@ -254,18 +254,18 @@
     assert asyncio.run(scene()) == 0
 
 
-def test_a_sender_that_was_told_to_end_as_it_took_over_ends_in_order(
+def test_sigterm_during_the_handover_ends_the_sender_cleanly(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> int:
         acquire_state_folder = sender_main.acquire_state_folder
 
-        async def told_meanwhile(folder: Path) -> HandoverState:
+        async def signalled_meanwhile(folder: Path) -> HandoverState:
             handover = await acquire_state_folder(folder)
             os.kill(os.getpid(), signal.SIGTERM)
             return handover
 
-        monkeypatch.setattr(sender_main, "acquire_state_folder", told_meanwhile)
+        monkeypatch.setattr(sender_main, "acquire_state_folder", signalled_meanwhile)
         async with Platform() as platform:
             return await soon(sender_main.serve(sender_main.config_from(config_json(platform), tmp_path)))
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -48,7 +48,7 @@
 
 
 @play
-async def test_a_message_is_read_as_it_was_handed_in(_: Path) -> None:
+async def test_a_message_is_read_as_sent(_: Path) -> None:
     async with serving() as (server, taken):
         body = bytes(range(256)) * 256
         data = message("é1", body, X_Account="acme", X_Session_Key="k", X_Repeat="1", X_Time_Left="0.480")
@@ -59,7 +59,7 @@
 
 
 @play
-async def test_the_time_that_a_message_waited_to_be_read_is_not_its_own(_: Path) -> None:
+async def test_the_time_before_a_message_is_read_counts_against_its_deadline(_: Path) -> None:
     """A sender that had just started read messages 0.3 s after they were sent, and ended them that much too
     late."""
     async with serving() as (server, taken):
@@ -81,7 +81,7 @@
 
 
 @play
-async def test_a_message_that_comes_while_the_loop_waits_keeps_its_time(_: Path) -> None:
+async def test_a_message_arriving_while_the_loop_polls_keeps_its_time(_: Path) -> None:
     async with serving() as (server, taken):
         _reader, writer = await asyncio.open_connection(*server.address())
         await asyncio.sleep(2)
@@ -124,7 +124,7 @@
 
 
 @pytest.mark.parametrize(("data", "status"), BAD)
-def test_bad_input_gets_its_answer_and_no_exception(data: bytes, status: int) -> None:
+def test_invalid_input_gets_its_status_and_no_exception(data: bytes, status: int) -> None:
     async def test(_: Path) -> None:
         errors: list[object] = []
         asyncio.get_running_loop().set_exception_handler(lambda _, context: errors.append(context))
@@ -138,7 +138,7 @@
 
 
 @play
-async def test_a_long_chunked_body_is_cut_off(_: Path) -> None:
+async def test_a_long_chunked_body_is_refused(_: Path) -> None:
     async with serving() as (server, taken):
         head = message("m").replace(b"Content-Length: 1", b"Transfer-Encoding: chunked")
         head = head.partition(b"\r\n\r\n")[0]
@@ -173,17 +173,17 @@
         writer.close()
 
 
-class Held:
+class ClientConnection:
     """A client connection that the test keeps open."""
 
     @classmethod
-    async def open(cls, server: Server, data: bytes = b"") -> "Held":
-        held, seen = cls(), server.accepted
-        held.reader, held.writer = await asyncio.open_connection(*server.address())
-        held.writer.write(data)
+    async def open(cls, server: Server, data: bytes = b"") -> "ClientConnection":
+        client, seen = cls(), server.accepted
+        client.reader, client.writer = await asyncio.open_connection(*server.address())
+        client.writer.write(data)
         while server.accepted == seen:
             await asyncio.sleep(0)
-        return held
+        return client
 
     async def ended(self) -> bytes:
         try:
@@ -193,15 +193,15 @@
 
 
 @play
-async def test_silent_and_idle_connections_make_room_for_those_that_ask(_: Path) -> None:
+async def test_silent_and_idle_connections_are_closed_for_new_requests(_: Path) -> None:
     """Hundreds of silent connections must not keep ordinary clients out."""
     async with serving(most=3) as (server, taken):
-        usual = await Held.open(server, message("a"))
+        usual = await ClientConnection.open(server, message("a"))
         assert (await read_reply(usual.reader)).status == 202
-        silent = [await Held.open(server) for _ in range(2)]
+        silent = [await ClientConnection.open(server) for _ in range(2)]
         assert (await raw(server, message("b"))).status == 202
         assert await silent[0].ended() == b""
-        late = [await Held.open(server) for _ in range(20)]
+        late = [await ClientConnection.open(server) for _ in range(20)]
         usual.writer.write(message("c"))
         assert (await read_reply(usual.reader)).status == 202
         assert [each.id for each in taken] == ["a", "b", "c"]
@@ -211,33 +211,33 @@
 
 
 @play
-async def test_a_crowd_that_asks_for_readiness_pushes_out_its_own_and_nobody_who_just_came(_: Path) -> None:
+async def test_many_readiness_checks_close_only_one_another(_: Path) -> None:
     """At the connection limit, each new connection was closed before its request had arrived."""
     async with serving(most=4) as (server, _taken):
-        usual = await Held.open(server, message("a"))
+        usual = await ClientConnection.open(server, message("a"))
         assert (await read_reply(usual.reader)).status == 202
-        fresh = await Held.open(server)
-        crowd = [await Held.open(server, READY) for _ in range(8)]
+        fresh = await ClientConnection.open(server)
+        crowd = [await ClientConnection.open(server, READY) for _ in range(8)]
         for each in crowd[-2:]:
             assert (await read_reply(each.reader)).status == 200
-        for held, name in ((fresh, "b"), (usual, "c")):
-            held.writer.write(message(name))
-            assert (await read_reply(held.reader)).status == 202
+        for client, name in ((fresh, "b"), (usual, "c")):
+            client.writer.write(message(name))
+            assert (await read_reply(client.reader)).status == 202
         assert len(server.connections) <= 4 + server.lingering
         for each in (usual, fresh, *crowd):
             each.writer.close()
 
 
 @play
-async def test_one_who_has_just_come_is_not_closed_for_those_between_requests(_: Path) -> None:
+async def test_idle_connections_are_closed_before_new_ones(_: Path) -> None:
     """At the connection limit with idle connections only, each new one was closed before its request had
     arrived, and its client retried again and again."""
     async with serving(most=4) as (server, taken):
-        kept = [await Held.open(server, message(name)) for name in "abcd"]
+        kept = [await ClientConnection.open(server, message(name)) for name in "abcd"]
         for each in kept:
             assert (await read_reply(each.reader)).status == 202
-        fresh = await Held.open(server)
-        late = await Held.open(server, message("e"))
+        fresh = await ClientConnection.open(server)
+        late = await ClientConnection.open(server, message("e"))
         assert (await read_reply(late.reader)).status == 202
         fresh.writer.write(message("f"))
         assert (await read_reply(fresh.reader)).status == 202
@@ -247,24 +247,24 @@
 
 
 @play
-async def test_with_every_connection_at_work_one_more_is_turned_away(_: Path) -> None:
+async def test_with_every_connection_busy_a_further_one_is_refused(_: Path) -> None:
     async with serving(most=1) as (server, _taken):
-        half = await Held.open(server, message("a")[:30])
+        half = await ClientConnection.open(server, message("a")[:30])
         while server.silent or not server.connections:
             await asyncio.sleep(0)
         (connection,) = server.connections
         connection.last_received += 100  # it counts as still sending, however slow the test is
         assert (await raw(server, b"")).status == 503
         server.lingering = -1
-        assert await (await Held.open(server, b"x")).ended() == b""
+        assert await (await ClientConnection.open(server, b"x")).ended() == b""
         half.writer.close()
 
 
 @play
-async def test_requests_that_stop_midway_make_room_for_those_that_go_on(_: Path) -> None:
+async def test_stalled_requests_are_closed_for_new_ones(_: Path) -> None:
     async with serving(most=3) as (server, taken):
-        slow = await Held.open(server, message("slow")[:30])
-        stopped = [await Held.open(server, message("s")[:30]) for _ in range(2)]
+        slow = await ClientConnection.open(server, message("slow")[:30])
+        stopped = [await ClientConnection.open(server, message("s")[:30]) for _ in range(2)]
         while len(server.partial) < 3:
             await asyncio.sleep(0)
         for connection in server.connections:
@@ -288,10 +288,10 @@
 
 
 @play
-async def test_a_whole_request_that_waits_to_be_read_is_never_pushed_out(_: Path) -> None:
+async def test_a_complete_unread_request_is_never_evicted(_: Path) -> None:
     async with serving(most=1) as (server, taken):
         server.read_queued = lambda: None  # the queue is too long to be read now
-        held = await Held.open(server, message("a"))
+        client = await ClientConnection.open(server, message("a"))
         while not server.partial:
             await asyncio.sleep(0)
         (connection,) = server.connections
@@ -299,14 +299,14 @@
         server.evict_connection()
         assert server.connections == {connection}
         connection.advance()
-        assert (await read_reply(held.reader)).status == 202 and [each.id for each in taken] == ["a"]
-        held.writer.close()
+        assert (await read_reply(client.reader)).status == 202 and [each.id for each in taken] == ["a"]
+        client.writer.close()
 
 
 @play
-async def test_no_descriptor_left_stops_accepting_for_a_moment_only(_: Path) -> None:
+async def test_a_lack_of_descriptors_stops_accepting_only_briefly(_: Path) -> None:
     async with serving() as (server, _taken):
-        idle = await Held.open(server, message("a"))
+        idle = await ClientConnection.open(server, message("a"))
         assert (await read_reply(idle.reader)).status == 202
         assert server.listener is not None
         listener, tries = server.listener, iter([OSError(errno.EMFILE, "none left")])
@@ -328,12 +328,12 @@
 
 
 @play
-async def test_connections_that_never_finish_or_never_come_back_are_closed(_: Path) -> None:
+async def test_unfinished_and_idle_connections_expire(_: Path) -> None:
     """A request that arrives slowly has its time limit from connecting; further bytes do not extend it."""
     async with serving() as (server, _taken):
-        half = await Held.open(server, message("m")[:30])
-        silent = await Held.open(server)
-        idle = await Held.open(server, message("i"))
+        half = await ClientConnection.open(server, message("m")[:30])
+        silent = await ClientConnection.open(server)
+        idle = await ClientConnection.open(server, message("i"))
         assert (await read_reply(idle.reader)).status == 202
         while len(server.silent) != 1 or len(server.connections) != 3:
             await asyncio.sleep(0)
@@ -357,62 +357,62 @@
 
 
 @play
-async def test_what_follows_a_refused_head_is_dropped_and_the_answer_still_read(_: Path) -> None:
+async def test_bytes_after_a_refused_head_are_discarded_and_the_response_stays_readable(_: Path) -> None:
     async with serving() as (server, taken):
-        held = await Held.open(server, message("m", b"x" * 65537) + b"x" * 8_000_000)
-        assert (await read_reply(held.reader)).status == 413
+        client = await ClientConnection.open(server, message("m", b"x" * 65537) + b"x" * 8_000_000)
+        assert (await read_reply(client.reader)).status == 413
         (connection,) = server.connections
         while connection.transport.is_reading():
             await asyncio.sleep(0)
         assert connection.dropped < 2 * LINGER_BYTES and taken == []
         connection.wait_started -= LINGER + 0.1
         server.expire()
-        await held.ended()
+        await client.ended()
         assert not server.connections
-        held.writer.close()
+        client.writer.close()
 
 
 @play
-async def test_two_lengths_hide_no_second_request(_: Path) -> None:
+async def test_two_body_lengths_are_refused(_: Path) -> None:
     hidden = message("hidden")
     head = message("m", hidden).replace(b"Host", b"Transfer-Encoding: chunked\r\nHost")
     chunked = head.partition(b"\r\n\r\n")[0] + b"\r\n\r\n0\r\n\r\n" + hidden
     async with serving() as (server, taken):
         for data in (head, chunked):
-            held = await Held.open(server, data)
-            assert (await read_reply(held.reader)).status == 400
-            assert await held.ended() == b"" and taken == []
-            held.writer.close()
+            client = await ClientConnection.open(server, data)
+            assert (await read_reply(client.reader)).status == 400
+            assert await client.ended() == b"" and taken == []
+            client.writer.close()
 
 
 @play
-async def test_requests_by_the_hundred_are_not_read_before_their_turn(_: Path) -> None:
+async def test_pipelined_requests_are_not_read_before_their_turn(_: Path) -> None:
     async with serving() as (server, _taken):
         server.on_message = lambda *_: None  # the response is still pending
-        held = await Held.open(server, message("m"))
+        client = await ClientConnection.open(server, message("m"))
         while not any(each.answering for each in server.connections):
             await asyncio.sleep(0)
         (connection,) = server.connections
-        held.writer.write(message("n", b"x" * 60_000) * 200)
+        client.writer.write(message("n", b"x" * 60_000) * 200)
         while connection.transport.is_reading():
             await asyncio.sleep(0)
         assert len(connection.codec.trailing_data[0]) <= 1024 * 1024
         server.on_message = lambda _, connection: connection.answer(202)
         connection.answer(202)
         for _n in range(201):
-            assert (await read_reply(held.reader)).status == 202
-        held.writer.close()
+            assert (await read_reply(client.reader)).status == 202
+        client.writer.close()
 
 
 @play
-async def test_a_flood_is_read_for_a_part_of_each_turn_and_proven_clients_first(_: Path) -> None:
+async def test_a_flood_is_read_in_slices_with_proven_clients_first(_: Path) -> None:
     """Bad requests that kept the loop busy delayed the responses of receivers, and a Retry-After came too
     late."""
     async with serving(most=40) as (server, taken):
-        usual = await Held.open(server, message("a"))
+        usual = await ClientConnection.open(server, message("a"))
         assert (await read_reply(usual.reader)).status == 202
         read_queued, server.read_queued = server.read_queued, lambda: None  # type: ignore[method-assign]
-        flood = [await Held.open(server, message(f"m{each}")) for each in range(10)]
+        flood = [await ClientConnection.open(server, message(f"m{each}")) for each in range(10)]
         usual.writer.write(message("b"))
         while sum(map(len, server.read_queues)) < 11:
             await asyncio.sleep(0)
@@ -428,7 +428,7 @@
 
 
 @play
-async def test_a_destination_that_no_list_ever_named_is_turned_away(_: Path) -> None:
+async def test_an_unknown_destination_is_refused(_: Path) -> None:
     async with serving() as (server, taken):
         server.is_known_destination = lambda destination: destination == 3
         assert (await raw(server, message("m", X_Route_To="dest=4"))).status == 404
@@ -437,10 +437,10 @@
 
 
 @play
-async def test_what_nobody_foresaw_ends_one_connection_only(_: Path) -> None:
+async def test_an_unexpected_error_closes_one_connection_only(_: Path) -> None:
     async with serving() as (server, _taken):
         take, server.on_message = server.on_message, None  # type: ignore[assignment]
-        assert await (await Held.open(server, message("m"))).ended() == b""
+        assert await (await ClientConnection.open(server, message("m"))).ended() == b""
         server.on_message = take
         assert (await raw(server, message("m"))).status == 202
 
