--- a/message_sender/net/discovery.py
+++ b/message_sender/net/discovery.py
@@ -1,4 +1,4 @@
-"""The platform: the list of receivers by a watch, and the notices that end messages."""
+"""The discovery service: watches the list of receivers and posts the notices that end messages."""
 
 import asyncio
 import json
@@ -13,29 +13,34 @@
 from message_sender import interface as face
 from plumline.wire.http import BROKEN, Address, Connection, address_from
 
-# What discovery holds counts as told 6 s later, and 4 s after SIGHUP, whether it has arrived or not:
-SILENCE = 3.0  # s with no line, empty ones come every 2 s: the watch is dead, though TCP says nothing
-ANSWER_TIMEOUT = 1.0  # s for the head of an answer, or a whole list; it answers at once or not at all
-WATCH_PATIENCE = (
-    2.0  # s for the head of a watch after one that did not answer: one asked late is asked of less
-)
-MOST_PATIENCE = 10.0  # s for either in a large fleet, see below
-BESIDE = 2.0  # s for the head of a watch until another is asked for beside it: with SILENCE less than 6
-CHECK = 2.0  # s between looks at the whole list, which show a watch that lives but tells nothing
-FEW = 4  # senders up to which these hold; more look as often jointly, each more rarely, and wait longer
-CHECK_DOUBLINGS = 3  # of that time while discovery doesn't answer: it may be short of room for watches
-CHECK_JITTER = 0.25  # of that time, more or less: senders that start together drift apart
-CONNECT_TIMEOUT = 1.0
-LINE_LIMIT = 4 * 1024 * 1024
-NOTICE_TIMEOUT = 0.1  # s for a first try, answers took 4 ms at most: a hung kept connection must leave time
-NOTICE_DOUBLINGS = 2  # for another within the 300 ms that a notice has; and for new ones behind a late one
-NOTICE_PAUSE = 0.05  # s between tries
-NOTICES_AT_ONCE = 100
-# s, at the most, between tries to hear a new address's list, which counts as told 4 s after SIGHUP, and where
-# nobody listens: what discovery has at its return counts at once.
-MOVE_PAUSE = 0.2
-LOGGED = 32  # endpoints of a list that its log line names; lists are bounded by LINE_LIMIT alone
-UNREADABLE = (ValueError, KeyError, TypeError, AttributeError, ArithmeticError, RecursionError)
+# A change at discovery counts as known to the sender 6 s later, and 4 s after SIGHUP, received or not.
+SILENCE_TIMEOUT = 3.0  # s without a line after which a watch is dead, as empty lines come every 2 s
+# s for the head of a response, or for a whole list; discovery answers at once or not at all
+ANSWER_TIMEOUT = 1.0
+# s for the head of a watch after one that timed out; longer, to send fewer requests to a busy discovery.
+WATCH_TIMEOUT = 2.0
+MAX_TIMEOUT = 10.0  # s; limit of both timeouts, which grow with the fleet
+# s without a response until a second watch is requested; with SILENCE_TIMEOUT less than 6 s
+HEDGE_DELAY = 2.0
+CHECK_INTERVAL = 2.0  # s between reads of the full list, which find a watch that is open but reports nothing
+# senders up to which these times apply; a larger fleet has them longer, at the same joint rate.
+SMALL_FLEET = 4
+# doublings of CHECK_INTERVAL while discovery does not answer, as it may lack room for watches
+CHECK_DOUBLINGS = 3
+CHECK_JITTER = 0.25  # share of CHECK_INTERVAL, either way; spreads out senders that start together
+CONNECT_TIMEOUT = 1.0  # s
+LINE_LIMIT = 4 * 1024 * 1024  # bytes of a list or of one of its changes
+NOTICE_TIMEOUT = 0.1  # s for the first attempt, so that a dead connection leaves time to try again
+# doublings of NOTICE_TIMEOUT: the next attempt fits the 300 ms of a notice, and new notices get more behind a
+# late one
+NOTICE_DOUBLINGS = 2
+NOTICE_RETRY_DELAY = 0.05  # s between attempts
+NOTICE_BATCH_SIZE = 100  # notices in a request
+# s between attempts at most, for the first list of a new address, which counts as known 4 s after SIGHUP, and
+# while connections are refused, as a list counts at once when discovery is back.
+RECONNECT_DELAY = 0.2
+LOGGED_ENDPOINTS = 32  # endpoints named in the log line of a list, whose size only LINE_LIMIT bounds
+PARSE_ERRORS = (ValueError, KeyError, TypeError, AttributeError, ArithmeticError, RecursionError)
 
 log = logging.getLogger(__name__)
 
@@ -50,13 +55,13 @@
         task.result().close()
 
 
-class Listed:
-    """One line of discovery: a version and the endpoints in it."""
+class EndpointList:
+    """A list, or changes to one, as discovery sends it: a version and endpoints."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.seq, self.whole = int(told["seq"]), bool(told["whole"])
-        self.hosts: dict[str, dict[str, Any]] = {each["host"]: each for each in told["hosts"]}
-        self.dials: dict[str, Address] = {
+    def __init__(self, document: dict[str, Any]) -> None:
+        self.seq, self.is_full = int(document["seq"]), bool(document["whole"])
+        self.hosts: dict[str, dict[str, Any]] = {each["host"]: each for each in document["hosts"]}
+        self.addresses: dict[str, Address] = {
             name: address_from(each["dial"]) for name, each in self.hosts.items()
         }
         self.endpoints = tuple(
@@ -68,122 +73,127 @@
                 zone=each.get("site", ""),
                 scale=float(each.get("share", 1)),
             )
-            for each in told["hosts"]
+            for each in document["hosts"]
         )
 
 
-class Told:
-    """What a watch tells: JSON objects, each on a line or indented over several, with empty lines between."""
+class WatchParser:
+    """Parser of a watch: JSON objects, each on one line or indented over several, with empty lines
+    between."""
 
     def __init__(self) -> None:
-        self.begun = self.line = b""  # of an object, in whole lines; of the line at hand
-        self.lives = False  # whether the newest bytes held an empty line between objects
+        # Of the current object in complete lines, and of the current line.
+        self.object_bytes = self.line_bytes = b""
+        # Whether the newest bytes had an empty line between objects, a keepalive.
+        self.keepalive_received = False
 
     def feed(self, data: bytes) -> list[dict[str, Any]]:
-        """The objects that are whole with these bytes. What can be the beginning of none raises."""
-        *lines, self.line = (self.line + data).split(b"\n")
-        self.lives, objects = False, []
+        """Returns the objects that these bytes complete. Raises if they cannot be the start of one."""
+        *lines, self.line_bytes = (self.line_bytes + data).split(b"\n")
+        self.keepalive_received, objects = False, []
         for line in lines:
-            first, blank = not self.begun, not line.strip()
+            first, blank = not self.object_bytes, not line.strip()
             if first and blank:
-                self.lives = True
+                self.keepalive_received = True
                 continue
-            self.begun += line + b"\n"
-            # Every object ends with a brace; tried at each line, a long one would be read again and again.
-            if (first or line.rstrip().endswith(b"}")) and (told := self.whole()) is not None:
-                objects.append(told)
-                self.begun = b""
-        if len(self.begun) + len(self.line) > LINE_LIMIT:
-            raise ValueError("a list is too long")
+            self.object_bytes += line + b"\n"
+            # Parse only after a closing brace: parsing a long object again at each line would be quadratic.
+            if (first or line.rstrip().endswith(b"}")) and (parsed := self.parse_object()) is not None:
+                objects.append(parsed)
+                self.object_bytes = b""
+        if len(self.object_bytes) + len(self.line_bytes) > LINE_LIMIT:
+            raise ValueError("an object of the watch is too long")
         return objects
 
-    def whole(self) -> dict[str, Any] | None:
-        text = self.begun.decode().rstrip()
+    def parse_object(self) -> dict[str, Any] | None:
+        text = self.object_bytes.decode().rstrip()
         try:
             return json.loads(text)
         except json.JSONDecodeError as error:
             if error.pos < len(text):
                 raise
-            return None  # all that is wrong with it is that it ends
+            return None  # incomplete: the error is at the end of the text
 
 
 class Discovery:
     def __init__(
         self,
         address: Address,
-        known: Listed,
-        listed: Callable[[face.EndpointsListed], None],
-        answered: Callable[[str, str], None],
-        senders: int = 1,  # that share this discovery
+        known: EndpointList,
+        on_list: Callable[[face.EndpointsListed], None],
+        on_notice_answered: Callable[[str, str], None],
+        senders: int = 1,  # sharing this discovery service
     ) -> None:
-        self.address, self.listed, self.answered = address, listed, answered
-        many = max(senders / FEW, 1)
-        self.check_every = CHECK * many
-        # Many senders ask at once after a restart or an outage. Whoever gives up early has used its place in
-        # the queue, asks again behind the others, and may never hear at all.
-        self.first_patience = min(ANSWER_TIMEOUT * many, MOST_PATIENCE)
-        self.next_patience = min(WATCH_PATIENCE * many, MOST_PATIENCE)
-        #: The version held; none when it is another service's, whose versions mean nothing to this one.
+        self.address, self.on_list, self.on_notice_answered = address, on_list, on_notice_answered
+        fleet_factor = max(senders / SMALL_FLEET, 1)
+        self.check_every = CHECK_INTERVAL * fleet_factor
+        # After a restart or an outage many senders send requests at once. One that gives up early has wasted
+        # its place in the queue, is queued last again, and may never get a response.
+        self.first_timeout = min(ANSWER_TIMEOUT * fleet_factor, MAX_TIMEOUT)
+        self.next_timeout = min(WATCH_TIMEOUT * fleet_factor, MAX_TIMEOUT)
+        #: Version of the list; none if it came from another service, whose versions are not comparable.
         self.seq: int | None = known.seq
-        self.unheard = False  # whether this process goes by a list that it has from elsewhere
-        self.dials, self.hosts = dict(known.dials), dict(known.hosts)
-        self.destinations = {each.destination for each in known.endpoints}  # all that a list ever named
-        self.patience = self.first_patience  # s for the head of the next watch
+        # Whether the list is an old one that the current discovery has not confirmed.
+        self.is_unconfirmed = False
+        self.addresses, self.hosts = dict(known.addresses), dict(known.hosts)
+        # every destination that a list has ever named
+        self.destinations = {each.destination for each in known.endpoints}
+        self.watch_timeout = self.first_timeout  # s; timeout for the head of the next watch
         self.notices: dict[str, dict[str, Any]] = {}
         self.has_notices = asyncio.Event()
 
     def move(self, address: Address) -> None:
-        """From now on discovery is there. The caller starts a watch; the one before goes on until that one
-        has its first list, and notices under way are answered where they are or told again over there."""
-        self.address, self.seq, self.patience = address, None, self.first_patience
+        """Changes the address. The caller starts a new watch; the old one continues until the new one has its
+        first list. Notices in flight are answered at the old address or sent again to the new one."""
+        self.address, self.seq, self.watch_timeout = address, None, self.first_timeout
 
     async def watch(self) -> None:
-        """A watch, opened anew at once where it falls silent, nobody listens, or it had lived for a while:
-        what it misses counts as told. Any other end is an answer: the module is told of it and decides when
-        to ask again. But the first list of a new address is asked for until it comes: nobody else tells of
-        a drain meanwhile."""
+        """Watches the list. Reconnects at once if the watch falls silent, the connection is refused, or the
+        watch had lasted a while, as its changes count as known. After any other end the module decides when
+        to watch again. The first list of a new address is requested until it comes, as no other source
+        reports a drain meanwhile."""
         address, loop = self.address, asyncio.get_running_loop()
-        log.info("a watch begins at %s:%d after %s", *address, self.seq)
+        log.info("watching %s:%d from version %s", *address, self.seq)
         while True:
-            lived = 0.0
+            duration = 0.0
             try:
-                connection = await self.opened(address)
+                connection = await self.open_hedged(address)
                 began = loop.time()
                 try:
                     await self.read_lines(connection, address)
                 finally:
                     connection.close()
-                    lived = loop.time() - began
-            except (*BROKEN, *UNREADABLE) as error:
+                    duration = loop.time() - began
+            except (*BROKEN, *PARSE_ERRORS) as error:
                 log.warning("the watch ended: %r", error)
                 silent, refused = (isinstance(error, each) for each in (TimeoutError, ConnectionRefusedError))
             else:
-                return  # another address has told its list
+                return  # the new address has sent its list
             if address != self.address:
                 return
             if self.seq is None or refused:
-                await asyncio.sleep(MOVE_PAUSE * random.uniform(0.5, 1))
-            elif not silent and lived < SILENCE:
+                await asyncio.sleep(RECONNECT_DELAY * random.uniform(0.5, 1))
+            elif not silent and duration < SILENCE_TIMEOUT:
                 break
-        self.listed(face.EndpointsListed(face.Listing.FAILED))
+        self.on_list(face.EndpointsListed(face.Listing.FAILED))
 
-    async def opened(self, address: Address) -> Connection:
-        """A watch whose head has come. Where discovery is busy, whoever gives up early goes to the end of the
-        queue; but a request may also have died with its connection, unseen: a second one goes beside it."""
-        asked = left = {asyncio.create_task(self.open_watch(address))}
+    async def open_hedged(self, address: Address) -> Connection:
+        """Opens a watch and waits for its head. At a busy discovery, giving up early loses the place in the
+        queue; but the request may be lost with a broken connection, so a second one is sent in parallel."""
+        requests = pending = {asyncio.create_task(self.open_watch(address))}
         try:
-            await asyncio.wait(asked, timeout=BESIDE)
-            if not any(task.done() for task in asked):
-                asked = left = asked | {asyncio.create_task(self.open_watch(address))}
-            while left:
-                done, left = await asyncio.wait(left, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(requests, timeout=HEDGE_DELAY)
+            if not any(task.done() for task in requests):
+                requests = pending = requests | {asyncio.create_task(self.open_watch(address))}
+            while pending:
+                done, pending = await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
                 for task in done:
-                    if not (failed := task.exception()):
-                        asked = asked - {task}
+                    if not (error := task.exception()):
+                        requests = requests - {task}
                         return task.result()
-            raise failed
+            raise error
         finally:
-            for task in asked:
+            for task in requests:
                 task.cancel()
                 task.add_done_callback(close_unused)
 
@@ -191,30 +201,31 @@
         async with asyncio.timeout(CONNECT_TIMEOUT):
             connection = await Connection.open(address)
         try:
-            # A watch from a version that is still the newest says nothing, as does one that will never speak.
-            if self.seq is None or self.unheard:
-                whole = await self.ask(connection, "/registry/instances")
+            # A watch from the newest version sends nothing, just like one that is dead; so read the list
+            # first.
+            if self.seq is None or self.is_unconfirmed:
+                body = await self.fetch_body(connection, "/registry/instances")
                 if address != self.address:
                     raise ConnectionError("discovery has moved")
-                self.read(Listed(json.loads(whole)))
+                self.apply_list(EndpointList(json.loads(body)))
                 if not connection.next_cycle():
                     connection.close()
                     async with asyncio.timeout(CONNECT_TIMEOUT):
                         connection = await Connection.open(address)
             await connection.send("GET", f"/registry/instances?watch=1&after={self.seq}", {})
-            patience, self.patience = self.patience, self.next_patience
-            async with asyncio.timeout(patience):
+            watch_timeout, self.watch_timeout = self.watch_timeout, self.next_timeout
+            async with asyncio.timeout(watch_timeout):
                 await expect_ok(connection)
-            self.patience = self.first_patience
+            self.watch_timeout = self.first_timeout
         except BaseException:
             connection.close()
             raise
         return connection
 
-    async def ask(self, connection: Connection, target: str) -> bytes:
+    async def fetch_body(self, connection: Connection, target: str) -> bytes:
         await connection.send("GET", target, {})
         body = bytearray()
-        async with asyncio.timeout(self.first_patience):
+        async with asyncio.timeout(self.first_timeout):
             await expect_ok(connection)
             while not isinstance(event := await connection.next_event(), h11.EndOfMessage):
                 body += event.data if isinstance(event, h11.Data) else b""
@@ -223,79 +234,98 @@
         return bytes(body)
 
     async def read_lines(self, connection: Connection, address: Address) -> None:
-        told = Told()
+        parser = WatchParser()
         while True:
-            async with asyncio.timeout(SILENCE):  # for what is whole, not for bytes
-                while not (objects := told.feed(await self.next_data(connection))) and not told.lives:
+            # for a complete object or an empty line, not for single bytes
+            async with asyncio.timeout(SILENCE_TIMEOUT):
+                while (
+                    not (objects := parser.feed(await self.next_data(connection)))
+                    and not parser.keepalive_received
+                ):
                     pass
             for each in objects:
                 if address != self.address and self.seq is not None:
                     return
-                self.read_change(Listed(each), address)
+                self.apply_change(EndpointList(each), address)
 
     async def next_data(self, connection: Connection) -> bytes:
         while not isinstance(event := await connection.next_event(), h11.Data):
             if isinstance(event, h11.EndOfMessage):
-                raise ConnectionError("discovery ended it")
+                raise ConnectionError("discovery ended the watch")
         return bytes(event.data)
 
-    def read_change(self, told: Listed, address: Address) -> None:
-        if told.whole or address != self.address or self.seq is None or told.seq > self.seq:
-            self.read(told, address)  # else a check was faster than the watch
+    def apply_change(self, update: EndpointList, address: Address) -> None:
+        if update.is_full or address != self.address or self.seq is None or update.seq > self.seq:
+            self.apply_list(update, address)  # otherwise a check has read it before the watch
 
-    async def check(self, at_once: bool = False) -> None:
-        """Compares the whole list with the one held, forever: a watch may live and still tell nothing."""
-        failed = 0  # in a row
+    async def check_periodically(self, at_once: bool = False) -> None:
+        """Compares the full list with the known one, forever: an open watch may still report nothing."""
+        failures = 0  # in a row
         if at_once:
             await self.check_once()
         while True:
-            pause = self.check_every * 2 ** min(failed, CHECK_DOUBLINGS)
+            pause = self.check_every * 2 ** min(failures, CHECK_DOUBLINGS)
             await asyncio.sleep(pause * random.uniform(1 - CHECK_JITTER, 1 + CHECK_JITTER))
-            failed = 0 if await self.check_once() else failed + 1
+            failures = 0 if await self.check_once() else failures + 1
 
     async def check_once(self) -> bool:
-        """Whether discovery had a list to tell."""
-        address, held = self.address, self.seq
-        if held is None:
-            return True  # a watch asks for the first list of a new address
+        """Whether discovery could be read."""
+        address, version = self.address, self.seq
+        if version is None:
+            return True  # the watch requests the first list of a new address
         try:
-            told = await self.fetch(address)
-        except (*BROKEN, *UNREADABLE) as error:
-            log.info("the list could not be checked: %s", str(error) or type(error).__name__)
+            update = await self.fetch(address)
+        except (*BROKEN, *PARSE_ERRORS) as error:
+            log.info("the list could not be read: %s", str(error) or type(error).__name__)
             return False
-        if (address, held) == (self.address, self.seq) and told.seq != held:
-            log.warning("the watch has told up to %d, the list is at %d", held, told.seq)
-            self.read(told, address)
+        if (address, version) == (self.address, self.seq) and update.seq != version:
+            log.warning(
+                "the watch has reported up to version %d, but the list is at version %d", version, update.seq
+            )
+            self.apply_list(update, address)
         return True
 
-    async def fetch(self, address: Address) -> Listed:
+    async def fetch(self, address: Address) -> EndpointList:
         async with asyncio.timeout(CONNECT_TIMEOUT):
             connection = await Connection.open(address)
         try:
-            return Listed(json.loads(await self.ask(connection, "/registry/instances")))
+            return EndpointList(json.loads(await self.fetch_body(connection, "/registry/instances")))
         finally:
             connection.close()
 
-    def read(self, told: Listed, address: Address | None = None) -> None:
-        """One line, whole or not at all: what cannot be read has raised before anything is changed."""
-        dials = told.dials if told.whole else self.dials | told.dials
-        gone = {each.id for each in told.endpoints if each.state is face.EndpointState.GONE}
-        self.dials = {name: dial for name, dial in dials.items() if name not in gone}
-        self.hosts = {name: each for name, each in (self.hosts | told.hosts).items() if name in self.dials}
-        self.destinations |= {each.destination for each in told.endpoints}
-        if address in (None, self.address):  # else it is a line of the address before
-            self.seq, self.unheard = told.seq, False
-        named = (f"{each.id} {each.state.value} at {each.destination}" for each in told.endpoints[:LOGGED])
-        log.info("list %d, %s: %s", told.seq, "whole" if told.whole else "changes", ", ".join(named))
-        listing = face.Listing.FULL if told.whole else face.Listing.CHANGES
-        self.listed(face.EndpointsListed(listing, told.endpoints))
+    def apply_list(self, update: EndpointList, address: Address | None = None) -> None:
+        """Applies a list or its changes. Unreadable ones have raised before, so nothing is applied in
+        part."""
+        addresses = update.addresses if update.is_full else self.addresses | update.addresses
+        removed = {each.id for each in update.endpoints if each.state is face.EndpointState.GONE}
+        self.addresses = {
+            name: endpoint_address for name, endpoint_address in addresses.items() if name not in removed
+        }
+        self.hosts = {
+            name: each for name, each in (self.hosts | update.hosts).items() if name in self.addresses
+        }
+        self.destinations |= {each.destination for each in update.endpoints}
+        if address in (None, self.address):  # otherwise it came from the previous address
+            self.seq, self.is_unconfirmed = update.seq, False
+        endpoint_texts = (
+            f"{each.id} {each.state.value} at {each.destination}"
+            for each in update.endpoints[:LOGGED_ENDPOINTS]
+        )
+        log.info(
+            "list version %d, %s: %s",
+            update.seq,
+            "full" if update.is_full else "changes",
+            ", ".join(endpoint_texts),
+        )
+        listing = face.Listing.FULL if update.is_full else face.Listing.CHANGES
+        self.on_list(face.EndpointsListed(listing, update.endpoints))
 
     def endpoints(self) -> tuple[face.Endpoint, ...]:
-        return Listed({"seq": 0, "whole": True, "hosts": self.hosts.values()}).endpoints
+        return EndpointList({"seq": 0, "whole": True, "hosts": self.hosts.values()}).endpoints
 
-    # Another process of this sender goes on from what this one has heard, and has not been answered.
+    # Handover of the list and of unanswered notices to a newer process.
 
-    def told(self) -> dict[str, Any]:
+    def handover_state(self) -> dict[str, Any]:
         return {
             "address": self.address,
             "seq": self.seq,
@@ -304,32 +334,32 @@
             "notices": self.notices,
         }
 
-    def recall(self, told: dict[str, Any]) -> None:
-        """A list's version means nothing at another address."""
-        known = Listed({"seq": 0, "whole": True, "hosts": told["hosts"]})
-        self.dials, self.hosts = known.dials, known.hosts
-        self.seq = told["seq"] if tuple(told["address"]) == self.address else None
-        self.destinations |= set(told["destinations"])
-        self.notices = dict(told["notices"])
+    def restore(self, state: dict[str, Any]) -> None:
+        """Restores handed-over state. The list's version is dropped if the address differs."""
+        known = EndpointList({"seq": 0, "whole": True, "hosts": state["hosts"]})
+        self.addresses, self.hosts = known.addresses, known.hosts
+        self.seq = state["seq"] if tuple(state["address"]) == self.address else None
+        self.destinations |= set(state["destinations"])
+        self.notices = dict(state["notices"])
         if self.notices:
             self.has_notices.set()
 
     def notify(self, message: str, state: str, after: int = 0) -> None:
-        """The end of a message; told again and again until it is answered."""
+        """Queues a notice of a message's end, which is sent until it is answered."""
         notice: dict[str, Any] = {"id": message, "state": state}
         if after:
             notice["after_ms"] = -(-after // 1000)
         self.notices[message] = notice
         self.has_notices.set()
 
-    async def tell(self) -> None:
-        """Posts what notices there are, forever; a connection that failed is not used again."""
-        connection, tries, most = None, 0, NOTICES_AT_ONCE
+    async def send_notices(self) -> None:
+        """Posts queued notices, forever; a connection that failed is not used again."""
+        connection, attempts, batch_size = None, 0, NOTICE_BATCH_SIZE
         while True:
             await self.has_notices.wait()
-            sent, began = dict(list(self.notices.items())[:most]), time.monotonic()
+            sent, began = dict(list(self.notices.items())[:batch_size]), time.monotonic()
             try:
-                async with asyncio.timeout(NOTICE_TIMEOUT * 2 ** min(tries, NOTICE_DOUBLINGS)):
+                async with asyncio.timeout(NOTICE_TIMEOUT * 2 ** min(attempts, NOTICE_DOUBLINGS)):
                     if connection and (connection.address != self.address or connection.ended()):
                         connection.close()
                         connection = None
@@ -346,23 +376,23 @@
                     connection.close()
                     connection = None
             if status == 400 and len(sent) > 1:
-                most = 1  # guards the others against one that cannot be read
+                batch_size = 1  # send them singly, so that one malformed notice does not block the others
                 continue
             if 200 <= status < 300 or status == 400:
                 if status == 400:
-                    log.error("a notice was not understood: %s", *sent.values())
-                tries = 0
+                    log.error("discovery rejected a notice as malformed: %s", *sent.values())
+                attempts = 0
                 if (took := time.monotonic() - began) > NOTICE_TIMEOUT / 2:
                     log.info("%d notices answered in %.0f ms", len(sent), took * 1e3)
                 for message, notice in sent.items():
                     del self.notices[message]
-                    self.answered(message, notice["state"])
+                    self.on_notice_answered(message, notice["state"])
                 if not self.notices:
-                    most = NOTICES_AT_ONCE
+                    batch_size = NOTICE_BATCH_SIZE
                     self.has_notices.clear()
                 continue
-            tries += 1
-            await asyncio.sleep(NOTICE_PAUSE)
+            attempts += 1
+            await asyncio.sleep(NOTICE_RETRY_DELAY)
 
     async def post(self, connection: Connection, body: str) -> int:
         data = body.encode()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one sender: what a newer one takes over from the one that runs."""
+"""Two processes of one sender: what the newer one takes over from the older one."""
 
 import asyncio
 import os
@@ -18,15 +18,15 @@
 
 from message_sender import interface as face
 from message_sender.interface import Outcome
-from message_sender.net.handover import ASK, VERSION, Channel, Estate, Lock, address_of
+from message_sender.net.handover import HANDOVER_REQUEST, VERSION, Channel, HandoverState, Lock, address_of
 from message_sender.rules import Dispatcher
 
-ONCE = {"semantics": "once"}
+AT_MOST_ONCE = {"semantics": "once"}
 
 
 @asynccontextmanager
 async def first(tmp_path: Path, **kind: object) -> AsyncIterator[tuple[Any, ...]]:
-    """A receiver, a platform, a process, its clients' address, and the configuration and folder."""
+    """A receiver, a discovery service, a process, its clients' address, and the configuration and folder."""
     state = tmp_path / "state"
     state.mkdir()
     async with Peer() as receiver, Platform() as platform:
@@ -37,7 +37,7 @@
 
 @play
 async def test_a_call_that_is_out_is_answered_to_the_new_process(tmp_path: Path) -> None:
-    async with first(tmp_path, **ONCE) as (receiver, platform, old, address, told, state):
+    async with first(tmp_path, **AT_MOST_ONCE) as (receiver, platform, old, address, told, state):
         reader, writer = await asyncio.open_connection(*address)
         writer.write(message("m1"))
         assert (await read_reply(reader)).status == 202
@@ -47,12 +47,12 @@
             old.send_signal(signal.SIGTERM)
             assert await soon(old.wait()) == 0
             call.answer(200)
-            writer.write(message("m2"))  # the client goes on, on the connection that it has
+            writer.write(message("m2"))  # the client continues on its connection
             assert (await read_reply(reader)).status == 202
             second = await receiver.next()
             assert second.id == "m2" and second.headers.get("x-correlation-id") == "m2"
             second.answer(200)
-            writer.write(message("m1"))  # an id that is over is known there
+            writer.write(message("m1"))  # the new process recognizes the id of a finished message
             assert (await read_reply(reader)).status == 202
             assert (await ask(address, message("m3"))).status == 202
             assert (await receiver.next()).id == "m3"
@@ -69,7 +69,7 @@
         for part, (_, writer) in zip(parts, streams, strict=True):
             writer.write(part.replace(b": m1\r", b": m%d\r" % len(part)))
             await writer.drain()
-        assert (await ask(address, message("m2"))).status == 202  # read after those
+        assert (await ask(address, message("m2"))).status == 202  # read after the incomplete ones
         (await receiver.next()).answer(200)
         async with running(told, state):
             old.send_signal(signal.SIGTERM)
@@ -87,7 +87,7 @@
 
 
 @play
-async def test_told_waits_and_slots_are_the_whole_senders(tmp_path: Path) -> None:
+async def test_a_retry_after_is_handed_over(tmp_path: Path) -> None:
     async with first(tmp_path) as (receiver, _, old, address, told, state):
         assert (await ask(address, message("m1"))).status == 202
         refused = await receiver.next()
@@ -101,7 +101,7 @@
 
 
 @play
-async def test_the_old_process_starts_again_when_its_successor_is_gone(tmp_path: Path) -> None:
+async def test_the_old_process_starts_again_when_its_successor_ends(tmp_path: Path) -> None:
     async with first(tmp_path) as (receiver, _, old, address, told, state):
         assert (await ask(address, message("m1"))).status == 202
         await receiver.next()
@@ -124,15 +124,15 @@
             old.send_signal(signal.SIGSTOP)
             new = await start(told, state)
             try:
-                await wait_for(new, rb"hands nothing over")
+                await wait_for(new, rb"does not hand over")
                 assert Lock.take(state) is None
-                if early:  # SIGTERM before the new one has anything
+                if early:  # SIGTERM before anything is handed over
                     old.send_signal(signal.SIGTERM)
                     old.send_signal(signal.SIGCONT)
                 else:
                     old.send_signal(signal.SIGKILL)
                 await wait_for(new, rb"ready on")
-                if not early:  # its calls were broken, as after any SIGKILL
+                if not early:  # its calls were broken off, as after any SIGKILL
                     assert (await receiver.next()).id == "m1"
                 await soon(old.wait())
                 assert new.returncode is None
@@ -144,9 +144,9 @@
 
 
 @play
-async def test_strangers_at_the_door_change_nothing(tmp_path: Path) -> None:
+async def test_invalid_handover_requests_are_ignored(tmp_path: Path) -> None:
     async with first(tmp_path) as (_, __, old, address, ___, state):
-        for data in (b"", b"who is there?\n", ASK[:-1]):
+        for data in (b"", b"who is there?\n", HANDOVER_REQUEST[:-1]):
             with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as stranger:
                 stranger.settimeout(20)
                 stranger.connect(address_of(state))
@@ -156,7 +156,7 @@
         assert (await ask(address, message("m1"))).status == 202 and old.returncode is None
 
 
-def test_the_lock_is_one_processs_and_goes_with_its_descriptor(tmp_path: Path) -> None:
+def test_the_lock_has_one_owner_and_follows_its_descriptor(tmp_path: Path) -> None:
     lock = Lock.take(tmp_path)
     assert lock is not None and Lock.take(tmp_path) is None
     passed = Lock(os.dup(lock.descriptor))
@@ -178,7 +178,7 @@
     return face.MessageRestored(face.MessageTaken(name, kind, 1, 20 * SECOND), attempts, None, "", held=held)
 
 
-def test_the_module_goes_on_with_a_call_that_is_out() -> None:
+def test_the_module_continues_with_a_call_in_flight() -> None:
     world = World(max_attempts=1)
     world.take("once")
     successor, actions = taken_over(world, restored("m1"))
@@ -188,7 +188,7 @@
     assert not successor.out and successor.breakers[1, ""].failures == 1
 
 
-def test_the_module_remembers_open_breakers_and_told_waits() -> None:
+def test_the_module_restores_open_breakers_and_waits() -> None:
     world = World()
     world.open_breaker()
     successor, actions = taken_over(world, restored("x", "safe", 0, held=True))
@@ -201,7 +201,7 @@
     assert sent(successor.handle(world.now + 4 * SECOND, []))
 
 
-def test_the_module_counts_no_call_twice_against_the_slots() -> None:
+def test_a_restored_call_uses_one_slot() -> None:
     world = World(slots=2)
     world.take()
     world.take()
@@ -210,7 +210,7 @@
     assert not sent(actions)
 
 
-def estate_from(*frames: dict[str, Any], lock: Lock) -> Estate:
+def handover_from(*frames: dict[str, Any], lock: Lock) -> HandoverState:
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
     channel = Channel(theirs)
     for frame in frames:
@@ -219,26 +219,26 @@
         channel.send({"listener": True}, listener.fileno())
     channel.send_lock(lock)
     channel.send_done()
-    estate = Estate(channel=Channel(ours))
+    handover = HandoverState(channel=Channel(ours))
     try:
-        estate.receive()
+        handover.receive()
     finally:
         channel.close()
-    return estate
+    return handover
 
 
-def test_another_versions_state_leaves_the_lock_and_the_listener(tmp_path: Path) -> None:
+def test_incompatible_state_leaves_the_lock_and_the_listener(tmp_path: Path) -> None:
     lock = Lock.take(tmp_path)
     assert lock is not None
-    estate = estate_from({"state": {"version": VERSION + 1}}, {"lines": ["x"]}, {"new": 1}, lock=lock)
+    handover = handover_from({"state": {"version": VERSION + 1}}, {"lines": ["x"]}, {"new": 1}, lock=lock)
     lock.close()
-    assert estate.state is None and estate.lines == [] and estate.listener is not None
-    assert Lock.take(tmp_path) is None  # it came along
-    estate.drop()
+    assert handover.state is None and handover.lines == [] and handover.listener is not None
+    assert Lock.take(tmp_path) is None  # the lock was handed over
+    handover.drop()
     assert Lock.take(tmp_path) is not None
 
 
-def test_a_handover_that_breaks_off_leaves_nothing_behind(tmp_path: Path) -> None:
+def test_an_incomplete_handover_is_dropped(tmp_path: Path) -> None:
     lock = Lock.take(tmp_path)
     assert lock is not None
     ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -246,15 +246,15 @@
     channel.send({"state": {"version": VERSION}})
     channel.send_lock(lock)
     lock.close()
-    channel.close()  # the owner died before the last frame
-    estate = Estate(channel=Channel(ours))
+    channel.close()  # the owner ended before the last frame
+    handover = HandoverState(channel=Channel(ours))
     with pytest.raises(ConnectionError):
-        estate.receive()
-    assert estate.state is None and Lock.take(tmp_path) is not None
+        handover.receive()
+    assert handover.state is None and Lock.take(tmp_path) is not None
 
 
 @play
-async def test_what_has_been_handed_over_is_not_reloaded(tmp_path: Path) -> None:
+async def test_a_sender_that_has_handed_over_ignores_a_reload(tmp_path: Path) -> None:
     async with Sending(tmp_path) as world:
         moved = replace(world.sender.config, discovery=("127.0.0.1", 9))
         world.sender.handed_over = True
@@ -265,16 +265,16 @@
         assert world.sender.discovery.address == moved.discovery
 
 
-class Handing(Sending):
-    """A sender whose call of m1 is out, and the channel of its successor."""
+class SenderWithCall(Sending):
+    """A sender with a call of m1 in flight, and the channel to its successor."""
 
-    async def __aenter__(self) -> "Handing":
+    async def __aenter__(self) -> "SenderWithCall":
         await super().__aenter__()
         ours, theirs = socket.socketpair(socket.AF_UNIX, socket.SOCK_STREAM)
-        self.channel, self.successor = Channel(theirs), Estate(channel=Channel(ours))
+        self.channel, self.successor = Channel(theirs), HandoverState(channel=Channel(ours))
         await self.hand_in("m1")
         self.request = await self.receiver.next()
-        self.out = self.sender.client.flights["m1"].connection.sock
+        self.call_socket = self.sender.client.in_flight["m1"].connection.sock
         return self
 
     def hand_over(self) -> None:
@@ -288,12 +288,12 @@
 
 
 @play
-async def test_a_call_that_is_handed_over_is_held_by_one_process(tmp_path: Path) -> None:
-    """Guards against a second copy: a connection that this process still held would outlast its successor's
-    giving the call up."""
-    async with Handing(tmp_path) as world:
+async def test_a_handed_over_call_is_open_in_one_process_only(tmp_path: Path) -> None:
+    """If this process kept the connection open, the receiver would not see the successor give the call up,
+    and would get a second copy."""
+    async with SenderWithCall(tmp_path) as world:
         world.hand_over()
-        assert world.out.fileno() == -1
+        assert world.call_socket.fileno() == -1
         ((told, sock),) = world.successor.calls
         assert told["message"] == "m1"
         await asyncio.sleep(0)
@@ -303,14 +303,14 @@
 
 
 @play
-async def test_a_call_that_is_given_up_has_ended_before_its_message_is_handed_over(tmp_path: Path) -> None:
-    async with Handing(tmp_path) as world:
+async def test_a_cancelled_call_is_aborted_before_its_message_is_handed_over(tmp_path: Path) -> None:
+    async with SenderWithCall(tmp_path) as world:
         ((key, task),) = world.sender.calls.items()
-        task.cancel()  # called off, and not at its end yet
+        task.cancel()  # cancelled, but not finished yet
         with pytest.raises(BlockingIOError):
-            world.out.recv(1, socket.MSG_PEEK)
+            world.call_socket.recv(1, socket.MSG_PEEK)
         world.hand_over()
-        assert world.out.recv(1, socket.MSG_PEEK) == b""  # no turn of the loop has passed
+        assert world.call_socket.recv(1, socket.MSG_PEEK) == b""  # before another turn of the loop
         assert world.successor.calls == [] and key == ("m1", 0)
         assert b'"outcome":"cancelled"' in b"".join(world.successor.lines)
         await soon(world.receiver.ends.get())
--- a/tests/test_sender_drain.py
+++ b/tests/test_sender_drain.py
@@ -1,5 +1,5 @@
-"""The message sender's process while it leaves: by SIGTERM, by handing over, and by both at once, with
-clients that use their connections until it is gone."""
+"""Stopping the sender's process by SIGTERM, by a handover, and by both at once, with clients that use their
+connections until it ends."""
 
 import asyncio
 import json
@@ -17,15 +17,15 @@
 from test_process import running, start, wait_for
 
 import message_sender.__main__ as sender_main
-from message_sender.net.handover import Estate
+from message_sender.net.handover import HandoverState
 
 CLIENTS = 8
 READY_LINE = rb"ready on (\S+):(\d+)"
-LOSS_SLACK_S = 0.2  # by which a request may cross the close of its connection
+LOSS_SLACK_S = 0.2  # s by which a request may cross the close of its connection
 
 
 class Receiver(Peer):
-    """An endpoint that takes every message after a moment."""
+    """An endpoint that accepts every message after a short delay."""
 
     def __init__(self, chance: random.Random) -> None:
         super().__init__()
@@ -38,8 +38,9 @@
         asyncio.get_running_loop().call_later(delay_s, request.answer, 200)
 
 
-class Notified(Platform):
-    """Discovery that answers notices: `told` are the messages whose end was told of, other than delivered."""
+class NotifiedDiscovery(Platform):
+    """A discovery service that answers notices; `told` has the messages reported as ended other than by
+    delivery."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -54,24 +55,24 @@
 
 
 @dataclass(slots=True)
-class HandIn:
-    """One message that a client handed in. Times are steady s."""
+class SentMessage:
+    """A message that a client sent. Times are s of the monotonic clock."""
 
     id: str
     sent: float = 0.0
     ended: float = 0.0
-    status: int = 0  # 0: the connection ended first
+    status: int = 0  # 0: the connection closed first
 
 
 @dataclass(slots=True)
-class KeptClient:
-    """Hands message after message in on the same connection, and takes a new one where that ends."""
+class PersistentClient:
+    """Sends messages on one connection, and opens a new one when it closes."""
 
     number: int
     address: Any
     chance: random.Random
     gone: asyncio.Event
-    handed_in: list[HandIn] = field(default_factory=list)
+    handed_in: list[SentMessage] = field(default_factory=list)
 
     async def run(self) -> None:
         while not self.gone.is_set():
@@ -89,11 +90,11 @@
                 writer.close()
 
     async def hand_in(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Whether the connection stands."""
-        one = HandIn(f"m{self.number}-{len(self.handed_in)}")
-        data = message(one.id)
+        """Sends a message; returns whether the connection stays open."""
+        sent_message = SentMessage(f"m{self.number}-{len(self.handed_in)}")
+        data = message(sent_message.id)
         cut = self.chance.choice([len(data), len(data), len(data) - 1])
-        self.handed_in.append(one)
+        self.handed_in.append(sent_message)
         try:
             writer.write(data[:cut])
             if cut < len(data):
@@ -101,18 +102,18 @@
                 writer.write(data[cut:])
             if reader.at_eof():
                 return False
-            one.sent = time.monotonic()
+            sent_message.sent = time.monotonic()
             head = await soon(reader.readuntil(b"\r\n\r\n"))
             reply = Reply(head, b"")
-            one.status = reply.status
+            sent_message.status = reply.status
             await soon(reader.readexactly(int(reply.headers["content-length"])))
             return reply.headers.get("connection") != "close"
         finally:
-            one.ended = time.monotonic()
+            sent_message.ended = time.monotonic()
 
 
-def lost(clients: list[KeptClient]) -> list[HandIn]:
-    """Whole requests that ended without an answer, other than by crossing the close."""
+def unanswered(clients: list[PersistentClient]) -> list[SentMessage]:
+    """Complete requests without a response, except those that crossed the close of their connection."""
     return [
         each
         for client in clients
@@ -122,18 +123,18 @@
 
 
 class Scene:
-    """Clients, an endpoint, and processes of one sender that follow one another."""
+    """Clients, an endpoint, and successive processes of one sender."""
 
-    def __init__(self, seed: int, state: Path, receiver: Receiver, platform: Notified) -> None:
+    def __init__(self, seed: int, state: Path, receiver: Receiver, platform: NotifiedDiscovery) -> None:
         self.chance, self.state = random.Random(seed), state
         self.receiver, self.platform = receiver, platform
         self.told = config_json(platform, host(receiver.dial))
-        self.gone = asyncio.Event()  # clients end
-        self.clients: list[KeptClient] = []
+        self.gone = asyncio.Event()  # stops the clients
+        self.clients: list[PersistentClient] = []
 
     async def begin(self, address: Any) -> None:  # noqa: ANN401
-        """Clients hand messages in from now on."""
-        self.clients = [KeptClient(n, address, self.chance, self.gone) for n in range(CLIENTS)]
+        """Starts the clients."""
+        self.clients = [PersistentClient(n, address, self.chance, self.gone) for n in range(CLIENTS)]
         self.tasks = [asyncio.ensure_future(each.run()) for each in self.clients]
         await asyncio.sleep(0.5)
 
@@ -142,10 +143,11 @@
         return await start(self.told, self.state)
 
     async def check(self) -> None:
-        """Nothing that was read is unanswered, and what was taken on comes to its end."""
+        """Checks that every request was answered, and that every accepted message was delivered or reported
+        as ended."""
         self.gone.set()
         await soon(asyncio.gather(*self.tasks))
-        assert lost(self.clients) == []
+        assert unanswered(self.clients) == []
         handed_in = [each for client in self.clients for each in client.handed_in]
         taken = {each.id for each in handed_in if each.status in (200, 202)}
         assert len(taken) > CLIENTS
@@ -185,8 +187,8 @@
 
 
 async def catches_sigterm(process: asyncio.subprocess.Process) -> None:
-    """Returns once the process has a handler of SIGTERM: before that the interpreter is still starting, which
-    takes a busy machine longer than any time that a test could sleep."""
+    """Returns once the process handles SIGTERM. Before that the interpreter is still starting, for an
+    unbounded time on a busy machine."""
     status = Path(f"/proc/{process.pid}/status")
     async with asyncio.timeout(10):
         while True:
@@ -199,7 +201,7 @@
 async def leave_while_the_successor_is_told_to_end(
     scene: Scene, process: asyncio.subprocess.Process
 ) -> asyncio.subprocess.Process:
-    """The successor gets SIGTERM as it starts or takes over; it ends in order, whatever it has by then."""
+    """The successor gets SIGTERM while it starts or takes over, and must exit cleanly at any point."""
     first = await scene.successor()
     await catches_sigterm(first)
     await asyncio.sleep(scene.chance.uniform(0.0, 0.2))
@@ -219,7 +221,7 @@
     async def test(_: Path) -> None:
         state = tmp_path / "state"
         state.mkdir()
-        async with Receiver(random.Random(seed)) as receiver, Notified() as platform:
+        async with Receiver(random.Random(seed)) as receiver, NotifiedDiscovery() as platform:
             scene = Scene(seed, state, receiver, platform)
             async with running(scene.told, state) as (process, address):
                 await scene.begin(address)
@@ -233,37 +235,37 @@
     play(test)(tmp_path)
 
 
-def test_a_sender_can_be_told_to_end_before_anything_is_handed_over_to_it(
+def test_sigterm_before_the_handover_ends_the_sender_cleanly(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It ends in order while it still waits for its folder."""
+    """It exits cleanly while it waits for the state folder."""
 
     async def scene() -> int:
         loop = asyncio.get_running_loop()
 
-        async def wait_forever(folder: Path) -> Estate:
+        async def wait_forever(folder: Path) -> HandoverState:
             loop.call_soon(os.kill, os.getpid(), signal.SIGTERM)
             return await loop.create_future()
 
-        monkeypatch.setattr(sender_main, "come_into", wait_forever)
+        monkeypatch.setattr(sender_main, "acquire_state_folder", wait_forever)
         async with Platform() as platform:
             return await soon(sender_main.serve(sender_main.config_from(config_json(platform), tmp_path)))
 
     assert asyncio.run(scene()) == 0
 
 
-def test_a_sender_that_was_told_to_end_as_it_took_over_ends_in_order(
+def test_sigterm_during_the_handover_ends_the_sender_cleanly(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scene() -> int:
-        come_into = sender_main.come_into
+        acquire_state_folder = sender_main.acquire_state_folder
 
-        async def told_meanwhile(folder: Path) -> Estate:
-            estate = await come_into(folder)
+        async def signalled_meanwhile(folder: Path) -> HandoverState:
+            handover = await acquire_state_folder(folder)
             os.kill(os.getpid(), signal.SIGTERM)
-            return estate
+            return handover
 
-        monkeypatch.setattr(sender_main, "come_into", told_meanwhile)
+        monkeypatch.setattr(sender_main, "acquire_state_folder", signalled_meanwhile)
         async with Platform() as platform:
             return await soon(sender_main.serve(sender_main.config_from(config_json(platform), tmp_path)))
 
