--- a/plumline/__init__.py
+++ b/plumline/__init__.py
@@ -1,3 +1,3 @@
-"""plumline: a router fleet with an index of kept prompts, and the core that runs it."""
+"""plumline: a router fleet with a prefix-cache index, and the replicated core that coordinates it."""
 
 __version__ = "0.1.0"
--- a/plumline/checks.py
+++ b/plumline/checks.py
@@ -1,4 +1,4 @@
-"""Checks of files for the command line: each finds every fault at once."""
+"""File checks of the command line; each reports every fault."""
 
 import re
 from collections.abc import Callable
@@ -17,14 +17,14 @@
 
 
 def load_configuration(path: str) -> Document:
-    """The valid configuration in the file. Raises OSError; ConfigurationInvalidError with every fault."""
+    """Loads and validates a configuration. Raises OSError, or ConfigurationInvalidError with every fault."""
     document = parse_document(read_file(path))
     validate(document)
     return document
 
 
 def collect_faults(load: Callable[[str], object], path: str) -> list[str]:
-    """The faults, a line each, for which `load` rejects the file; none if it loads."""
+    """The faults for which `load` rejects the file, one line each; empty if it loads."""
     try:
         load(path)
     except PlumlineError as error:
@@ -33,6 +33,6 @@
 
 
 def split_fault_line(line: str) -> dict[str, str]:
-    """A fault's text, and its key, value and allowed values; of a line of another form the text alone."""
-    found = _FAULT_LINE.fullmatch(line)
-    return {"text": line, **(found.groupdict() if found else {})}
+    """Splits a fault line into key, value and allowed values; a line of another form has its text alone."""
+    match = _FAULT_LINE.fullmatch(line)
+    return {"text": line, **(match.groupdict() if match else {})}
--- a/plumline/cli.py
+++ b/plumline/cli.py
@@ -1,6 +1,6 @@
-"""The command line: one program; a role, a check or an operator's tool is a subcommand of it.
+"""The command line: roles, checks and operators' tools are subcommands of one program.
 
-What a subcommand does not need is not imported: a router's start is paid for.
+Each subcommand imports what it needs when it runs, to keep the start of a router short.
 """
 
 import asyncio
@@ -19,21 +19,21 @@
     from plumline.lab.local import Result
     from plumline.wire.calls import Answer
 
-EXIT_FAULTS = 1  # what was checked, sent or played is not in order
-EXIT_UNAVAILABLE = 69  # as sysexits' EX_UNAVAILABLE: no registrar gave a clear answer
-EXIT_FAILED = 70  # as EX_SOFTWARE: a role ended by a fault with a code, as a damaged store
-EXIT_SETTINGS = 78  # as EX_CONFIG
+EXIT_FAULTS = 1  # a check found faults, a change was refused, or a lab run failed
+EXIT_UNAVAILABLE = 69  # EX_UNAVAILABLE of sysexits.h: no registrar gave a clear answer
+EXIT_FAILED = 70  # EX_SOFTWARE: a role ended with a typed error, such as a damaged store
+EXIT_SETTINGS = 78  # EX_CONFIG: the settings are invalid
 
 Address = tuple[str, int]
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="One JSON value, for scripts.")
-FILE = click.argument("path", metavar="FILE", type=click.Path(exists=True, dir_okay=False))
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="One JSON value, for scripts.")
+FILE_ARGUMENT = click.argument("path", metavar="FILE", type=click.Path(exists=True, dir_okay=False))
 
 
 @click.group()
 @click.version_option(__version__, prog_name="plumline")
 @click.option("--log-level", default="INFO", show_default=True, help="DEBUG, INFO, WARNING or ERROR.")
 def main(log_level: str) -> None:
-    """A router fleet with an index of kept prompts, and the core that runs it."""
+    """A router fleet with a prefix-cache index, and the replicated core that coordinates it."""
     logs.configure(log_level)
 
 
@@ -41,27 +41,27 @@
 
 
 def run_role(role: str) -> None:
-    """Runs the role until it ends; ends the program if its settings or its store are at fault."""
+    """Runs the role until it ends; exits with an error status if the settings or the role fail."""
     from plumline import settings
-    from plumline.process_signals import run_to_end
+    from plumline.process_signals import run_and_block_signals
 
     try:
         loaded = settings.from_environment()
     except PlumlineError as error:
-        stop(error, EXIT_SETTINGS)
+        exit_with_error(error, EXIT_SETTINGS)
     if role == "router":
         from plumline.router.process import run
     else:
         from plumline.registrar.process import run
     try:
         file = settings.SettingsFile(os.environ.get(settings.SETTINGS_VARIABLE))
-        asyncio.run(run_to_end(run(loaded, file)))
+        asyncio.run(run_and_block_signals(run(loaded, file)))
     except PlumlineError as error:
-        stop(error, EXIT_FAILED)
+        exit_with_error(error, EXIT_FAILED)
 
 
-def stop(error: PlumlineError, status: int) -> NoReturn:
-    """Prints the error and ends the program with the status."""
+def exit_with_error(error: PlumlineError, status: int) -> NoReturn:
+    """Prints the error and exits with the status."""
     click.echo(f"{error.code}: {error.text}", err=True)
     sys.exit(status)
 
@@ -78,7 +78,7 @@
     run_role("registrar")
 
 
-# Checks. Each finds every fault at once and names key, value and what is allowed.
+# Checks. Each reports every fault, with the key, its value and the allowed values.
 
 
 @main.group()
@@ -87,8 +87,8 @@
 
 
 @check.command("settings")
-@FILE
-@AS_JSON
+@FILE_ARGUMENT
+@JSON_OPTION
 def check_settings(path: str, as_json: bool) -> None:
     """A process's settings file (TOML)."""
     from plumline import checks, settings
@@ -97,18 +97,18 @@
 
 
 @check.command("configuration")
-@FILE
-@AS_JSON
+@FILE_ARGUMENT
+@JSON_OPTION
 def check_configuration(path: str, as_json: bool) -> None:
-    """A whole configuration (JSON), as `configuration replace` sends it."""
+    """A complete configuration (JSON), as `configuration replace` sends it."""
     from plumline import checks
 
     report_faults(checks.collect_faults(checks.load_configuration, path), as_json)
 
 
 @check.command("deploy")
-@FILE
-@AS_JSON
+@FILE_ARGUMENT
+@JSON_OPTION
 def check_deploy(path: str, as_json: bool) -> None:
     """The system's deploy file (TOML): its build, its system packages, its roles and where they run."""
     from plumline import checks, deploy_file
@@ -117,11 +117,11 @@
 
 
 def report_faults(faults: list[str], as_json: bool) -> None:
-    """Prints the faults and ends with the exit code that belongs to them."""
+    """Prints the faults and exits with EXIT_FAULTS if there are any, else 0."""
     from plumline.checks import split_fault_line
 
     if as_json:
-        click.echo(json.dumps({"valid": not faults, "faults": [split_fault_line(each) for each in faults]}))
+        click.echo(json.dumps({"valid": not faults, "faults": [split_fault_line(fault) for fault in faults]}))
     else:
         click.echo("\n".join(faults) or "no fault")
     sys.exit(EXIT_FAULTS if faults else 0)
@@ -131,7 +131,7 @@
 
 
 class AddressType(click.ParamType):
-    """An IP:PORT on the command line."""
+    """An IP:PORT option or argument."""
 
     name = "IP:PORT"
 
@@ -141,14 +141,14 @@
         param: click.Parameter | None,
         ctx: click.Context | None,
     ) -> Address:
-        """The address as a pair; a fault of usage for another text."""
+        """The address as a (host, port) pair; fails with a usage error for other text."""
         from plumline.configuration.rules import ADDRESS, parse_address
 
-        found = value if isinstance(value, tuple) else parse_address(value)
-        return found or self.fail(f"{value!r} is not allowed; allowed: {ADDRESS.allowed}", param, ctx)
+        address = value if isinstance(value, tuple) else parse_address(value)
+        return address or self.fail(f"{value!r} is not allowed; allowed: {ADDRESS.allowed}", param, ctx)
 
 
-ADDRESSES = click.option(
+ADDRESS_OPTION = click.option(
     "--address",
     "addresses",
     type=AddressType(),
@@ -156,10 +156,10 @@
     required=True,
     help="A registrar's; may be given more than once.",
 )
-PATIENCE = click.option(
+PATIENCE_OPTION = click.option(
     "--patience", type=click.FloatRange(min=0), default=20.0, show_default=True, help="Seconds to ask."
 )
-BASED_ON = click.option(
+BASED_ON_OPTION = click.option(
     "--based-on",
     type=click.IntRange(min=0),
     required=True,
@@ -173,95 +173,97 @@
 
 
 @configuration.command("read")
-@ADDRESSES
-@PATIENCE
-@AS_JSON
+@ADDRESS_OPTION
+@PATIENCE_OPTION
+@JSON_OPTION
 def configuration_read(addresses: tuple[Address, ...], patience: float, as_json: bool) -> None:
     """The configuration in place: a summary, or all of it with --json (keys of tenants included)."""
     from plumline.operator_calls import listed_sections
 
-    document = present(addresses, patience)
+    document = fetch_configuration(addresses, patience)
     if as_json:
         click.echo(json.dumps(document))
         return
     click.echo(f"version {document['Version']}")
     for section in listed_sections(document):
-        names = [str(each.get("Name")) for each in document[section]]
+        names = [str(item.get("Name")) for item in document[section]]
         click.echo(f"{section} ({len(names)}): {', '.join(names)}")
 
 
 @configuration.command("replace")
-@FILE
-@ADDRESSES
-@BASED_ON
-@PATIENCE
-@AS_JSON
+@FILE_ARGUMENT
+@ADDRESS_OPTION
+@BASED_ON_OPTION
+@PATIENCE_OPTION
+@JSON_OPTION
 def configuration_replace(
     path: str, addresses: tuple[Address, ...], based_on: int, patience: float, as_json: bool
 ) -> None:
-    """Puts a whole configuration in place. It is checked here before it is sent."""
+    """Replaces the whole configuration. The file is validated here before it is sent."""
     from plumline.checks import load_configuration
 
-    change("configuration_replace", load_configuration, path, addresses, based_on, patience, as_json)
+    submit_change("configuration_replace", load_configuration, path, addresses, based_on, patience, as_json)
 
 
 @configuration.command("amend")
-@FILE
-@ADDRESSES
-@BASED_ON
-@PATIENCE
-@AS_JSON
+@FILE_ARGUMENT
+@ADDRESS_OPTION
+@BASED_ON_OPTION
+@PATIENCE_OPTION
+@JSON_OPTION
 def configuration_amend(
     path: str, addresses: tuple[Address, ...], based_on: int, patience: float, as_json: bool
 ) -> None:
-    """Changes items by name: Version, Upserts and Removals. The core checks what comes of it."""
+    """Changes items by name: Version, Upserts and Removals. The core validates the result."""
     from plumline import checks
     from plumline.configuration.document import parse_document
 
-    def parsed(path: str) -> dict[str, Any]:
+    def load_amendment(path: str) -> dict[str, Any]:
         return parse_document(checks.read_file(path))
 
-    change("configuration_amend", parsed, path, addresses, based_on, patience, as_json)
+    submit_change("configuration_amend", load_amendment, path, addresses, based_on, patience, as_json)
 
 
 @configuration.command("diff")
-@FILE
-@ADDRESSES
-@PATIENCE
-@AS_JSON
+@FILE_ARGUMENT
+@ADDRESS_OPTION
+@PATIENCE_OPTION
+@JSON_OPTION
 def configuration_diff(path: str, addresses: tuple[Address, ...], patience: float, as_json: bool) -> None:
     """What a `replace` by FILE would change; exit 0: nothing, 1: something. Keys of tenants stay hidden."""
     import dataclasses
 
     from plumline.checks import load_configuration
-    from plumline.operator_calls import differences, shown
+    from plumline.operator_calls import differences, format_value
 
     try:
-        wanted = load_configuration(path)
+        proposed = load_configuration(path)
     except PlumlineError as error:
-        stop(error, EXIT_FAULTS)
-    found = list(differences(present(addresses, patience), wanted))
+        exit_with_error(error, EXIT_FAULTS)
+    changed_fields = list(differences(fetch_configuration(addresses, patience), proposed))
     if as_json:
-        changes = [dataclasses.asdict(each) for each in found]
-        click.echo(json.dumps({"same": not found, "changes": changes}))
+        changes = [dataclasses.asdict(difference) for difference in changed_fields]
+        click.echo(json.dumps({"same": not changed_fields, "changes": changes}))
     else:
-        for each in found:
-            click.echo(f"{each.key}: {shown(each.before)} -> {shown(each.after)}")
-    sys.exit(EXIT_FAULTS if found else 0)
+        for difference in changed_fields:
+            click.echo(
+                f"{difference.key}: {format_value(difference.before)} -> {format_value(difference.after)}"
+            )
+    sys.exit(EXIT_FAULTS if changed_fields else 0)
 
 
-def present(addresses: tuple[Address, ...], patience: float) -> dict[str, Any]:
-    """The configuration in place; ends the program if there is none or nobody tells."""
-    from plumline.operator_calls import told
+def fetch_configuration(addresses: tuple[Address, ...], patience: float) -> dict[str, Any]:
+    """The current configuration; exits if there is none or no registrar answers."""
+    from plumline.operator_calls import error_summary
 
-    answer = ask(addresses, "configuration_read", None, None, patience)
+    answer = call_registrars(addresses, "configuration_read", None, None, patience)
     if answer.status != 200 or not isinstance(answer.json, dict):
-        click.echo(f"answered {answer.status} {told(answer)}", err=True)
+        click.echo(f"answered {answer.status} {error_summary(answer)}", err=True)
         sys.exit(EXIT_FAULTS)
     return answer.json
 
 
-def change(
+def submit_change(
     call: str,
     load: Callable[[str], dict[str, Any]],
     path: str,
@@ -270,39 +272,39 @@
     patience: float,
     as_json: bool,
 ) -> None:
-    """Checks a file, sends it as a change and prints what came of it; ends the program."""
-    from plumline.operator_calls import told
+    """Checks a file, sends it as a change, prints the result and exits."""
+    from plumline.operator_calls import error_summary
     from plumline.wire.calls import BASED_ON_VERSION
 
     try:
         body = load(path)
     except ConfigurationInvalidError as error:
-        stop(error, EXIT_FAULTS)
-    answer = ask(addresses, call, {BASED_ON_VERSION: str(based_on)}, body, patience)
-    taken = answer.status == 200
+        exit_with_error(error, EXIT_FAULTS)
+    answer = call_registrars(addresses, call, {BASED_ON_VERSION: str(based_on)}, body, patience)
+    accepted = answer.status == 200
     if as_json:
-        click.echo(json.dumps({"taken": taken, "status": answer.status, "answer": answer.json}))
-    elif taken:
+        click.echo(json.dumps({"taken": accepted, "status": answer.status, "answer": answer.json}))
+    elif accepted:
         click.echo(f"version {body['Version']} is in place")
     else:
-        click.echo(f"refused with {answer.status} {told(answer)}", err=True)
-    sys.exit(0 if taken else EXIT_FAULTS)
+        click.echo(f"refused with {answer.status} {error_summary(answer)}", err=True)
+    sys.exit(0 if accepted else EXIT_FAULTS)
 
 
-def ask(
+def call_registrars(
     addresses: tuple[Address, ...],
     call: str,
     headers: dict[str, str] | None,
     body: Any,  # noqa: ANN401
     patience: float,
 ) -> "Answer":
-    """One call to the first registrar that settles it; ends the program if none does."""
-    from plumline.operator_calls import settle
+    """Calls the registrars in turn until one gives a final answer; exits if none does."""
+    from plumline.operator_calls import call_until_answered
 
     try:
-        return asyncio.run(settle(list(addresses), call, headers, body, patience))
+        return asyncio.run(call_until_answered(list(addresses), call, headers, body, patience))
     except PlumlineError as error:
-        stop(error, EXIT_UNAVAILABLE)
+        exit_with_error(error, EXIT_UNAVAILABLE)
 
 
 # The lab.
@@ -310,7 +312,7 @@
 
 @main.group()
 def lab() -> None:
-    """The whole system on one machine, with stand-ins for what surrounds it."""
+    """Runs the whole system on one machine, with simulated clients, engines and platform."""
 
 
 @lab.command("run")
@@ -321,16 +323,16 @@
 @click.option("--engines", type=click.IntRange(1, 100), default=3, show_default=True, help="Endpoints.")
 @click.option("--speed", type=click.FloatRange(min=0.1), default=1.0, show_default=True, help="Of endpoints.")
 @click.option("--seed", type=int, default=1, show_default=True, help="Of the requests.")
-@AS_JSON
-def lab_run(as_json: bool, **how: Any) -> None:  # noqa: ANN401
-    """Starts real registrars and routers on loopback and sends requests; exit 0: all well, 1: not."""
+@JSON_OPTION
+def lab_run(as_json: bool, **options: Any) -> None:  # noqa: ANN401
+    """Starts real registrars and routers on loopback and sends requests; exit 0: no check failed, 1: some."""
     from plumline.lab import local
 
     try:
-        result = asyncio.run(local.run(**how))
+        result = asyncio.run(local.run(**options))
     except PlumlineError as error:
-        stop(error, EXIT_FAULTS)
-    click.echo(json.dumps(result_parts(result)) if as_json else local.table(result))
+        exit_with_error(error, EXIT_FAULTS)
+    click.echo(json.dumps(result_as_json(result)) if as_json else local.table(result))
     sys.exit(0 if result.good else EXIT_FAULTS)
 
 
@@ -340,18 +342,18 @@
 @click.option("--times", type=click.FloatRange(min=1), default=8.0, show_default=True, help="The usual rate.")
 @click.option("--bound", type=click.FloatRange(0, 1), default=0.9, show_default=True, help="Victims in time.")
 @click.option("--seed", type=int, default=1, show_default=True, help="Of the requests.")
-@AS_JSON
-def lab_flood(as_json: bool, **how: Any) -> None:  # noqa: ANN401
+@JSON_OPTION
+def lab_flood(as_json: bool, **options: Any) -> None:  # noqa: ANN401
     """One tenant floods all routers; how many of the others' answers are in time without and with a reserved
     share. Exit 0: with it, at least --bound of them and no rule broken; 1: not."""
     from plumline.lab import flood
 
     try:
-        found = asyncio.run(flood.compare(**how))
+        report = asyncio.run(flood.compare(**options))
     except PlumlineError as error:
-        stop(error, EXIT_FAULTS)
-    click.echo(json.dumps(found.parts()) if as_json else found.text())
-    sys.exit(0 if found.good else EXIT_FAULTS)
+        exit_with_error(error, EXIT_FAULTS)
+    click.echo(json.dumps(report.parts()) if as_json else report.text())
+    sys.exit(0 if report.good else EXIT_FAULTS)
 
 
 @lab.command("soak")
@@ -372,13 +374,15 @@
 
     from plumline.lab.soak.runner import SoakSize, run_seeds
 
-    kept = Path(logs) if logs else None
+    log_directory = Path(logs) if logs else None
     try:
-        found = asyncio.run(run_seeds(range(first_seed, first_seed + seeds), SoakSize(**size), kept))
+        results = asyncio.run(
+            run_seeds(range(first_seed, first_seed + seeds), SoakSize(**size), log_directory)
+        )
     except PlumlineError as error:
-        stop(error, EXIT_FAULTS)
-    broken = [each.seed for each in found if not each.good]
-    click.echo(f"{len(found)} seeds, {len(broken)} broken{': ' if broken else ''}{broken or ''}")
+        exit_with_error(error, EXIT_FAULTS)
+    broken = [result.seed for result in results if not result.good]
+    click.echo(f"{len(results)} seeds, {len(broken)} broken{': ' if broken else ''}{broken or ''}")
     sys.exit(EXIT_FAULTS if broken else 0)
 
 
@@ -386,20 +390,22 @@
 @click.option("--changes", type=click.IntRange(1, 10_000_000), default=1000, show_default=True)
 @click.option("--seed", type=click.IntRange(0), default=1, show_default=True, help="Of the changes.")
 @click.option("--report", type=click.Path(dir_okay=False, writable=True), help="Also writes JSON there.")
-@AS_JSON
+@JSON_OPTION
 def lab_configure(changes: int, seed: int, report: str | None, as_json: bool) -> None:
-    """Compares what routers make of random changes with a plain reading of the document; exit 0: the same, 1:
-    not. An interrupted run reports what it has seen."""
+    """Compares routers after random configuration changes with an independent evaluation of the document.
+
+    Exit 0: equal, 1: not. An interrupted run reports its results so far.
+    """
     from pathlib import Path
 
     from plumline.lab.differential.check import run_check
 
-    logs.configure("WARNING")  # routers log each configuration
-    found = run_check(seed, changes)
+    logs.configure("WARNING")  # routers log each new configuration
+    result = run_check(seed, changes)
     if report is not None:
-        Path(report).write_text(json.dumps(found.parts(), indent=1) + "\n")
-    click.echo(json.dumps(found.parts()) if as_json else found.text())
-    sys.exit(0 if found.good else EXIT_FAULTS)
+        Path(report).write_text(json.dumps(result.parts(), indent=1) + "\n")
+    click.echo(json.dumps(result.parts()) if as_json else result.text())
+    sys.exit(0 if result.good else EXIT_FAULTS)
 
 
 @lab.command("upgrade")
@@ -418,22 +424,22 @@
     from plumline.lab.soak.runner import SoakSize
     from plumline.lab.soak.upgrade import run_upgrade, upgrade_seconds
 
-    asked = SoakSize(**size)
-    planned = replace(asked, seconds=upgrade_seconds(asked))
+    requested = SoakSize(**size)
+    planned = replace(requested, seconds=upgrade_seconds(requested))
     try:
-        found = asyncio.run(run_upgrade(Path(old), Path(new), planned, Path(logs) if logs else None))
+        result = asyncio.run(run_upgrade(Path(old), Path(new), planned, Path(logs) if logs else None))
     except PlumlineError as error:
-        stop(error, EXIT_FAULTS)
-    click.echo(found.text())
-    sys.exit(0 if found.good else EXIT_FAULTS)
+        exit_with_error(error, EXIT_FAULTS)
+    click.echo(result.text())
+    sys.exit(0 if result.good else EXIT_FAULTS)
 
 
-def result_parts(result: "Result") -> dict[str, Any]:
-    """The result as plain values; a time that was not measured is null."""
+def result_as_json(result: "Result") -> dict[str, Any]:
+    """The result as JSON values; a time that was not measured is null."""
     from plumline.lab.clients import summary
 
     rows = summary(result.tallies)
-    classes = [{key: None if each != each else each for key, each in row.items()} for row in rows]
+    classes = [{key: None if value != value else value for key, value in row.items()} for row in rows]
     return {
         "good": result.good,
         "ready_s": result.ready_s,
@@ -442,5 +448,7 @@
         "exits": result.exits,
         "calls": result.calls,
         "classes": classes,
-        "breaches": [{"rule": each.rule, "id": each.id, "text": each.text} for each in result.breaches],
+        "breaches": [
+            {"rule": breach.rule, "id": breach.id, "text": breach.text} for breach in result.breaches
+        ],
     }
--- a/plumline/counters.py
+++ b/plumline/counters.py
@@ -1,46 +1,46 @@
-"""Counts of events, by name; the processes log a summary of them every few seconds."""
+"""Event counters by name; each process logs the changed ones every few seconds."""
 
 from collections.abc import Iterator, MutableMapping
 
 
 class Counters:
-    """Counts by name, from 0 at the start of the process."""
+    """Counters by name, which start at 0 with the process."""
 
-    __slots__ = ("_counts", "_reported")
+    __slots__ = ("_counts", "_last_reported")
 
     def __init__(self) -> None:
         self._counts: dict[str, int] = {}
-        self._reported: dict[str, int] = {}
+        self._last_reported: dict[str, int] = {}
 
     def add(self, name: str, count: int = 1) -> None:
-        """Count so many more under the name."""
+        """Adds `count` to the counter."""
         self._counts[name] = self._counts.get(name, 0) + count
 
     def get(self, name: str) -> int:
-        """The count; 0 if nothing was counted."""
+        """The value of the counter; 0 if it does not exist."""
         return self._counts.get(name, 0)
 
     def group(self, name: str) -> MutableMapping[str, int]:
-        """The counts called NAME.KEY as a mapping by KEY, for code that counts in a plain mapping."""
+        """The counters named NAME.KEY as a mapping by KEY, for code that counts in a plain mapping."""
         return CounterGroup(self._counts, f"{name}.")
 
     def snapshot(self) -> dict[str, int]:
-        """All counts as they are now."""
+        """A copy of all counters."""
         return dict(self._counts)
 
     def changed_lines(self) -> list[str]:
-        """A log line for each count that has changed since the last call, sorted by name."""
+        """A log line for each counter that has changed since the last call, sorted by name."""
         lines = [
-            f"counter={name} total={count} change={count - self._reported.get(name, 0)}"
+            f"counter={name} total={count} change={count - self._last_reported.get(name, 0)}"
             for name, count in sorted(self._counts.items())
-            if count != self._reported.get(name, 0)
+            if count != self._last_reported.get(name, 0)
         ]
-        self._reported = dict(self._counts)
+        self._last_reported = dict(self._counts)
         return lines
 
 
 class CounterGroup(MutableMapping[str, int]):
-    """The counts whose names begin with `prefix`, by what follows it; a view, not a copy."""
+    """The counters whose names begin with `prefix`, keyed by the rest of the name; a view, not a copy."""
 
     __slots__ = ("_counts", "_prefix")
 
--- a/plumline/deploy_file.py
+++ b/plumline/deploy_file.py
@@ -1,6 +1,6 @@
-"""Checks of the deploy file: its keys, the packages that its build needs, and its roles.
+"""Validates the deploy file: its keys, the packages that its build needs, and its roles.
 
-A role is a program that runs on one class of machines, on a share of them or a count.
+A role is a program that runs on one class of machines, either on a share of them or on a fixed number.
 """
 
 import re
@@ -24,12 +24,13 @@
 CALLERS = ("edge", "control_plane")
 MAX_ROLES_ON_A_MACHINE = 2
 
-# The Debian packages that bring each program which a build may call. `python3 -m pip` fetches over HTTPS.
+# Debian packages that provide each program a build may call. `python3 -m pip` downloads over HTTPS and
+# therefore needs ca-certificates.
 PROGRAM_PACKAGES: Mapping[str, tuple[str, ...]] = {
     "python3": ("python3",),
     "python3 -m pip": ("python3", "python3-pip", "ca-certificates"),
 }
-# Keywords and builtins of the shell; the shell is in Debian's essential set, which every machine has.
+# Keywords and builtins of the shell, which is one of Debian's essential packages and always installed.
 SHELL_BUILTINS = frozenset(
     "[ : ! cd do done echo elif else exit export fi for if set test then true false while".split()
 )
@@ -58,11 +59,11 @@
     },
 )
 
-Role = dict[str, Any]  # the table of one role, as the file has it
+Role = dict[str, Any]  # the table of one role in the deploy file
 
 
 def deploy_faults(raw: bytes) -> list[str]:
-    """Every fault of a deploy file: its keys, its packages, then conflicts between its roles."""
+    """Every fault of a deploy file: in its keys and packages first, then conflicts between its roles."""
     try:
         deploy = tomllib.loads(raw.decode("utf-8"))
     except ValueError as error:
@@ -73,10 +74,10 @@
     roles = deploy.get("roles")
     valid_roles: dict[str, Role] = {}
     for name, role in roles.items() if isinstance(roles, dict) else ():
-        found = _role_faults(f"roles.{name}", role)
-        if not found:
+        role_faults = _role_faults(f"roles.{name}", role)
+        if not role_faults:
             valid_roles[name] = role
-        faults += found
+        faults += role_faults
     for machine_class in MACHINE_CLASSES:
         roles_of_class = {name: role for name, role in valid_roles.items() if role["on"] == machine_class}
         faults += _machine_class_faults(machine_class, roles_of_class)
@@ -84,7 +85,7 @@
 
 
 def package_faults(build: str, packages: list[str]) -> list[str]:
-    """A fault for each program of the build line that no listed package brings, and for each repetition."""
+    """Faults for programs of the build line that no listed package provides, and for repeated packages."""
     faults: list[str] = []
     if len(set(packages)) < len(packages):
         faults.append(fault_line("packages", packages, "a list that names each package once"))
@@ -106,29 +107,29 @@
 
 
 def programs_called(build: str) -> Iterator[str]:
-    """The programs that the shell text calls; a Python module with its interpreter, as `python3 -m pip`.
+    """The programs that the shell text calls; a Python module includes its interpreter, as `python3 -m pip`.
 
-    What stands inside quotation marks is not searched. ValueError: a quotation that is not closed.
+    Quoted text is not searched. Raises ValueError if a quotation is not closed.
     """
-    words = shlex.shlex(build, posix=True, punctuation_chars=SEPARATORS)
-    words.whitespace = " \t\r"
-    words.whitespace_split = True
+    tokens = shlex.shlex(build, posix=True, punctuation_chars=SEPARATORS)
+    tokens.whitespace = " \t\r"
+    tokens.whitespace_split = True
     command: list[str] = []
-    is_target = False  # the word after a redirection names a file
-    for word in [*words, ";"]:
-        if set(word) <= set(SEPARATORS):
-            is_target = bool(set(word) & set(REDIRECTIONS))
-            if not is_target:
+    is_redirection_target = False  # whether the next token is the file name of a redirection
+    for token in [*tokens, ";"]:
+        if set(token) <= set(SEPARATORS):
+            is_redirection_target = bool(set(token) & set(REDIRECTIONS))
+            if not is_redirection_target:
                 yield from _program_of(command)
                 command = []
-        elif is_target:
-            is_target = False
+        elif is_redirection_target:
+            is_redirection_target = False
         else:
-            command.append(word)
+            command.append(token)
 
 
 def _program_of(command: list[str]) -> Iterator[str]:
-    """The program that one command calls; none for the shell's own builtins and for assignments."""
+    """The program that one command calls; none for shell builtins and assignments."""
     while command and (re.match(r"\w+=", command[0]) or command[0] in ("if", "then", "else", "do", "!")):
         command = command[1:]
     if not command or command[0] in SHELL_BUILTINS:
@@ -140,7 +141,7 @@
 
 
 def _role_faults(key: str, role: object) -> list[str]:
-    """The faults of one role's table, which stands under the key."""
+    """The faults of one role's table; `key` is its path in the file."""
     if not isinstance(role, dict):
         return [fault_line(key, role, OBJECT.allowed)]
     faults = ROLE_SCHEMA.faults(role, key)
@@ -150,20 +151,21 @@
 
 
 def _machine_class_faults(machine_class: str, roles: dict[str, Role]) -> list[str]:
-    """Faults of the roles on one class of machines that only show when they are taken together."""
+    """Conflicts between the roles on one class of machines."""
     key = f"roles on {machine_class}"
     faults: list[str] = []
     for caller in CALLERS:
         serving = [name for name, role in roles.items() if caller in role.get("serves", ())]
         if len(serving) > 1:
             faults.append(fault_line(key, serving, f"one role that serves {caller!r}"))
-    for apart in (False, True):  # the first and the last machine of a zone
-        together = [
+    # Roles with `apart` start at the last machine of a zone, the others at the first.
+    for apart in (False, True):
+        on_same_machine = [
             name
             for name, role in roles.items()
             if role.get("apart", False) is apart or role.get("share") == 1
         ]
-        if len(together) > MAX_ROLES_ON_A_MACHINE:
-            faults.append(fault_line(key, together, "up to two roles on a machine"))
+        if len(on_same_machine) > MAX_ROLES_ON_A_MACHINE:
+            faults.append(fault_line(key, on_same_machine, "up to two roles on a machine"))
             break
     return faults
--- a/plumline/logs.py
+++ b/plumline/logs.py
@@ -1,10 +1,10 @@
-"""Log lines of an event and its key=value fields on standard error. None per request: there are counters."""
+"""Structured log lines (event and key=value fields) on standard error. Requests are counted, not logged."""
 
 import sys
 
 try:
     import picologging as logging
-except ImportError:  # a machine for which there is no build of it
+except ImportError:  # picologging has no build for this platform
     import logging
 
 FORMAT = "level=%(levelname)s part=%(name)s %(message)s"
@@ -12,7 +12,7 @@
 
 
 def configure(level: str = "INFO") -> None:
-    """Send lines of `level` (a name as in logging) and above to standard error, whatever was set before."""
+    """Logs `level` (a level name of `logging`) and above to standard error; replaces earlier handlers."""
     root = logging.getLogger()
     for handler in list(root.handlers):
         root.removeHandler(handler)
@@ -23,12 +23,12 @@
 
 
 def logger(name: str) -> logging.Logger:
-    """The logger of a part of the program; `name` is the `part` of its lines."""
+    """The logger of one component; `name` is the `part` field of its lines."""
     return logging.getLogger(name)
 
 
 def event(name: str, /, **fields: object) -> str:
-    """The message `event=NAME key=value ...`; a value with spaces, quotes or line ends is quoted."""
+    """The message `event=NAME key=value ...`; values with spaces, quotes or line breaks are quoted."""
     return " ".join(f"{key}={_field_value(value)}" for key, value in {"event": name, **fields}.items())
 
 
--- a/plumline/process_signals.py
+++ b/plumline/process_signals.py
@@ -1,4 +1,4 @@
-"""The platform's signals to a process: SIGTERM to end, SIGHUP to read the settings again."""
+"""Handling of the platform's signals: SIGTERM ends the process, SIGHUP reloads the settings."""
 
 import asyncio
 import signal
@@ -13,24 +13,23 @@
 def handle_signals(
     loop: asyncio.AbstractEventLoop, on_terminate: Callable[[], None], on_reload: Callable[[], None]
 ) -> None:
-    """Installs the handlers. Called before the process takes anything on: without a handler, a signal ends it
-    at once."""
+    """Installs the handlers. Call it before any other work: without a handler, a signal kills the process."""
     loop.add_signal_handler(signal.SIGTERM, on_terminate)
     loop.add_signal_handler(signal.SIGHUP, on_reload)
 
 
 def block_signals() -> None:
-    """For a process that has done its last work, and for a thread beside its main one: signals stay pending
-    there from now on, in child processes too.
+    """Blocks the handled signals in the calling thread and in child processes; they stay pending.
 
-    The event loop takes the handlers away as it closes, and the default action would then end the process
-    with the signal's status in place of 0.
+    Called in threads other than the main one, and by a process that has finished its work: the event loop
+    removes its handlers when it closes, and the default action would then end the process with the signal's
+    status instead of 0.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
-async def run_to_end(work: Coroutine[Any, Any, None]) -> None:
-    """Does the last work of this process, and blocks its signals before the event loop closes."""
+async def run_and_block_signals(work: Coroutine[Any, Any, None]) -> None:
+    """Awaits the work of the process, then blocks its signals before the event loop closes."""
     await work
     block_signals()
 
@@ -38,12 +37,12 @@
 async def finish_unless(
     event: asyncio.Event, work: Coroutine[Any, Any, Result]
 ) -> asyncio.Task[Result] | None:
-    """The finished task of the work; None, and the work is cancelled, if the event is set before it ends."""
-    working = asyncio.ensure_future(work)
-    waiting = asyncio.ensure_future(event.wait())
-    await asyncio.wait([working, waiting], return_when=asyncio.FIRST_COMPLETED)
-    waiting.cancel()
-    if working.done():
-        return working
-    working.cancel()
+    """Runs the work and returns its finished task; cancels it and returns None if the event is set first."""
+    work_task = asyncio.ensure_future(work)
+    event_task = asyncio.ensure_future(event.wait())
+    await asyncio.wait([work_task, event_task], return_when=asyncio.FIRST_COMPLETED)
+    event_task.cancel()
+    if work_task.done():
+        return work_task
+    work_task.cancel()
     return None
--- a/plumline/settings.py
+++ b/plumline/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of a process (TOML), read and validated as a whole; unknown fields are ignored.
+"""Loads and validates the TOML settings file of a process; unknown keys are ignored.
 
-The keys are those of docs/configuration.md; a field here is its key in snake case.
+The keys are documented in docs/configuration.md; each field here is the snake-case form of its key.
 """
 
 import os
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineLimits:
-    """What the process may use of its machine."""
+    """The share of its machine's resources that the process may use."""
 
     processor_share: float = 1.0
     processor_cores: float = 1
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The limits that the system is held to; the suffix of a name says its unit (seconds or milliseconds)."""
+    """The bounds that the system must meet; the suffix of a name is its unit (seconds or milliseconds)."""
 
     seed_lag_s: float = 3
     address_reuse_s: float = 2
@@ -83,12 +83,12 @@
 class Settings:
     """The settings of one process.
 
-    Units stand in the names (`_ms`, `_s`, `_per_s`); docs/configuration.md says what each is for.
+    The suffix of a name is its unit (`_ms`, `_s`, `_per_s`); docs/configuration.md describes each field.
     """
 
     node_name: str
     ip_address: str
-    internal_ports: tuple[int, int]  # first and last, both free
+    internal_ports: tuple[int, int]  # first and last port, both reserved for this process
     role: str = ""
     machine_class: str = ""
     serves: tuple[str, ...] = ()
@@ -118,12 +118,12 @@
 
     @property
     def seeds(self) -> list[str]:
-        """The seeds' internal addresses, "ip:port": all machines have the same ports."""
+        """The seeds' internal addresses as "ip:port"; every machine uses the same internal ports."""
         return [f"{ip}:{self.internal_ports[0]}" for ip, _ in self.seed_addresses]
 
     @property
     def internal_address(self) -> Address:
-        """Where this process listens for others of the system."""
+        """The address on which this process accepts connections from other processes of the system."""
         return self.ip_address, self.internal_ports[0]
 
 
@@ -150,10 +150,10 @@
     return "".join(part.capitalize() for part in name.split("_"))
 
 
-def _section_rules(kind: type) -> dict[str, Rule]:
-    """The rules for a section, by key: the fields of its dataclass in camel case or in snake case."""
+def _section_rules(section_type: type) -> dict[str, Rule]:
+    """Validation rules of a section by key; fields of its dataclass may be in camel or snake case."""
     rules: dict[str, Rule] = {}
-    for option in fields(kind):
+    for option in fields(section_type):
         if isinstance(option.default, bool):
             rule = BOOLEAN
         else:
@@ -162,7 +162,7 @@
     return rules
 
 
-COPIED_KEYS = (  # keys whose values are taken over as they are
+COPIED_KEYS = (  # keys whose values are copied without conversion
     "NodeName",
     "IpAddress",
     "Role",
@@ -210,7 +210,7 @@
 
 
 def load(path: str | os.PathLike[str]) -> Settings:
-    """The settings in the file. Raises SettingsInvalidError, which names every fault at once."""
+    """Loads the settings file. Raises SettingsInvalidError, which lists every fault."""
     try:
         raw = tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
@@ -222,20 +222,20 @@
 
 
 def from_environment(variables: Mapping[str, str] = os.environ) -> Settings:
-    """The settings in the file that PLUMLINE_BOOT names. Raises SettingsInvalidError, also if it is unset."""
+    """Loads the file that PLUMLINE_BOOT names. Raises SettingsInvalidError, also if the variable is unset."""
     path = variables.get(SETTINGS_VARIABLE)
     if not path:
         raise SettingsInvalidError(f"{SETTINGS_VARIABLE}: not set; allowed: the path of the settings file")
     return load(path)
 
 
-def _known_fields(kind: type, section: Mapping[str, Any]) -> dict[str, Any]:
-    names = {option.name for option in fields(kind)}
+def _known_fields(section_type: type, section: Mapping[str, Any]) -> dict[str, Any]:
+    names = {option.name for option in fields(section_type)}
     return {_snake_case(key): value for key, value in section.items() if _snake_case(key) in names}
 
 
 def _settings(raw: dict[str, Any]) -> Settings:
-    """The settings of a table that has passed SCHEMA. What the file leaves out keeps its default."""
+    """Builds the settings from a table that has passed SCHEMA. Missing keys get their defaults."""
     copied = {_snake_case(key): raw[key] for key in COPIED_KEYS if key in raw}
     listen, losses, cloud = (raw.get(key, {}) for key in ("ListenAddresses", "FaultTolerance", "CloudApi"))
     zones = raw.get("Zones", {})
@@ -264,18 +264,18 @@
 
 
 class SettingsFile:
-    """The file on disk, polled for changes: it may be rewritten with SIGHUP or without a signal."""
+    """The settings file on disk, polled for changes: it may be rewritten with or without a SIGHUP."""
 
     CHECK_INTERVAL_S = 2.0
 
     def __init__(self, path: str | os.PathLike[str] | None) -> None:
-        """None: there is no file, and nothing ever changes."""
+        """A `path` of None means that there is no file and `poll` never returns settings."""
         self._path = path
         self._fingerprint = self._current_fingerprint()
-        self._next_check_at = 0.0  # steady seconds
+        self._next_check_at = 0.0  # in seconds of the monotonic clock
 
     def _current_fingerprint(self) -> tuple[int, int] | None:
-        """Time of change in ns and size in bytes; None if the file can't be found."""
+        """Modification time in ns and size in bytes; None if the file can't be found."""
         if self._path is None:
             return None
         try:
@@ -285,14 +285,14 @@
         return status.st_mtime_ns, status.st_size
 
     def request_reload(self) -> None:
-        """SIGHUP: the next poll reads the file, whether it looks changed or not."""
+        """Makes the next poll read the file even if it looks unchanged. Called on SIGHUP."""
         self._fingerprint, self._next_check_at = None, 0.0
 
     def poll(self, now: float) -> Settings | None:
-        """New settings if the file was written since they were last read; else None. `now` in steady seconds.
+        """Returns new settings if the file has changed since it was last read, else None.
 
-        The file is checked every CHECK_INTERVAL_S at most. One that can't be read or is not valid is read
-        again at the next check: the settings in force stay so.
+        `now` is in seconds of the monotonic clock. The file is checked at most every CHECK_INTERVAL_S. If it
+        can't be read or is invalid, the current settings stay in force and the next check reads it again.
         """
         if self._path is None or now < self._next_check_at:
             return None
--- a/tests/frozen_adapter.py
+++ b/tests/frozen_adapter.py
@@ -36,7 +36,7 @@
 from plumline import logs, settings
 from plumline.cli import main
 from plumline.errors import PlumlineError
-from plumline.operator_calls import settle
+from plumline.operator_calls import call_until_answered
 from plumline.registrar import durable_state
 from plumline.registrar import process as registrar
 from plumline.router import process as router
@@ -185,8 +185,8 @@
 
 async def operate(addresses: list[tuple[str, int]], document: dict[str, Any]) -> None:
     """The operator's client reads the configuration, and puts another one on top of version 2."""
-    await settle(addresses, "configuration_read")
-    await settle(addresses, "configuration_replace", {"Based-On-Version": "2"}, document)
+    await call_until_answered(addresses, "configuration_read")
+    await call_until_answered(addresses, "configuration_replace", {"Based-On-Version": "2"}, document)
 
 
 def writer_at_once(file: Any, loop: asyncio.AbstractEventLoop, image: Callable[[], Any]) -> SynchronousWriter:  # noqa: ANN401
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -24,13 +24,13 @@
 serves = ["edge"]
 """
 ROLE = '[roles.{0}]\nrun = "python3 -m plumline router"\non = "edge"\n'
-PATIENCE = 20.0  # s; only a failing test waits so long
+TEST_TIMEOUT_S = 20.0
 DOCUMENT = configuration_for(3, "127.0.0.1:9")
 
 
 @pytest.fixture(autouse=True)
-def _logs_as_they_are(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The runner's streams are closed after a command: no log of a later test may go there."""
+def _unchanged_logging(monkeypatch: pytest.MonkeyPatch) -> None:
+    """CliRunner closes its streams after a command, so the log handlers of later tests must not use them."""
     monkeypatch.setattr(cli.logs, "configure", lambda level: None)
 
 
@@ -38,12 +38,12 @@
     return CliRunner().invoke(cli.main, [str(word) for word in words], env=variables)
 
 
-def play(test: Callable[[Path], Coroutine[Any, Any, None]]) -> Callable[[Path], None]:
-    def run(tmp_path: Path) -> None:
-        asyncio.run(asyncio.wait_for(test(tmp_path), PATIENCE))
+def run_async(test: Callable[[Path], Coroutine[Any, Any, None]]) -> Callable[[Path], None]:
+    def run_test(tmp_path: Path) -> None:
+        asyncio.run(asyncio.wait_for(test(tmp_path), TEST_TIMEOUT_S))
 
-    run.__name__, run.__doc__ = test.__name__, test.__doc__
-    return run
+    run_test.__name__, run_test.__doc__ = test.__name__, test.__doc__
+    return run_test
 
 
 # --- roles
@@ -81,7 +81,7 @@
     assert got.stderr.startswith("store-damaged: ")
 
 
-def test_an_unknown_command_or_file_is_a_fault_of_usage(tmp_path: Path) -> None:
+def test_an_unknown_command_or_file_is_a_usage_error(tmp_path: Path) -> None:
     assert invoke("sender").exit_code == 2
     assert invoke("check", "settings", tmp_path / "none.toml").exit_code == 2
     assert invoke("configuration", "read", "--address", "localhost:1").exit_code == 2
@@ -127,7 +127,7 @@
     assert (got.exit_code, result["valid"]) == ((1, False) if keys else (0, True))
 
 
-def test_a_configuration_is_checked_whole(tmp_path: Path) -> None:
+def test_a_configuration_is_checked_completely(tmp_path: Path) -> None:
     path = tmp_path / "configuration.json"
     path.write_text(json.dumps(DOCUMENT))
     assert invoke("check", "configuration", path).exit_code == 0
@@ -146,7 +146,7 @@
 
 
 class Registrars:
-    """Registrars that answer what they were told to, one answer after the other; the last one stays."""
+    """A server that stands in for registrars and returns scripted answers in order; the last one repeats."""
 
     def __init__(self, *answers: tuple[int, Any]) -> None:
         self.answers = list(answers)
@@ -172,22 +172,22 @@
         await self.server.stop()
 
     async def invoke(self, *words: object) -> Result:
-        """The command by its own loop in a thread, as from a shell."""
+        """Runs the command in a thread, with its own event loop, as from a shell."""
         words = ("configuration", *words, "--address", self.server.address)
         return await asyncio.to_thread(invoke, *words)
 
 
-async def without_pause(seconds: float) -> None:
-    """Stands in for the waits between tries."""
+async def no_backoff(seconds: float) -> None:
+    """Replaces the backoff between attempts."""
 
 
-async def settle(address: str, call: str = "configuration_read", **more: Any) -> Answer:  # noqa: ANN401
+async def call_until_answered(address: str, call: str = "configuration_read", **options: Any) -> Answer:  # noqa: ANN401
     host, _, port = address.rpartition(":")
-    pause: Callable[[float], Awaitable[None]] = without_pause
-    return await operator_calls.settle([(host, int(port))], call, pause=pause, **more)
+    sleep: Callable[[float], Awaitable[None]] = no_backoff
+    return await operator_calls.call_until_answered([(host, int(port))], call, sleep=sleep, **options)
 
 
-@play
+@run_async
 async def test_read_shows_a_summary_without_keys_and_all_with_json(_: Path) -> None:
     async with Registrars((200, DOCUMENT)) as registrars:
         got = await registrars.invoke("read")
@@ -199,16 +199,16 @@
         assert registrars.calls == [("GET", "/Configuration.Read", None, None)] * 2
 
 
-@play
-async def test_reading_where_nothing_is_in_place_fails_at_the_third_no(_: Path) -> None:
+@run_async
+async def test_reading_a_missing_configuration_fails_at_the_third_refusal(_: Path) -> None:
     async with Registrars((404, {"error": "not-found", "text": "none yet"})) as registrars:
         got = await registrars.invoke("read")
         assert (got.exit_code, got.stderr) == (1, "answered 404 not-found: none yet\n")
         assert len(registrars.calls) == 3
 
 
-@play
-async def test_a_replace_goes_out_as_it_is_in_the_file(tmp_path: Path) -> None:
+@run_async
+async def test_a_replace_is_sent_as_it_is_in_the_file(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
     path.write_text(json.dumps(DOCUMENT))
     async with Registrars((200, {"taken": True})) as registrars:
@@ -217,7 +217,7 @@
         assert registrars.calls == [("POST", "/Configuration.Replace", "2", DOCUMENT)]
 
 
-@play
+@run_async
 async def test_an_invalid_replace_is_not_sent(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
     path.write_text(json.dumps(DOCUMENT | {"Version": 0}))
@@ -228,8 +228,8 @@
         assert registrars.calls == []
 
 
-@play
-async def test_a_refused_amendment_is_told_with_its_code(tmp_path: Path) -> None:
+@run_async
+async def test_a_refused_amendment_is_reported_with_its_code(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
     path.write_text('{"Version": 5, "Removals": {"Routes": ["r"]}}')
     refusal = {"error": "version-conflict", "text": "version 4 is in place"}
@@ -245,67 +245,69 @@
         assert registrars.calls == [("POST", "/Configuration.Amend", "3", json.loads(path.read_text()))] * 2
 
 
-@play
-async def test_no_clear_answer_has_a_code_of_its_own(_: Path) -> None:
+@run_async
+async def test_no_clear_answer_has_its_own_exit_code(_: Path) -> None:
     async with Registrars((503, {"error": "unavailable"})) as registrars:
         got = await registrars.invoke("read", "--patience", 0)
         assert got.exit_code == cli.EXIT_UNAVAILABLE == 69
         assert got.stderr == "no-clear-answer: no clear answer in 0 s; the last: 503\n"
 
 
-@play
-async def test_a_call_moves_on_after_a_reset_a_5xx_and_a_429(_: Path) -> None:
+@run_async
+async def test_a_call_is_retried_after_a_reset_a_5xx_and_a_429(_: Path) -> None:
     async with Registrars((0, None), (503, {}), (429, {}), (200, DOCUMENT)) as registrars:
-        answer = await settle(registrars.server.address)
+        answer = await call_until_answered(registrars.server.address)
         assert (answer.status, answer.json) == (200, DOCUMENT)
         assert len(registrars.calls) == 4
 
 
-@play
-async def test_the_next_address_is_asked_when_one_is_down(_: Path) -> None:
+@run_async
+async def test_the_next_address_is_called_when_one_is_down(_: Path) -> None:
     async with Registrars((200, DOCUMENT)) as down, Registrars((200, DOCUMENT)) as up:
         addresses = [("127.0.0.1", down.server.port), ("127.0.0.1", up.server.port)]
         await down.server.stop()
-        answer = await operator_calls.settle(addresses, "configuration_read", pause=without_pause)
+        answer = await operator_calls.call_until_answered(addresses, "configuration_read", sleep=no_backoff)
         assert (answer.status, len(down.calls), len(up.calls)) == (200, 0, 1)
 
 
-@play
-async def test_a_307_is_followed_twice_and_not_more(_: Path) -> None:
+@run_async
+async def test_a_307_is_followed_at_most_twice(_: Path) -> None:
     async with Registrars((200, DOCUMENT)) as second, Registrars((307, "")) as first:
         first.answers = [(307, f"http://{second.server.address}/elsewhere?x=1")]
         second.answers = [(200, DOCUMENT)]
-        answer = await settle(first.server.address, "configuration_replace", headers={}, body=DOCUMENT)
+        answer = await call_until_answered(
+            first.server.address, "configuration_replace", headers={}, body=DOCUMENT
+        )
         assert answer.status == 200
         assert second.calls == [("POST", "/elsewhere?x=1", None, DOCUMENT)]
         first.calls.clear()
         first.answers = [(307, f"http://{first.server.address}/Configuration.Read")]
         with pytest.raises(operator_calls.NoClearAnswerError, match="307"):
-            await settle(first.server.address, patience_s=0)
+            await call_until_answered(first.server.address, timeout_s=0)
         assert len(first.calls) == 3
 
 
-@play
-async def test_a_307_to_no_address_is_no_answer(_: Path) -> None:
+@run_async
+async def test_a_307_without_an_address_is_not_an_answer(_: Path) -> None:
     async with Registrars((307, "http://elsewhere.example/")) as registrars:
         with pytest.raises(operator_calls.NoClearAnswerError):
-            await settle(registrars.server.address, patience_s=0)
+            await call_until_answered(registrars.server.address, timeout_s=0)
 
 
-@play
+@run_async
 async def test_diff_names_what_would_change_and_hides_keys(tmp_path: Path) -> None:
     path = tmp_path / "c.json"
-    wanted = json.loads(json.dumps(DOCUMENT))
+    proposed = json.loads(json.dumps(DOCUMENT))
     async with Registrars((200, DOCUMENT)) as registrars:
-        path.write_text(json.dumps(wanted))
+        path.write_text(json.dumps(proposed))
         got = await registrars.invoke("diff", path)
         assert (got.exit_code, got.stdout) == (0, "")
-        wanted["Version"] = 4
-        wanted["Routes"][0]["TimeoutMs"] = 1
-        del wanted["Routes"][1], wanted["Limits"]["IdleTimeoutMs"]
-        wanted["Tenants"][0]["ApiKeys"] = ["secret-one", "secret-two"]
-        wanted["Tenants"].append({"Name": "new", "ApiKeys": ["secret-three"]})
-        path.write_text(json.dumps(wanted))
+        proposed["Version"] = 4
+        proposed["Routes"][0]["TimeoutMs"] = 1
+        del proposed["Routes"][1], proposed["Limits"]["IdleTimeoutMs"]
+        proposed["Tenants"][0]["ApiKeys"] = ["secret-one", "secret-two"]
+        proposed["Tenants"].append({"Name": "new", "ApiKeys": ["secret-three"]})
+        path.write_text(json.dumps(proposed))
         got = await registrars.invoke("diff", path)
         assert got.exit_code == 1
         assert got.stdout.splitlines() == [
@@ -333,8 +335,8 @@
 def test_a_lab_run_that_does_not_start_ends_with_a_code(monkeypatch: pytest.MonkeyPatch) -> None:
     from plumline.lab import local
 
-    async def run(**how: Any) -> local.Result:  # noqa: ANN401
-        raise local.NotStartedError(f"{how['routers']} and {how['registrars']}")
+    async def run(**options: Any) -> local.Result:  # noqa: ANN401
+        raise local.NotStartedError(f"{options['routers']} and {options['registrars']}")
 
     monkeypatch.setattr(local, "run", run)
     got = invoke("lab", "run", "--routers", 2, "--registrars", 3)
@@ -342,7 +344,7 @@
 
 
 @pytest.mark.parametrize("exits", [{"edge-1": 0}, {"edge-1": 1}])
-def test_a_lab_run_prints_its_table_and_its_verdict(
+def test_a_lab_run_prints_its_table_and_its_result(
     monkeypatch: pytest.MonkeyPatch, exits: dict[str, int]
 ) -> None:
     from plumline.lab import local
@@ -352,7 +354,7 @@
     tally.outcomes["in-time"] += 1
     result = local.Result({"ask": tally}, [], 1.0, 0.5, read_back=True, exits=exits)
 
-    async def run(**how: Any) -> local.Result:  # noqa: ANN401
+    async def run(**options: Any) -> local.Result:  # noqa: ANN401
         return result
 
     monkeypatch.setattr(local, "run", run)
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -1,4 +1,4 @@
-"""Counters seen as a plain mapping, as the server counts in one."""
+"""Groups of counters used as a plain mapping, as the server does."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,10 +9,10 @@
 from plumline.wire.exchange import Exchange
 from plumline.wire.server import Server
 
-PATIENCE = 10.0  # s; only a failing test waits so long
+TEST_TIMEOUT_S = 10.0
 
 
-def test_a_group_counts_under_its_name_among_the_others() -> None:
+def test_a_group_counts_under_its_prefix() -> None:
     counters = Counters()
     counters.add("request-late", 2)
     counters.add("clients", 1)
@@ -31,7 +31,7 @@
     assert counters.changed_lines() == ["counter=clients.request-late total=3 change=1"]
 
 
-def test_a_group_is_a_mapping_of_its_own_counts_only() -> None:
+def test_a_group_contains_only_its_own_counters() -> None:
     counters = Counters()
     counters.add("links.renewed")
     group = counters.group("clients")
@@ -46,7 +46,7 @@
         del group["renewed"]
 
 
-def fail(_: Exchange) -> None:
+def failing_handler(_: Exchange) -> None:
     raise ValueError("a fault of the handler")
 
 
@@ -59,10 +59,10 @@
     ],
     ids=["malformed", "too-long", "failed"],
 )
-def test_what_a_server_counts_is_in_the_summary(sent: bytes, code: str) -> None:
+def test_the_summary_contains_the_counters_of_a_server(sent: bytes, code: str) -> None:
     counters = Counters()
 
-    async def play(handler: Callable[[Exchange], None]) -> None:
+    async def run_server(handler: Callable[[Exchange], None]) -> None:
         server = Server(handler, counters=counters.group("clients"))
         await server.listen(("127.0.0.1", 0))
         reader, writer = await asyncio.open_connection(*server.address())
@@ -71,5 +71,5 @@
         writer.close()
         server.end()
 
-    asyncio.run(asyncio.wait_for(play(fail), PATIENCE))
+    asyncio.run(asyncio.wait_for(run_server(failing_handler), TEST_TIMEOUT_S))
     assert counters.changed_lines() == [f"counter=clients.{code} total=1 change=1"]
--- a/tests/test_deploy_file.py
+++ b/tests/test_deploy_file.py
@@ -1,4 +1,4 @@
-"""The deploy file's packages against what its build calls and what the pinned libraries are linked with."""
+"""The packages of the deploy file cover the programs of its build and the libraries of its requirements."""
 
 import importlib.metadata
 import re
@@ -11,7 +11,7 @@
 
 ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy/system.toml").read_text())
-# Which Debian package brings each shared library; None: one of its essential set.
+# The Debian package that provides each shared library; None: one of the essential packages.
 LIBRARY_PACKAGES = {
     "ld-linux-x86-64.so.2": None,
     "libc.so.6": None,
@@ -23,13 +23,13 @@
 PIP = "python3 -m pip install -r requirements.txt"
 
 
-def test_the_packages_bring_every_program_of_the_build() -> None:
+def test_the_packages_provide_every_program_of_the_build() -> None:
     programs = set(programs_called(DEPLOY["build"]))
     assert programs == {"python3 -m pip"}
     assert {package for each in programs for package in PROGRAM_PACKAGES[each]} <= set(DEPLOY["packages"])
 
 
-def test_the_packages_bring_every_library_that_the_pinned_requirements_are_linked_with() -> None:
+def test_the_packages_provide_every_library_that_the_pinned_requirements_link() -> None:
     needed = set()
     for line in (ROOT / "requirements.txt").read_text().splitlines():
         name = line.partition("==")[0]
@@ -39,7 +39,7 @@
                     re.findall(rb"\0((?:lib|ld-)[\w+.-]+\.so\.[\d.]+)(?=\0)", file.locate().read_bytes())
                 )
     packages = {LIBRARY_PACKAGES[each.decode()] for each in needed}
-    assert "libstdc++6" in packages  # else nothing was found, and the list names too much
+    assert "libstdc++6" in packages  # otherwise the search found nothing, and the package is not needed
     assert packages - {None} <= set(DEPLOY["packages"])
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -62,7 +62,7 @@
 Duties = ["list"]
 LagMs = 800
 """
-LEAST = 'NodeName = "n"\nIpAddress = "10.0.0.1"\nInternalPortRange = [1, 2]\n'
+MINIMAL = 'NodeName = "n"\nIpAddress = "10.0.0.1"\nInternalPortRange = [1, 2]\n'
 
 
 @pytest.fixture
@@ -100,7 +100,7 @@
 
 
 def test_missing_fields_get_defaults(file: Path) -> None:
-    file.write_text(LEAST)
+    file.write_text(MINIMAL)
     found = load(file)
     assert found.bounds == Bounds() and found.limits == MachineLimits()
     assert (found.seed_addresses, found.front_http, found.cloud_api, found.data_directory) == (
@@ -112,8 +112,8 @@
     assert (found.first_start, found.loss_counted, found.machine_losses) == (False, False, 0)
 
 
-def test_the_region_comes_from_the_zones_where_it_is_missing(file: Path) -> None:
-    file.write_text(LEAST + 'Zone = "z"\n[Zones]\nz = "r"\n')
+def test_a_missing_region_is_taken_from_the_zones(file: Path) -> None:
+    file.write_text(MINIMAL + 'Zone = "z"\n[Zones]\nz = "r"\n')
     assert load(file).region == "r"
 
 
@@ -177,39 +177,39 @@
     counters = Counters()
     counters.add("b")
     counters.add("a", 5)
-    shown = counters.snapshot()
-    assert shown == {"a": 5, "b": 1} and counters.get("never") == 0
+    snapshot = counters.snapshot()
+    assert snapshot == {"a": 5, "b": 1} and counters.get("never") == 0
     assert counters.changed_lines() == ["counter=a total=5 change=5", "counter=b total=1 change=1"]
     counters.add("b", 2)
-    assert shown["b"] == 1
+    assert snapshot["b"] == 1
     assert counters.changed_lines() == ["counter=b total=3 change=2"]
     assert counters.changed_lines() == []
 
 
 def test_a_rewritten_file_is_read_at_the_next_check(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(LEAST)
+    path.write_text(MINIMAL)
     file = SettingsFile(path)
     assert file.poll(0.0) is None
-    path.write_text(LEAST + 'SeedAddresses = ["10.0.0.9:5"]\n')
+    path.write_text(MINIMAL + 'SeedAddresses = ["10.0.0.9:5"]\n')
     assert file.poll(SettingsFile.CHECK_INTERVAL_S / 2) is None  # not checked yet
     changed = file.poll(SettingsFile.CHECK_INTERVAL_S)
     assert changed is not None and changed.seeds == ["10.0.0.9:1"]
     assert file.poll(2 * SettingsFile.CHECK_INTERVAL_S) is None
-    # After SIGHUP it is read at once, also if nothing shows that it was written.
+    # After SIGHUP the file is read at once, even if it looks unchanged.
     file.request_reload()
     assert file.poll(2 * SettingsFile.CHECK_INTERVAL_S + 0.1) is not None
 
 
-def test_an_unreadable_file_changes_nothing_and_is_tried_again(tmp_path: Path) -> None:
+def test_an_unreadable_file_changes_nothing_and_is_read_again(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(LEAST)
+    path.write_text(MINIMAL)
     file = SettingsFile(path)
     path.write_text("NodeName = ")
     assert file.poll(10.0) is None
     path.unlink()
     assert file.poll(20.0) is None
-    path.write_text(LEAST + 'Zone = "z"\n')
+    path.write_text(MINIMAL + 'Zone = "z"\n')
     changed = file.poll(30.0)
     assert changed is not None and changed.zone == "z"
     assert SettingsFile(None).poll(1e9) is None
