--- a/plumline/lab/differential/__init__.py
+++ b/plumline/lab/differential/__init__.py
@@ -1,1 +1,1 @@
-"""A differential check of the configuration: routers after random changes against a plain reading of it."""
+"""Differential check of the configuration: compares routers after random changes with a reference model."""
--- a/plumline/lab/differential/documents.py
+++ b/plumline/lab/differential/documents.py
@@ -1,7 +1,7 @@
-"""Random configurations and changes, of every shape that the operators' interface takes. No I/O.
+"""Generates random configurations and changes of every form that the operators' interface accepts. No I/O.
 
-Names, hosts, prefixes and keys come from small pools, so that changes meet: names move to other items,
-prefixes overlap, sections go and come back. What is made need not be valid: the registrar's check decides.
+Names, hosts, prefixes and keys come from small pools, so that changes interact: names move to other items,
+prefixes overlap, sections disappear and return. Results may be invalid; the registrar's check decides.
 """
 
 import random
@@ -19,21 +19,21 @@
 TENANT_NAMES = tuple(f"tenant-{number}" for number in range(4))
 API_KEYS = tuple(f"key-{number}" for number in range(6))
 MAX_VERSION_STEP = 5
-BULK_ROUTES = 300  # of a large document: more than a chunk of the feed's frames
-BULK_CHANCE = 0.005
-SECTION_CHANCE = 0.9  # that a new document has a section
-REPLACE_CHANCE = 0.5  # of all changes; the others are Amends
-NEW_DOCUMENT_CHANCE = 0.1  # of a Replace: nothing is taken over from the document before
-KEEP_CHANCE = 0.8  # that a Replace takes over an item as it was
+BULK_ROUTES = 300  # in a large document: more than fit in one chunk of the feed
+BULK_PROBABILITY = 0.005
+SECTION_PROBABILITY = 0.9  # that a section is included in a Replace
+REPLACE_PROBABILITY = 0.5  # that a change is a Replace; otherwise it is an Amend
+NEW_DOCUMENT_PROBABILITY = 0.1  # that a Replace keeps nothing of the document before it
+KEEP_PROBABILITY = 0.8  # that a Replace keeps an item, and that a kept item is unchanged
 
 Item = dict[str, Any]
 
 
 class ChangeGenerator:
-    """Makes one change after the other, each on top of the document that is given with it."""
+    """Generates changes, each based on the document that is passed in."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
         self._items: dict[str, Callable[[], list[Item]]] = {
             "Routes": self._routes,
             "Services": self._services,
@@ -41,68 +41,68 @@
         }
 
     def change(self, current: Document | None) -> Change:
-        """A change on top of `current`; None: there is no configuration yet."""
+        """A change based on `current`, which is None if there is no configuration yet."""
         version = current["Version"] if current else 0
-        new_version = version + self.chance.randint(1, MAX_VERSION_STEP)
-        if current is None or self._happens(REPLACE_CHANCE):
+        new_version = version + self.rng.randint(1, MAX_VERSION_STEP)
+        if current is None or self._with_probability(REPLACE_PROBABILITY):
             return ["replace", version, self._replacement(current, new_version)]
         return ["amend", version, self._amendment(current, new_version)]
 
-    def _happens(self, share: float) -> bool:
-        return self.chance.random() < share
+    def _with_probability(self, probability: float) -> bool:
+        return self.rng.random() < probability
 
-    # Whole documents.
+    # Replaces.
 
     def _replacement(self, current: Document | None, version: int) -> Document:
-        if current is None or self._happens(NEW_DOCUMENT_CHANCE):
+        if current is None or self._with_probability(NEW_DOCUMENT_PROBABILITY):
             return self._new_document(version)
         new: Document = {"Version": version}
         for key, value in current.items():
-            if key != "Version" and self._happens(SECTION_CHANCE):
-                new[key] = self._edited(key, value) if key in SECTIONS else value
+            if key != "Version" and self._with_probability(SECTION_PROBABILITY):
+                new[key] = self._edited_items(key, value) if key in SECTIONS else value
         for section in SECTIONS:
-            if section not in new and self._happens(0.5):
+            if section not in new and self._with_probability(0.5):
                 new[section] = self._items[section]()
         return new | self._other_keys()
 
     def _new_document(self, version: int) -> Document:
         new: Document = {"Version": version}
         for section in SECTIONS:
-            if self._happens(SECTION_CHANCE):
+            if self._with_probability(SECTION_PROBABILITY):
                 new[section] = self._items[section]()
-        if self._happens(BULK_CHANCE):
+        if self._with_probability(BULK_PROBABILITY):
             new.setdefault("Routes", []).extend(self._bulk_routes())
         return new | self._other_keys()
 
-    def _edited(self, section: str, items: list[Item]) -> list[Item]:
-        """The items with some left out, some changed, some new, and now and then in another order."""
-        fresh = {item["Name"]: item for item in self._items[section]()}
+    def _edited_items(self, section: str, items: list[Item]) -> list[Item]:
+        """The items with some removed, some changed and some added; occasionally in another order."""
+        generated = {item["Name"]: item for item in self._items[section]()}
         edited = [
-            item if self._happens(KEEP_CHANCE) else fresh.pop(item["Name"], item)
+            item if self._with_probability(KEEP_PROBABILITY) else generated.pop(item["Name"], item)
             for item in items
-            if self._happens(KEEP_CHANCE)
+            if self._with_probability(KEEP_PROBABILITY)
         ]
         names = {item["Name"] for item in edited}
-        edited += [item for item in fresh.values() if item["Name"] not in names]
-        if self._happens(0.1):
-            self.chance.shuffle(edited)
+        edited += [item for item in generated.values() if item["Name"] not in names]
+        if self._with_probability(0.1):
+            self.rng.shuffle(edited)
         return edited
 
     def _other_keys(self) -> Document:
-        found: Document = {}
-        if self._happens(0.5):
-            found["Limits"] = self._limits()
-        if self._happens(0.2):
-            found["Other"] = self.chance.choice([1, "text", None, [], [1], [{"Name": "x"}], {"inner": []}])
-        return found
+        other_keys: Document = {}
+        if self._with_probability(0.5):
+            other_keys["Limits"] = self._limits()
+        if self._with_probability(0.2):
+            other_keys["Other"] = self.rng.choice([1, "text", None, [], [1], [{"Name": "x"}], {"inner": []}])
+        return other_keys
 
     def _limits(self) -> Item:
-        return self._some(
+        return self._random_subset(
             {
-                "HeaderLimitBytes": self.chance.choice([4096, 16384, None]),
-                "BodyLimitBytes": self.chance.choice([1024, 1 << 20, None]),
-                "HeaderTimeoutMs": self.chance.choice([500, 2000.5, None]),
-                "IdleTimeoutMs": self.chance.choice([5000, None]),
+                "HeaderLimitBytes": self.rng.choice([4096, 16384, None]),
+                "BodyLimitBytes": self.rng.choice([1024, 1 << 20, None]),
+                "HeaderTimeoutMs": self.rng.choice([500, 2000.5, None]),
+                "IdleTimeoutMs": self.rng.choice([5000, None]),
             }
         )
 
@@ -113,65 +113,67 @@
         upserts: dict[str, list[Item]] = {}
         removals: dict[str, list[str]] = {}
         for section in SECTIONS:
-            if self._happens(0.5):
-                upserts[section] = self._few(self._items[section]())
-            if self._happens(0.3):
+            if self._with_probability(0.5):
+                upserts[section] = self._sample_up_to_three(self._items[section]())
+            if self._with_probability(0.3):
                 present = [item["Name"] for item in current.get(section, [])]
                 upserted = {item["Name"] for item in upserts.get(section, [])}
-                removals[section] = [name for name in self._few(present) if name not in upserted]
-        if upserts or self._happens(0.5):
+                removals[section] = [
+                    name for name in self._sample_up_to_three(present) if name not in upserted
+                ]
+        if upserts or self._with_probability(0.5):
             body["Upserts"] = upserts
-        if removals or self._happens(0.5):
+        if removals or self._with_probability(0.5):
             body["Removals"] = removals
         return body | self._other_keys()
 
-    def _few(self, items: list[Any]) -> list[Any]:
-        return self.chance.sample(items, min(len(items), self.chance.randint(0, 3)))
+    def _sample_up_to_three(self, items: list[Any]) -> list[Any]:
+        return self.rng.sample(items, min(len(items), self.rng.randint(0, 3)))
 
     # Items.
 
-    def _names(self, names: tuple[str, ...]) -> list[str]:
-        return self.chance.sample(names, self.chance.randint(0, len(names)))
+    def _sample_names(self, names: tuple[str, ...]) -> list[str]:
+        return self.rng.sample(names, self.rng.randint(0, len(names)))
 
-    def _some(self, optional: Item) -> Item:
-        """Each field or not."""
-        return {key: value for key, value in optional.items() if self._happens(0.5)}
+    def _random_subset(self, optional: Item) -> Item:
+        """A random subset of the fields."""
+        return {key: value for key, value in optional.items() if self._with_probability(0.5)}
 
     def _routes(self) -> list[Item]:
-        return [self._route(name) for name in self._names(ROUTE_NAMES)]
+        return [self._route(name) for name in self._sample_names(ROUTE_NAMES)]
 
     def _route(self, name: str) -> Item:
-        chance = self.chance
-        services = SERVICE_NAMES[:2] if self._happens(KEEP_CHANCE) else SERVICE_NAMES
+        rng = self.rng
+        services = SERVICE_NAMES[:2] if self._with_probability(KEEP_PROBABILITY) else SERVICE_NAMES
         route: Item = {
             "Name": name,
-            "Host": chance.choice(HOSTS),
-            "PathPrefix": chance.choice(PREFIXES),
-            "TimeoutMs": chance.choice([500, 4000, 4000.5]),
+            "Host": rng.choice(HOSTS),
+            "PathPrefix": rng.choice(PREFIXES),
+            "TimeoutMs": rng.choice([500, 4000, 4000.5]),
         }
-        if self._happens(0.7):
-            route["Service"] = chance.choice(services)
-        if "Service" not in route or self._happens(0.2):
-            named = chance.sample(services, chance.randint(1, len(services)))
+        if self._with_probability(0.7):
+            route["Service"] = rng.choice(services)
+        if "Service" not in route or self._with_probability(0.2):
+            named_services = rng.sample(services, rng.randint(1, len(services)))
             route["TrafficSplit"] = [
-                {"Service": each, "Weight": chance.choice([0, 1, 2.5])} for each in named
+                {"Service": service, "Weight": rng.choice([0, 1, 2.5])} for service in named_services
             ]
-        return route | self._some(
+        return route | self._random_subset(
             {
-                "Kind": chance.choice(["idempotent", "non_idempotent", "streaming", "later"]),
-                "TargetLatencyMs": chance.choice([0, 300, 1000.5, None]),
-                "Priority": chance.choice([0, 3, None]),
-                "AttemptLimit": chance.choice([1, 3, None]),
-                "PublicAccess": chance.choice([True, False, None]),
-                "StickySessions": chance.choice([True, False, None]),
-                "Resumable": chance.choice([True, False, None]),
-                "gap_aim_ms": chance.choice([64, 120.5, None]),
-                "Unknown": chance.choice([1, "x", []]),
+                "Kind": rng.choice(["idempotent", "non_idempotent", "streaming", "later"]),
+                "TargetLatencyMs": rng.choice([0, 300, 1000.5, None]),
+                "Priority": rng.choice([0, 3, None]),
+                "AttemptLimit": rng.choice([1, 3, None]),
+                "PublicAccess": rng.choice([True, False, None]),
+                "StickySessions": rng.choice([True, False, None]),
+                "Resumable": rng.choice([True, False, None]),
+                "gap_aim_ms": rng.choice([64, 120.5, None]),
+                "Unknown": rng.choice([1, "x", []]),
             }
         )
 
     def _bulk_routes(self) -> list[Item]:
-        service = self.chance.choice(SERVICE_NAMES[:2])
+        service = self.rng.choice(SERVICE_NAMES[:2])
         return [
             {
                 "Name": f"bulk-{number}",
@@ -184,44 +186,48 @@
         ]
 
     def _services(self) -> list[Item]:
-        chance = self.chance
-        names = [*SERVICE_NAMES[:2], *self._names(SERVICE_NAMES[2:])] if self._happens(KEEP_CHANCE) else []
-        found = [self._service(name) for name in names]
-        for name in self._names(STORE_NAMES):
-            address = f"127.0.0.1:{chance.randint(8000, 8009)}"
-            found.append({"Name": name, "CacheStoreAddress": address, "Zone": chance.choice(["z1", "z2"])})
-        chance.shuffle(found)
-        return found
+        rng = self.rng
+        names = (
+            [*SERVICE_NAMES[:2], *self._sample_names(SERVICE_NAMES[2:])]
+            if self._with_probability(KEEP_PROBABILITY)
+            else []
+        )
+        services = [self._service(name) for name in names]
+        for name in self._sample_names(STORE_NAMES):
+            address = f"127.0.0.1:{rng.randint(8000, 8009)}"
+            services.append({"Name": name, "CacheStoreAddress": address, "Zone": rng.choice(["z1", "z2"])})
+        rng.shuffle(services)
+        return services
 
     def _service(self, name: str) -> Item:
-        chance = self.chance
-        engine = self._some(
+        rng = self.rng
+        engine = self._random_subset(
             {
-                "CapacitySlots": chance.choice([1, 24, None]),
-                "CacheTokenCapacity": chance.choice([0, 149_454, None]),
-                "LinkSpeedMbps": chance.choice([0, 1000.5, None]),
-                "Models": chance.choice([[{"Name": "model"}], [], None]),
+                "CapacitySlots": rng.choice([1, 24, None]),
+                "CacheTokenCapacity": rng.choice([0, 149_454, None]),
+                "LinkSpeedMbps": rng.choice([0, 1000.5, None]),
+                "Models": rng.choice([[{"Name": "model"}], [], None]),
             }
         )
-        return {"Name": name} | self._some(
+        return {"Name": name} | self._random_subset(
             {
-                "HealthPath": chance.choice(["/health", "/well"]),
-                "ConnectionLimit": chance.choice([1, 90, None]),
-                "Engine": chance.choice([engine, None]),
+                "HealthPath": rng.choice(["/health", "/well"]),
+                "ConnectionLimit": rng.choice([1, 90, None]),
+                "Engine": rng.choice([engine, None]),
             }
         )
 
     def _tenants(self) -> list[Item]:
-        return [self._tenant(name) for name in self._names(TENANT_NAMES)]
+        return [self._tenant(name) for name in self._sample_names(TENANT_NAMES)]
 
     def _tenant(self, name: str) -> Item:
-        chance = self.chance
-        keys = chance.sample(API_KEYS, chance.randint(0, 2))
-        return {"Name": name} | self._some(
+        rng = self.rng
+        keys = rng.sample(API_KEYS, rng.randint(0, 2))
+        return {"Name": name} | self._random_subset(
             {
-                "ApiKeys": chance.choice([keys, keys, keys, None]),
-                "Priority": chance.choice([0, 4, None]),
-                "Isolated": chance.choice([True, False, None]),
-                "ReservedShare": chance.choice([0, 0.25, None]),
+                "ApiKeys": rng.choice([keys, keys, keys, None]),
+                "Priority": rng.choice([0, 4, None]),
+                "Isolated": rng.choice([True, False, None]),
+                "ReservedShare": rng.choice([0, 0.25, None]),
             }
         )
--- a/plumline/lab/differential/resolver.py
+++ b/plumline/lab/differential/resolver.py
@@ -1,7 +1,7 @@
-"""The reference: what a request is to get, read from the operators' document alone, from scratch each time.
+"""Reference model: computes what a request should get, from the operators' document alone and without state.
 
-Written from the operators' pages, and without any of the router's look-ups, so that a fault in those shows as
-a difference. `reading_of` says the same in the same form of a router's table.
+It follows the operators' documentation and shares no lookup code with the router, so that a fault there shows
+as a difference. `table_results` returns the results of a router's table in the same form.
 """
 
 from collections.abc import Iterator
@@ -27,11 +27,11 @@
 DEFAULT_BODY_LIMIT_BYTES = 4 * 1024 * 1024
 UNLIMITED_CONNECTIONS = 1 << 30
 
-Reading = dict[str, Any]  # what is to be in force, by the name of what was asked
+ProbeResults = dict[str, Any]  # result by name of the probe
 
 
-class RouteReading(NamedTuple):
-    """What a route says of its requests; times in ms."""
+class RouteAttributes(NamedTuple):
+    """The attributes of a route that apply to its requests; times in ms."""
 
     name: str
     split: tuple[tuple[str, float], ...]
@@ -45,8 +45,8 @@
     gap: float
 
 
-class TenantReading(NamedTuple):
-    """What a key's tenant has."""
+class TenantAttributes(NamedTuple):
+    """The attributes of the tenant that an API key belongs to."""
 
     name: str
     priority: int | None
@@ -57,30 +57,30 @@
 # From the document.
 
 
-def expected_reading(document: Document) -> Reading:
-    """What each probe is to get by the document."""
-    found: Reading = {"version": document["Version"], "tenants": bool(document.get("Tenants"))}
+def expected_results(document: Document) -> ProbeResults:
+    """The result that each probe should get according to the document."""
+    results: ProbeResults = {"version": document["Version"], "tenants": bool(document.get("Tenants"))}
     for host in PROBED_HOSTS:
         for path in PROBED_PATHS:
-            found[f"{host}{path}"] = _expected_route(document, host, path)
+            results[f"{host}{path}"] = _expected_route(document, host, path)
     for key in PROBED_KEYS:
-        found[key] = _expected_tenant(document, key)
+        results[key] = _expected_tenant(document, key)
     for name in TENANT_NAMES:
-        found[f"{name} shares"] = expected_to_share(document, name)
+        results[f"{name} shares"] = expected_cache_sharing(document, name)
     for name in SERVICE_NAMES:
-        found[name] = _expected_service(document, name)
-    found["body limit"] = _value_or(document.get("Limits", {}), "BodyLimitBytes", DEFAULT_BODY_LIMIT_BYTES)
-    found["targets"] = _expected_targets(document)
-    return found
+        results[name] = _expected_service(document, name)
+    results["body limit"] = _value_or(document.get("Limits", {}), "BodyLimitBytes", DEFAULT_BODY_LIMIT_BYTES)
+    results["targets"] = _expected_targets(document)
+    return results
 
 
 def _plain_host(host: str) -> str:
-    """Without the port, in lower case."""
+    """The host without its port, in lower case."""
     return host.split(":")[0].lower()
 
 
-def _expected_route(document: Document, host: str, path: str) -> RouteReading | None:
-    """The route of the longest prefix that begins the path."""
+def _expected_route(document: Document, host: str, path: str) -> RouteAttributes | None:
+    """The route with the longest prefix that matches the path."""
     plain_path = path.split("?")[0]
     matching = [
         route
@@ -90,7 +90,7 @@
     if not matching:
         return None
     route = max(matching, key=lambda each: len(each["PathPrefix"]))
-    return RouteReading(
+    return RouteAttributes(
         route["Name"],
         _expected_split(route),
         _expected_idempotence(route),
@@ -105,12 +105,12 @@
 
 
 def _value_or(item: Document, key: str, default: float) -> Any:  # noqa: ANN401
-    """The value; the default where it is missing or null."""
+    """The value, or the default if it is missing or null."""
     return default if item.get(key) is None else item[key]
 
 
 def _expected_idempotence(route: Document) -> bool:
-    """A stream may run again where it may be resumed."""
+    """A streaming request may be repeated if its route is resumable."""
     kind = route.get("Kind")
     return kind == "idempotent" or (kind == "streaming" and route.get("Resumable") is True)
 
@@ -126,31 +126,31 @@
 
 
 def _expected_targets(document: Document) -> dict[str, float]:
-    """The shortest target of each service that a route names."""
-    found: dict[str, float] = {}
+    """The shortest latency target, in ms, of each service that a route names."""
+    targets: dict[str, float] = {}
     for route in document.get("Routes", []):
         for service, _ in _expected_split(route):
-            found[service] = min(found.get(service, float("inf")), _expected_target(route))
-    return found
+            targets[service] = min(targets.get(service, float("inf")), _expected_target(route))
+    return targets
 
 
-def _expected_tenant(document: Document, key: str) -> TenantReading | None:
+def _expected_tenant(document: Document, key: str) -> TenantAttributes | None:
     for tenant in document.get("Tenants", []):
         if key in (tenant.get("ApiKeys") or []):
             isolated, share = tenant.get("Isolated") is True, tenant.get("ReservedShare") or 0
-            return TenantReading(tenant["Name"], tenant.get("Priority"), isolated, share)
+            return TenantAttributes(tenant["Name"], tenant.get("Priority"), isolated, share)
     return None
 
 
-def expected_to_share(document: Document, name: str) -> bool:
-    """Whether the tenant of this name may find what others left, and they what it leaves."""
+def expected_cache_sharing(document: Document, name: str) -> bool:
+    """Whether the tenant may share cache entries with other tenants."""
     return any(
         tenant["Name"] == name and not tenant.get("Isolated") for tenant in document.get("Tenants", [])
     )
 
 
 def _expected_service(document: Document, name: str) -> tuple[str, int, int] | None:
-    """Health path, connection limit, and memory in tokens."""
+    """Health path, connection limit, and cache capacity in tokens."""
     for service in document.get("Services", []):
         if service["Name"] == name:
             engine = service.get("Engine") or service
@@ -165,27 +165,27 @@
 # From a router's table.
 
 
-def reading_of(table: RouteTable) -> Reading:
-    """What each probe gets at a router with this table."""
-    found: Reading = {"version": table.version, "tenants": table.has_tenants}
+def table_results(table: RouteTable) -> ProbeResults:
+    """The result that each probe gets at a router with this table."""
+    results: ProbeResults = {"version": table.version, "tenants": table.has_tenants}
     for host in PROBED_HOSTS:
         for path in PROBED_PATHS:
-            found[f"{host}{path}"] = _route_reading(table.match(host, path))
+            results[f"{host}{path}"] = _route_attributes(table.match(host, path))
     for key in PROBED_KEYS:
-        found[key] = _tenant_reading(table.tenant_of(key))
+        results[key] = _tenant_attributes(table.tenant_of(key))
     for name in TENANT_NAMES:
-        found[f"{name} shares"] = table.shares_cache(name)
+        results[f"{name} shares"] = table.shares_cache(name)
     for name in SERVICE_NAMES:
-        found[name] = _service_reading(table.services.get(name))
-    found["body limit"] = table.limits.body_bytes
-    found["targets"] = table.shortest_latency_targets()
-    return found
+        results[name] = _service_attributes(table.services.get(name))
+    results["body limit"] = table.limits.body_bytes
+    results["targets"] = table.shortest_latency_targets()
+    return results
 
 
-def _route_reading(route: Route | None) -> RouteReading | None:
+def _route_attributes(route: Route | None) -> RouteAttributes | None:
     if route is None:
         return None
-    return RouteReading(
+    return RouteAttributes(
         route.name,
         route.traffic_split,
         route.idempotent,
@@ -199,20 +199,20 @@
     )
 
 
-def _tenant_reading(tenant: Tenant | None) -> TenantReading | None:
+def _tenant_attributes(tenant: Tenant | None) -> TenantAttributes | None:
     if tenant is None:
         return None
-    return TenantReading(tenant.name, tenant.priority, tenant.isolated, tenant.reserved_share)
+    return TenantAttributes(tenant.name, tenant.priority, tenant.isolated, tenant.reserved_share)
 
 
-def _service_reading(service: Service | None) -> tuple[str, int, int] | None:
+def _service_attributes(service: Service | None) -> tuple[str, int, int] | None:
     if service is None:
         return None
     return service.health_path, service.connection_limit, service.cache_token_capacity
 
 
-def differences(expected: Reading, found: Reading) -> Iterator[str]:
-    """A line for each probe with another answer."""
-    for probe, answer in expected.items():
-        if found[probe] != answer:
-            yield f"{probe}: by the document {answer}, at the router {found[probe]}"
+def differences(expected: ProbeResults, actual: ProbeResults) -> Iterator[str]:
+    """A line for each probe whose results differ."""
+    for probe, result in expected.items():
+        if actual[probe] != result:
+            yield f"{probe}: by the document {result}, at the router {actual[probe]}"
--- a/plumline/lab/differential/shrink.py
+++ b/plumline/lab/differential/shrink.py
@@ -1,6 +1,6 @@
-"""Makes a failing change smaller while it still fails. No I/O.
+"""Shrinks a failing change to a smaller one that still fails. No I/O.
 
-A plain greedy search: leaves out one key or one item at a time, of the document before and of the change.
+A greedy search that removes one key or one item at a time, from the document before or from the change.
 """
 
 from collections.abc import Callable, Iterator
@@ -11,27 +11,27 @@
 from plumline.errors import PlumlineError
 
 Fails = Callable[[Document | None, Change], bool]
-MAX_TRIES = 5000
+MAX_ATTEMPTS = 5000
 
 
-def smaller(value: Any) -> Iterator[Any]:  # noqa: ANN401
-    """The value with one key or one item left out, at any depth; the largest parts first."""
+def reductions(value: Any) -> Iterator[Any]:  # noqa: ANN401
+    """Copies of the value with one key or item removed, at any depth; outer levels first."""
     if isinstance(value, dict):
         for key in value:
             yield {other: inner for other, inner in value.items() if other != key}
         for key, inner in value.items():
-            for less in smaller(inner):
-                yield {**value, key: less}
+            for reduced in reductions(inner):
+                yield {**value, key: reduced}
     elif isinstance(value, list):
-        for at in range(len(value)):
-            yield value[:at] + value[at + 1 :]
-        for at, inner in enumerate(value):
-            for less in smaller(inner):
-                yield [*value[:at], less, *value[at + 1 :]]
+        for position in range(len(value)):
+            yield value[:position] + value[position + 1 :]
+        for position, inner in enumerate(value):
+            for reduced in reductions(inner):
+                yield [*value[:position], reduced, *value[position + 1 :]]
 
 
 def still_fails(fails: Fails, before: Document | None, change: Change) -> bool:
-    """Whether it fails as before; what is refused, or can't be read any more, does not."""
+    """Whether the case fails; one that is refused or malformed does not count as failing."""
     try:
         return fails(before, change)
     except (PlumlineError, KeyError, TypeError, ValueError):
@@ -39,19 +39,19 @@
 
 
 def shrink(before: Document | None, change: Change, fails: Fails) -> tuple[Document | None, Change]:
-    """The smallest document and change found that still fail; as given if they do not fail by themselves."""
+    """The smallest failing document and change found; unchanged if the given ones do not fail."""
     if not still_fails(fails, before, change):
         return before, change
-    tries = 0
+    attempts = 0
     progress = True
-    while progress and tries < MAX_TRIES:
+    while progress and attempts < MAX_ATTEMPTS:
         progress = False
         kind, based_on, body = change
-        candidates = [*((before, [kind, based_on, less]) for less in smaller(body))]
+        candidates = [*((before, [kind, based_on, reduced]) for reduced in reductions(body))]
         if before is not None:
-            candidates += [(less, change) for less in smaller(before)]
+            candidates += [(reduced, change) for reduced in reductions(before)]
         for candidate in candidates:
-            tries += 1
+            attempts += 1
             if still_fails(fails, *candidate):
                 before, change = candidate
                 progress = True
--- a/plumline/lab/differential/system.py
+++ b/plumline/lab/differential/system.py
@@ -1,7 +1,7 @@
-"""The real path of a change in one process: a registrar's storage on disk, its publisher, and routers' feeds.
+"""The path of a change, in one process: a registrar's disk storage, its publisher, and routers' feeds.
 
-The links between them are real connections on loopback. Only the core is left out: a change is committed as
-soon as it is synced, as by a chain of one.
+They communicate over loopback connections. Only the core is omitted: a change is committed as soon as it is
+synced, as in a chain of one replica.
 """
 
 import asyncio
@@ -25,10 +25,10 @@
 from plumline.wire.frames import hello
 
 HOST, ZONE = "127.0.0.1", "zone"
-HEARTBEAT_S = 0.3  # of the registrar
-FEED_TIMEOUT_S = 20.0  # for one entry to reach a router, on a busy machine too
-POLL_TURNS = 200  # turns of the loop before a wait begins to sleep
-POLL_S = 0.001
+HEARTBEAT_S = 0.3  # interval of the registrar's heartbeats
+FEED_TIMEOUT_S = 20.0  # for one entry to reach a router, even on a busy machine
+POLL_ITERATIONS_WITHOUT_SLEEP = 200  # event loop iterations before a wait sleeps between polls
+POLL_INTERVAL_S = 0.001
 
 
 class FeedStalledError(PlumlineError):
@@ -37,22 +37,22 @@
     code, status = "feed-stalled", 500
 
 
-async def wait_until(condition: Callable[[], bool], what: str) -> None:
-    """Turns of the loop until the condition holds. Raises FeedStalledError after FEED_TIMEOUT_S."""
+async def wait_until(condition: Callable[[], bool], description: str) -> None:
+    """Polls until the condition holds. Raises FeedStalledError after FEED_TIMEOUT_S."""
     deadline = asyncio.get_running_loop().time() + FEED_TIMEOUT_S
-    turns = 0
+    iterations = 0
     while not condition():
         if asyncio.get_running_loop().time() > deadline:
-            raise FeedStalledError(f"{what} did not happen in {FEED_TIMEOUT_S:g} s")
-        turns += 1
-        await asyncio.sleep(0 if turns < POLL_TURNS else POLL_S)
+            raise FeedStalledError(f"{description} did not happen in {FEED_TIMEOUT_S:g} s")
+        iterations += 1
+        await asyncio.sleep(0 if iterations < POLL_ITERATIONS_WITHOUT_SLEEP else POLL_INTERVAL_S)
 
 
 class Disk:
-    """What a ReplicaStorage needs of its environment: records are synced at once."""
+    """The environment of a ReplicaStorage; records are synced immediately."""
 
     def __init__(self, folder: Path) -> None:
-        """Opens the log in the folder; `stored` is what it holds."""
+        """Opens the log in the folder; `stored` holds its records."""
         self.log = WriteAheadLog(folder)
         self.stored: list[Record] = self.log.open()
 
@@ -63,10 +63,10 @@
 
 
 class Registrar:
-    """A registrar that commits each valid change, and publishes it."""
+    """A registrar that commits and publishes each valid change."""
 
     def __init__(self, folder: Path) -> None:
-        """Replays what the folder holds."""
+        """Replays the log in the folder."""
         self.folder = folder
         self._load()
 
@@ -85,7 +85,7 @@
         self.publisher.on_entry_committed(index, change)
 
     async def listen(self, port: int = 0) -> None:
-        """Takes subscribers, on a free port unless one is given."""
+        """Accepts subscribers on `port`; 0 picks a free one."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(self._accept, HOST, port)
         self.port: int = self.server.sockets[0].getsockname()[1]
@@ -107,7 +107,7 @@
             await asyncio.sleep(HEARTBEAT_S)
 
     def submit(self, change: Change) -> bool:
-        """Commits the change; False if it is refused. Raises whatever is no typed refusal."""
+        """Commits the change; returns False if it is refused. Errors other than PlumlineError propagate."""
         try:
             if self.storage.latest_state.check(change):
                 return False
@@ -120,16 +120,16 @@
 
     @property
     def state(self) -> ReplicatedConfiguration:
-        """After the newest committed entry."""
+        """The state after the newest committed entry."""
         return self.storage.state
 
     @property
     def index(self) -> int:
-        """Number of the newest committed entry."""
+        """Index of the newest committed entry."""
         return self.storage.committed_index
 
     def close(self) -> None:
-        """Ends the connections and closes the disk."""
+        """Closes the connections and the log."""
         self._heartbeats.cancel()
         self.server.close()
         for link in list(self.publisher.subscribers):
@@ -137,7 +137,7 @@
         self.disk.log.close()
 
     async def restart(self) -> None:
-        """As after a kill: all that it knows is what its disk holds."""
+        """Restarts as after a kill, with only the state on disk."""
         self.close()
         self._load()
         await self.listen(self.port)
@@ -152,20 +152,20 @@
         self.feed = FeedSubscriber(settings, self.fleet, Counters())
 
     async def connect(self) -> None:
-        """Until it is subscribed to the registrar as its primary; from then on it reconnects by itself."""
-        self._run = asyncio.get_running_loop().create_task(self.feed.run())
+        """Waits until it is subscribed to the registrar as its primary; later it reconnects by itself."""
+        self._feed_task = asyncio.get_running_loop().create_task(self.feed.run())
 
         def is_subscribed() -> bool:
             return self.feed.primary is not None and self.feed.primary.link is not None
 
         await wait_until(is_subscribed, f"a subscription of {self.name}")
 
-    async def reach(self, index: int) -> None:
-        """Until it has the entry of this number."""
+    async def wait_for_index(self, index: int) -> None:
+        """Waits until it has applied the entry with this index."""
         await wait_until(lambda: self.fleet.place >= index, f"entry {index} at {self.name}")
 
     def set_reading(self, reading: bool) -> None:
-        """Whether it reads what comes on its connection."""
+        """Pauses or resumes reading from its connection."""
         link = self.feed.primary.link if self.feed.primary else None
         if link is None or link.transport is None or link.down:
             return
@@ -175,6 +175,6 @@
             link.transport.pause_reading()
 
     def close(self) -> None:
-        """Ends its connection."""
-        self._run.cancel()
+        """Closes its connection."""
+        self._feed_task.cancel()
         self.feed.close()
--- a/plumline/settings.py
+++ b/plumline/settings.py
@@ -88,7 +88,7 @@
 
     node_name: str
     ip_address: str
-    internal_ports: tuple[int, int]  # first and last port, both reserved for this process
+    internal_ports: tuple[int, int]  # first and last port of a range that is free for use
     role: str = ""
     machine_class: str = ""
     serves: tuple[str, ...] = ()
--- a/tests/test_lab_configure.py
+++ b/tests/test_lab_configure.py
@@ -1,4 +1,4 @@
-"""`plumline lab configure`: finds planted faults, each in one part of the way, and none without them."""
+"""`plumline lab configure` finds injected faults, each in one stage of the path, and no others."""
 
 import json
 from collections.abc import Callable
@@ -23,20 +23,20 @@
 
 
 @pytest.mark.parametrize("seed", range(101, 106))
-def test_routers_do_what_a_plain_reading_of_the_document_says(seed: int) -> None:
+def test_routers_agree_with_the_reference_model(seed: int) -> None:
     report = run_check(seed, 1000)
     assert report.good, report.text()
     assert min(report.taken.values()) > 100 and report.registrar_restarts and report.subscriptions > 10
 
 
-# Planted faults.
+# Injected faults.
 
 
-def plant_routes_given_whole(patch: Patch) -> None:
-    """As in review/2: a section that the document before lacks is sent whole; the table passes over it."""
+def inject_section_sent_in_full(patch: Patch) -> None:
+    """As in review/2: a section that the earlier document lacks is sent in full; the table ignores it."""
     amendment_between, with_amendment = difference.amendment_between, RouteTable.with_amendment
 
-    def whole(current: Document, new: Document) -> Document | None:
+    def full_section(current: Document, new: Document) -> Document | None:
         body = amendment_between(current, new)
         for section in ("Routes", "Tenants") if body else ():
             if section in new and section not in current:
@@ -45,24 +45,24 @@
                     body[part] = {key: value for key, value in body[part].items() if key != section}
         return body
 
-    def passes_over(table: RouteTable, document: Document, body: Document) -> RouteTable:
+    def ignoring_routes(table: RouteTable, document: Document, body: Document) -> RouteTable:
         return with_amendment(table, document, {key: value for key, value in body.items() if key != "Routes"})
 
-    patch.setattr(difference, "amendment_between", whole)
-    patch.setattr(RouteTable, "with_amendment", passes_over)
+    patch.setattr(difference, "amendment_between", full_section)
+    patch.setattr(RouteTable, "with_amendment", ignoring_routes)
 
 
-def plant_owner_of_the_admission(patch: Patch) -> None:
-    """As in review/1: whether a tenant shares is what it was as its request was admitted."""
+def inject_cache_owner_of_admission(patch: Patch) -> None:
+    """As in review/1: cache sharing of a tenant is decided by its state when the request was admitted."""
 
-    def of_admission(tenant: Tenant | None, table: RouteTable) -> str | None:
+    def owner_at_admission(tenant: Tenant | None, table: RouteTable) -> str | None:
         return tenant.name if tenant and tenant.isolated else None
 
-    patch.setattr(check, "cache_owner_of", of_admission)
+    patch.setattr(check, "cache_owner_of", owner_at_admission)
 
 
-def plant_generation_that_stays(patch: Patch) -> None:
-    """The generation of the shared cache does not rise as a tenant becomes isolated."""
+def inject_constant_generation(patch: Patch) -> None:
+    """The generation of the shared cache does not increase when a tenant becomes isolated."""
     names = replicated_state.tenant_names
 
     def none_isolated(document: Document | None, isolated: bool) -> frozenset[str]:
@@ -71,13 +71,13 @@
     patch.setattr(replicated_state, "tenant_names", none_isolated)
 
 
-def plant_routes_that_stay(patch: Patch) -> None:
-    """A removed or moved route goes on at its old place."""
+def inject_routes_not_removed(patch: Patch) -> None:
+    """A removed or moved route stays active at its old host and prefix."""
     patch.setattr(RouteTable, "_remove_from_host", lambda table, route, copied: None)
 
 
-def plant_shortest_prefix(patch: Patch) -> None:
-    """A request goes to the route of the whole host, where there is one."""
+def inject_shortest_prefix_match(patch: Patch) -> None:
+    """A request is matched to the route of the host's root prefix if there is one."""
     match = RouteTable.match
 
     def shortest(table: RouteTable, host: str, path: str) -> Any:  # noqa: ANN401
@@ -86,8 +86,8 @@
     patch.setattr(RouteTable, "match", shortest)
 
 
-def plant_entry_that_is_not_sent(patch: Patch) -> None:
-    """Now and then a subscriber is not sent the newest of the entries that it lacks."""
+def inject_unsent_entry(patch: Patch) -> None:
+    """Occasionally the newest entry that a subscriber lacks is not sent."""
     entries_after = PublishBuffer.entries_after
 
     def all_but_one(buffer: PublishBuffer, index: int) -> list[PackedMessage] | None:
@@ -98,8 +98,8 @@
     patch.setattr(system, "FEED_TIMEOUT_S", 0.5)
 
 
-def plant_log_that_is_replayed_in_part(patch: Patch) -> None:
-    """The disk's last entry is passed over as a registrar starts."""
+def inject_partial_log_replay(patch: Patch) -> None:
+    """A registrar skips the last entry on its disk when it starts."""
     restore = ReplicaStorage.restore
 
     def all_but_the_last(storage: ReplicaStorage[Any], record: list[Any]) -> None:
@@ -111,29 +111,29 @@
 
 
 @pytest.mark.parametrize(
-    ("plant", "where"),
+    ("inject", "where"),
     [
-        (plant_routes_given_whole, {"steady", "slow", "restarted"}),
-        (plant_owner_of_the_admission, {"steady"}),
-        (plant_generation_that_stays, {"shared cache"}),
-        (plant_routes_that_stay, {"steady"}),
-        (plant_shortest_prefix, {"steady"}),
-        (plant_entry_that_is_not_sent, {"feed"}),
-        (plant_log_that_is_replayed_in_part, {"disk"}),
+        (inject_section_sent_in_full, {"steady", "slow", "restarted"}),
+        (inject_cache_owner_of_admission, {"steady"}),
+        (inject_constant_generation, {"shared cache"}),
+        (inject_routes_not_removed, {"steady"}),
+        (inject_shortest_prefix_match, {"steady"}),
+        (inject_unsent_entry, {"feed"}),
+        (inject_partial_log_replay, {"disk"}),
     ],
     ids=lambda given: getattr(given, "__name__", ""),
 )
-def test_a_planted_fault_is_found(
-    plant: Callable[[Patch], None], where: set[str], monkeypatch: Patch
+def test_an_injected_fault_is_found(
+    inject: Callable[[Patch], None], where: set[str], monkeypatch: Patch
 ) -> None:
-    plant(monkeypatch)
+    inject(monkeypatch)
     report = run_check(1, 2000)
     assert report.fault is not None and report.fault.where in where
     assert report.fault.lines
 
 
-def test_a_fault_is_shown_by_a_small_document_and_change(monkeypatch: Patch) -> None:
-    plant_routes_given_whole(monkeypatch)
+def test_a_fault_is_reported_with_a_small_document_and_change(monkeypatch: Patch) -> None:
+    inject_section_sent_in_full(monkeypatch)
     fault = run_check(1, 2000).fault
     assert fault is not None and fault.before is not None
     kind, _, body = fault.change
@@ -142,7 +142,7 @@
     assert len(json.dumps([fault.before, fault.change])) < 400
 
 
-def test_what_fails_only_as_a_whole_is_shown_as_it_is() -> None:
+def test_a_case_that_does_not_fail_by_itself_is_not_shrunk() -> None:
     before: Document = {"Version": 1, "Routes": []}
     change: Change = ["replace", 1, {"Version": 2}]
     assert shrink.shrink(before, change, lambda *_: False) == (before, change)
@@ -151,13 +151,13 @@
 # The command.
 
 
-def test_the_command_reports_and_ends_with_its_status(tmp_path: Path, monkeypatch: Patch) -> None:
+def test_the_command_reports_and_exits_with_its_status(tmp_path: Path, monkeypatch: Patch) -> None:
     path = tmp_path / "report.json"
     done = CliRunner().invoke(main, ["lab", "configure", "--changes", "30", "--report", str(path), "--json"])
     assert done.exit_code == 0, done.output
     assert json.loads(done.stdout) == json.loads(path.read_text())
     assert json.loads(done.stdout)["tried"] == 30
-    plant_shortest_prefix(monkeypatch)
+    inject_shortest_prefix_match(monkeypatch)
     done = CliRunner().invoke(main, ["lab", "configure", "--changes", "300"])
     assert done.exit_code == 1 and "difference (steady):" in done.output
 
@@ -165,12 +165,12 @@
 @pytest.mark.parametrize(
     "words", [["--seed", "x"], ["--seed", "-1"], ["--changes", "0"], ["--changes", "many"]]
 )
-def test_a_bad_option_is_told_in_a_line(words: list[str]) -> None:
+def test_an_invalid_option_is_reported_in_one_line(words: list[str]) -> None:
     done = CliRunner().invoke(main, ["lab", "configure", *words])
     assert done.exit_code == 2 and words[0] in done.output.splitlines()[-1]
 
 
-def test_an_interrupted_run_reports_how_far_it_came(monkeypatch: Patch) -> None:
+def test_an_interrupted_run_reports_its_progress(monkeypatch: Patch) -> None:
     step = check.Run._step
 
     async def interrupted(run: check.Run) -> None:
