--- a/plumline/cli.py
+++ b/plumline/cli.py
@@ -177,7 +177,7 @@
 @PATIENCE_OPTION
 @JSON_OPTION
 def configuration_read(addresses: tuple[Address, ...], patience: float, as_json: bool) -> None:
-    """The configuration in place: a summary, or all of it with --json (keys of tenants included)."""
+    """Shows the current configuration: a summary, or all of it with --json (API keys of tenants included)."""
     from plumline.operator_calls import listed_sections
 
     document = fetch_configuration(addresses, patience)
@@ -230,7 +230,7 @@
 @PATIENCE_OPTION
 @JSON_OPTION
 def configuration_diff(path: str, addresses: tuple[Address, ...], patience: float, as_json: bool) -> None:
-    """What a `replace` by FILE would change; exit 0: nothing, 1: something. Keys of tenants stay hidden."""
+    """Shows what `replace` with FILE would change; exit 0: nothing, 1: something. API keys stay hidden."""
     import dataclasses
 
     from plumline.checks import load_configuration
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -24,7 +24,7 @@
 serves = ["edge"]
 """
 ROLE = '[roles.{0}]\nrun = "python3 -m plumline router"\non = "edge"\n'
-TEST_TIMEOUT_S = 20.0
+TEST_TIMEOUT_S = 20.0  # reached only by a failing test
 DOCUMENT = configuration_for(3, "127.0.0.1:9")
 
 
--- a/tests/test_counters.py
+++ b/tests/test_counters.py
@@ -9,7 +9,7 @@
 from plumline.wire.exchange import Exchange
 from plumline.wire.server import Server
 
-TEST_TIMEOUT_S = 10.0
+TEST_TIMEOUT_S = 10.0  # reached only by a failing test
 
 
 def test_a_group_counts_under_its_prefix() -> None:
