--- a/plumline/cli.py
+++ b/plumline/cli.py
@@ -19,7 +19,7 @@
     from plumline.lab.local import Result
     from plumline.wire.calls import Answer
 
-EXIT_FAULTS = 1  # a check found faults, a change was refused, or a lab run failed
+EXIT_FAULTS = 1  # a check found faults, a diff is not empty, a call was refused, or a lab run failed
 EXIT_UNAVAILABLE = 69  # EX_UNAVAILABLE of sysexits.h: no registrar gave a clear answer
 EXIT_FAILED = 70  # EX_SOFTWARE: a role ended with a typed error, such as a damaged store
 EXIT_SETTINGS = 78  # EX_CONFIG: the settings are invalid
--- a/plumline/deploy_file.py
+++ b/plumline/deploy_file.py
@@ -158,8 +158,7 @@
         serving = [name for name, role in roles.items() if caller in role.get("serves", ())]
         if len(serving) > 1:
             faults.append(fault_line(key, serving, f"one role that serves {caller!r}"))
-    # Roles with `apart` start at the last machine of a zone, the others at the first.
-    for apart in (False, True):
+    for apart in (False, True):  # False: the first machine of a zone; True: the last
         on_same_machine = [
             name
             for name, role in roles.items()
