--- a/plumline/registrar/__init__.py
+++ b/plumline/registrar/__init__.py
@@ -1,1 +1,1 @@
-"""The control plane: what a `core` machine does while it holds a lease, and for the operator."""
+"""The control plane of a `core` machine: the roles that leases assign, the feed and the operators' API."""
--- a/plumline/registrar/cache_store_events.py
+++ b/plumline/registrar/cache_store_events.py
@@ -1,4 +1,4 @@
-"""What a cache store answers to `GET /kv-events`: its position in the stream of events, and the events."""
+"""Parses a cache store's answer to `GET /kv-events`: its position in the stream of events, and the events."""
 
 from typing import Any, Literal, NamedTuple
 
@@ -6,17 +6,17 @@
 from plumline.wire import calls
 from plumline.wire.calls import Answer
 
-MAX_INTEGER = 2**63 - 1  # what frames carry
+MAX_INTEGER = 2**63 - 1  # largest integer that frames carry
 
 
 class StoreAnswerInvalidError(PlumlineError):
-    """The store's answer is none that `/kv-events` gives."""
+    """The store's answer is not a valid answer of `/kv-events`."""
 
     code, status = "store-answer-invalid", 502
 
 
 class StoreBusyError(PlumlineError):
-    """The store holds as many calls as its `ConcurrencyLimit` allows; it is alive."""
+    """The store already has as many calls as its `ConcurrencyLimit` allows; it is up."""
 
     code, status = "store-busy", 503
 
@@ -24,7 +24,7 @@
 class EventCursor(NamedTuple):
     """A position in a store's stream of events."""
 
-    epoch: int  # another one once the store has restarted empty
+    epoch: int  # changes when the store restarts empty
     next_token: int  # the next call's `Since`
 
 
@@ -37,7 +37,7 @@
     cached_tokens: int  # of this prefix, after the event
 
     def to_wire(self) -> list[Any]:
-        """The change as an item of the `stored` event that routers get."""
+        """Encodes the change as an item of the `stored` event that routers get."""
         return [self.sign, self.salt, self.prefix, self.cached_tokens]
 
 
@@ -45,12 +45,12 @@
     """The events of one answer."""
 
     epoch: int
-    lost: bool  # the store has dropped events after the call's `Since`
+    lost: bool  # whether the store has dropped events after the call's `Since`
     changes: list[BlockChange]
 
 
 def parse_cursor(answer: Answer) -> EventCursor:
-    """`Epoch` and `NextToken` of an answer. Raises StoreBusyError, StoreAnswerInvalidError."""
+    """Parses `Epoch` and `NextToken` of an answer. Raises StoreBusyError, StoreAnswerInvalidError."""
     if answer.status == 429:
         raise StoreBusyError
     if answer.status != 200 or not isinstance(answer.json, dict):
@@ -61,7 +61,7 @@
 
 
 def parse_events(answer: Answer, epoch: int) -> StoreEvents:
-    """The events of an answer that has a cursor; what can't be read of them is left out."""
+    """Parses the events of an answer that has a valid cursor; malformed events are skipped."""
     body = answer.json if isinstance(answer.json, dict) else {}
     listed = body.get(calls.EVENTS)
     changes: list[BlockChange] = []
@@ -73,7 +73,7 @@
 
 
 def _parse_integer(value: Any, name: str) -> int:  # noqa: ANN401 (any JSON)
-    """A number from 0 to MAX_INTEGER. Raises StoreAnswerInvalidError."""
+    """Checks that the value is an integer from 0 to MAX_INTEGER. Raises StoreAnswerInvalidError."""
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value <= MAX_INTEGER:
         raise StoreAnswerInvalidError(f"{name} is {value!r:.80}")
     return value
--- a/plumline/registrar/cache_stores.py
+++ b/plumline/registrar/cache_stores.py
@@ -1,8 +1,8 @@
-"""A singleton job of the `discovery` lease: health checks of the cache stores, and their events.
+"""A singleton role of the `discovery` lease: health checks of the cache stores, and their events.
 
-A fetch from a dead store costs each request some hundred ms. A store is in no list, and gives no sign of life
-but its answers: so one long poll of `/kv-events` is kept open at each, which a crash resets. A gap in the
-events (`Lost`) concerns whoever keeps an index, and is passed on.
+Each fetch from a failed store delays a request by some hundred ms. Stores are not listed by the platform and
+send no heartbeats, so one long poll of `/kv-events` is kept open at each; a crash resets its connection. A
+gap in the events (`Lost`) is published too, since it matters to all that keep an index.
 """
 
 import asyncio
@@ -27,16 +27,16 @@
 from plumline.wire.http import Address
 
 LONG_POLL_MS = 1000  # Wait-Ms, the most that the protocol allows
-LONG_POLL_TIMEOUT_S = 1.6  # a long poll without an answer for so long: the store is down
-CALL_TIMEOUT_S = 0.8  # the same for a call that the store answers at once
+LONG_POLL_TIMEOUT_S = 1.6  # after which a store that doesn't answer a long poll counts as down
+CALL_TIMEOUT_S = 0.8  # the same for a call without Wait-Ms, which is answered at once
 CONNECT_TIMEOUT_S = 0.4
-MIN_CALL_INTERVAL_S = 1.0  # from the begin of an answered call to that of the next: an early answer is priced
-RETRY_INTERVAL_S = 0.3  # after a call without an answer, which has no price
-STALE_CONNECTION_RESET_S = 0.2  # a reset by then met a connection that had been closed while it was idle
-PROCESS_PAUSE_S = 0.3  # a time-out that is later than this: this process itself was paused
-MAX_INVALID_ANSWERS = 2  # unreadable answers in a row with which a store counts as down
+MIN_CALL_INTERVAL_S = 1.0  # between the starts of two calls, the first answered: early answers are charged
+RETRY_INTERVAL_S = 0.3  # after a call without an answer, which is not charged
+STALE_CONNECTION_RESET_S = 0.2  # an earlier reset of a reused connection: it was closed while idle
+PROCESS_PAUSE_S = 0.3  # a time-out that fires later by more than this: this process itself was paused
+MAX_INVALID_ANSWERS = 2  # invalid answers in a row after which a store counts as down
 REPUBLISH_INTERVAL_S = 5.0  # unchanged statuses are published again after this
-LOOK_INTERVAL_S = 0.5  # between two looks at lease and configuration, unless woken
+RECONCILE_INTERVAL_S = 0.5  # between two checks of lease and configuration, unless woken
 
 StoreStatuses = dict[str, StoreStatus]  # by the store's name
 
@@ -48,61 +48,61 @@
         """Whether the `discovery` lease is held at this moment."""
 
     def addresses(self) -> Mapping[str, Address]:
-        """The stores of the configuration by name."""
+        """The addresses of the configured stores, by name."""
 
     def publish(self, statuses: StoreStatuses) -> None:
-        """Publishes the statuses of all stores that anything is known of."""
+        """Publishes the statuses of all stores whose status is known."""
 
     def publish_events(self, address: Address, events: StoreEvents) -> None:
-        """Passes on what the events of the store at this address told."""
+        """Publishes the events of the store at this address."""
 
 
 class CallResult(Enum):
-    """What a call tells of a store's health."""
+    """What a call shows of a store's health."""
 
-    ANSWERED = auto()  # the store said something, be it unreadable
-    FAILED = auto()  # no answer; or the call was withdrawn, which tells nothing
-    INCONCLUSIVE = auto()  # no answer, and that may not be the store's fault
+    ANSWERED = auto()  # the store answered, validly or not
+    FAILED = auto()  # no answer, or the call was withdrawn
+    INCONCLUSIVE = auto()  # no answer, but the store may be up
 
 
 @dataclass(slots=True)
 class CacheStoreHealth:
-    """What is known of the store at one address."""
+    """The known health of the store at one address."""
 
     address: Address
-    up: bool | None = None  # None until a call has told
-    epoch: int = 0  # of its last answer, 0 where that isn't known
+    up: bool | None = None  # None until the first result of a call
+    epoch: int = 0  # of its last answer, 0 if unknown
     next_token: int = 0  # of its last answer: the next call's `Since`
     invalid_answers: int = 0  # in a row
 
     def record_answer(self, cursor: EventCursor) -> None:
-        """A readable answer came."""
-        # The token is taken as it comes, also a lower one: a later `Since` than the store's own would get
-        # no event until the store has caught up, and so hide a restart that kept its epoch.
+        """Records a valid answer."""
+        # A lower token is accepted too: a `Since` above the store's own would return no events until the
+        # store has caught up, and so hide a restart that kept its epoch.
         self.up, self.epoch, self.next_token, self.invalid_answers = True, cursor.epoch, cursor.next_token, 0
 
     def record_busy(self) -> None:
-        """The store answered that it holds too many calls: it is alive."""
+        """Records an answer that the concurrency limit is exceeded, so the store is up."""
         if not self.up:
-            self.epoch = 0  # it may have come back as another
+            self.epoch = 0  # it may have restarted empty
         self.up, self.invalid_answers = True, 0
 
     def record_invalid(self) -> None:
-        """An unreadable answer came."""
+        """Records an invalid answer."""
         self.invalid_answers += 1
         if self.invalid_answers >= MAX_INVALID_ANSWERS:
             self.up = False
 
     def record_failure(self) -> None:
-        """No answer came."""
+        """Records a call without an answer."""
         self.up, self.invalid_answers = False, 0
 
 
 class CacheStoreMonitor:
     """Keeps a long poll open at each store while the lease is held.
 
-    The statuses of all stores are published together, on every change and every REPUBLISH_INTERVAL_S. A store
-    that nothing is known of yet is not among them.
+    The statuses of all stores are published together, on every change and every REPUBLISH_INTERVAL_S, without
+    the stores whose status is not known yet.
     """
 
     def __init__(
@@ -124,11 +124,11 @@
         self._never = asyncio.Event()
 
     def wake(self) -> None:
-        """Brings the next look: the lease was won or lost, or the configuration changed."""
+        """Reconciles at once: the lease was acquired or lost, or the configuration changed."""
         self._event.set()
 
     async def run(self) -> None:
-        """Reconciles until cancelled; raises what the environment's methods do."""
+        """Reconciles until cancelled; raises what the environment's methods raise."""
         try:
             while True:
                 self._event.clear()
@@ -137,29 +137,29 @@
             self._unwatch_all()
 
     def reconcile(self) -> float:
-        """Watches the configured stores while the lease is held. Returns the time (s) to the next look."""
+        """Watches the configured stores while the lease is held. Returns the time (s) to the next check."""
         if not self.environment.holds_lease():
             self._unwatch_all()
             self.published = None
-            return LOOK_INTERVAL_S
+            return RECONCILE_INTERVAL_S
         configured = self.environment.addresses()
         for name, store in list(self.stores.items()):
             if configured.get(name) != store.address:
                 self._unwatch(name)
         for watch in self._watches.values():
             if watch.done():
-                watch.result()  # a watch only ends by what it raises
+                watch.result()  # raises: a watch ends only with an exception
         for name, address in configured.items():
             if name not in self.stores:
                 self.stores[name] = store = CacheStoreHealth(address)
                 self._watches[name] = asyncio.ensure_future(self._watch(store))
         self._publish_if_due()
         if not self.published:
-            return LOOK_INTERVAL_S
-        return min(LOOK_INTERVAL_S, max(self.published_at + REPUBLISH_INTERVAL_S - self.clock(), 0.0))
+            return RECONCILE_INTERVAL_S
+        return min(RECONCILE_INTERVAL_S, max(self.published_at + REPUBLISH_INTERVAL_S - self.clock(), 0.0))
 
     def statuses(self) -> StoreStatuses:
-        """What is known of each store."""
+        """The statuses of the stores whose status is known."""
         return {
             name: StoreStatus(store.up, store.epoch)
             for name, store in self.stores.items()
@@ -179,13 +179,13 @@
             return
         statuses, now = self.statuses(), self.clock()
         if self.published is None and self.stores and not statuses:
-            return  # what the last lease holder published is better than nothing
+            return  # keeps the previous lease holder's statuses until one is known here
         if statuses != self.published or now >= self.published_at + REPUBLISH_INTERVAL_S:
             self.published, self.published_at = statuses, now
             self.environment.publish(statuses)
 
     async def _watch(self, store: CacheStoreHealth) -> None:
-        """Calls the store again and again, until cancelled."""
+        """Calls the store repeatedly, until cancelled."""
         while True:
             started_at = self.clock()
             answered = await self._check(store)
@@ -195,7 +195,7 @@
                 await self.wait(self._never, delay_s)
 
     async def _check(self, store: CacheStoreHealth) -> bool:
-        """One call, and another where the first is inconclusive. Returns whether the store said anything."""
+        """Calls the store, twice if the first call is inconclusive. Returns whether it answered at all."""
         result = await self._call(store, long_poll=store.up is True)
         if result is CallResult.INCONCLUSIVE:
             result = await self._call(store, long_poll=False)
@@ -204,7 +204,7 @@
         return result is CallResult.ANSWERED
 
     async def _call(self, store: CacheStoreHealth, *, long_poll: bool) -> CallResult:
-        """One call, with its result recorded unless that is inconclusive."""
+        """Calls the store once and records the result, unless that is inconclusive."""
         timeout_s = LONG_POLL_TIMEOUT_S if long_poll else CALL_TIMEOUT_S
         reused, started_at = store.address in self.caller.idle, self.clock()
         try:
@@ -218,7 +218,7 @@
                 connect_s=CONNECT_TIMEOUT_S,
             )
             cursor = parse_cursor(answer)
-            self._pass_on(store, parse_events(answer, cursor.epoch))
+            self._publish_events(store, parse_events(answer, cursor.epoch))
             store.record_answer(cursor)
         except StoreBusyError:
             store.record_busy()
@@ -233,7 +233,7 @@
             )
         return CallResult.ANSWERED
 
-    def _pass_on(self, store: CacheStoreHealth, events: StoreEvents) -> None:
+    def _publish_events(self, store: CacheStoreHealth, events: StoreEvents) -> None:
         if events.changes or events.lost or events.epoch != store.epoch:
             self.environment.publish_events(store.address, events)
 
@@ -246,12 +246,12 @@
         elapsed_s: float,
         timeout_s: float,
     ) -> CallResult:
-        """Tells a store's failure from one of this process or of a connection that was `reused`."""
+        """Tells a failed store from a pause of this process and from a stale connection that was `reused`."""
         if isinstance(error, CallTimeoutError):
             inconclusive = elapsed_s > timeout_s + PROCESS_PAUSE_S
         elif isinstance(error.__cause__, OSError):
             inconclusive = reused and elapsed_s < STALE_CONNECTION_RESET_S
-        else:  # bytes came, but no answer
+        else:  # bytes were received, but no valid response
             store.record_invalid()
             return CallResult.ANSWERED
         if inconclusive:
@@ -260,6 +260,6 @@
         return CallResult.FAILED
 
     def _require_lease(self) -> None:
-        """Asked at the moment of sending: the process may have been frozen since the last look."""
+        """Called right before sending, as the process may have been paused since the lease was checked."""
         if not self.environment.holds_lease():
-            raise CallWithdrawnError("the lease is over")
+            raise CallWithdrawnError("the lease is no longer held")
--- a/plumline/registrar/discovery.py
+++ b/plumline/registrar/discovery.py
@@ -1,4 +1,4 @@
-"""The singleton job of the `discovery` lease: reads the platform's list of endpoints and publishes it."""
+"""A singleton role of the `discovery` lease: reads the platform's list of endpoints and publishes it."""
 
 import asyncio
 import random
@@ -15,20 +15,20 @@
 from plumline.wire.calls import Answer, CallFailedError, CallWithdrawnError
 from plumline.wire.http import Address, address_from, decimal
 
-MIN_INTERVAL_S, MAX_INTERVAL_S = 0.4, 1.2  # from the begin of one read to that of the next
-READS_PER_DRAIN = 3  # the interval follows the time that an endpoint takes to drain
+MIN_INTERVAL_S, MAX_INTERVAL_S = 0.4, 1.2  # between the starts of two reads
+READS_PER_DRAIN = 3  # within the time that an endpoint takes to drain
 REPUBLISH_INTERVAL_S = 5.0  # an unchanged list is published again after this
-MIN_REFRESH_INTERVAL_S = 1.0  # between two reads that `refresh_soon` brings forward
+MIN_REFRESH_INTERVAL_S = 1.0  # between two early reads requested by `refresh_soon`
 INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.3, 3.0
-RATE_SHARE = 0.7  # of the platform's rate: the rest is for a predecessor whose last calls are still out
+RATE_SHARE = 0.7  # of the platform's rate; the rest is for calls in flight of the previous lease holder
 MIN_RATE_PER_S = 0.1
-STANDBY_INTERVAL_S = 0.5  # between two looks at a lease that another holds, unless woken
+STANDBY_INTERVAL_S = 0.5  # between two checks of a lease that another registrar holds, unless woken
 CALL_TIMEOUT_S = 1.0
-MAX_PAGES = 1000  # a list that goes on for longer goes round in circles
-MAX_RESTARTS = 2  # reads begun anew in one go because a page token was refused
+MAX_PAGES = 1000  # a longer list is taken for a cycle of page tokens
+MAX_RESTARTS = 2  # of one read, because a page token was refused
 TOKEN_REFUSED_STATUSES = frozenset({400, 404, 410})
 
-#: What reading JSON of an unexpected shape raises; int() of an infinite number among it.
+#: What parsing JSON of an unexpected shape raises, including int() of an infinite number.
 MALFORMED_BODY_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
@@ -36,13 +36,13 @@
 
 
 class ListInvalidError(PlumlineError):
-    """The platform's answer is no page of a list of endpoints."""
+    """The platform's response is not a valid page of a list of endpoints."""
 
     code, status = "list-invalid", 502
 
 
 class ListRefusedError(PlumlineError):
-    """The platform answered `status_code` in place of a page; `retry_after_s` is its Retry-After, else 0."""
+    """The platform responded with `status_code`, without a page; `retry_after_s`: its Retry-After, else 0."""
 
     code, status = "list-refused", 503
 
@@ -52,25 +52,25 @@
 
 
 class TokenRefusedError(ListRefusedError):
-    """A page token is not known any more: the read begins anew."""
+    """The platform no longer accepts a page token: the read has to be restarted."""
 
     code = "page-token-refused"
 
 
 class DiscoveryBounds(Protocol):
-    """The bounds of the deployment that this job needs."""
+    """The bounds of the deployment that discovery needs."""
 
     @property
     def drain_ms(self) -> float:
-        """Time that a draining endpoint stays listed."""
+        """Time for which a draining endpoint stays listed, in ms."""
 
 
 class DiscoverySettings(Protocol):
-    """What this job needs of plumline.settings.Settings."""
+    """The part of plumline.settings.Settings that discovery needs."""
 
     @property
     def cloud_api(self) -> Address | None:
-        """The platform's API; None: there is none, and nothing is read."""
+        """The platform's API; None: there is none, and no list is read."""
 
     @property
     def cloud_rate_per_s(self) -> float:
@@ -82,10 +82,10 @@
 
 
 class DiscoveryEnvironment(Protocol):
-    """What the discovery needs of the registrar that it runs in."""
+    """What discovery needs of the registrar that it runs in."""
 
     def may_read(self) -> bool:
-        """Whether this registrar is to read the list at this moment."""
+        """Whether this registrar may read the list at this moment."""
 
     def publish(self, endpoints: Sequence[ListedEndpoint]) -> None:
         """Publishes a complete list."""
@@ -99,12 +99,12 @@
 
 
 def parse_model_versions(items: Any) -> dict[str, int]:  # noqa: ANN401 (any JSON)
-    """The versions by model in `Models` of a list or a report. Raises MALFORMED_BODY_ERRORS."""
+    """Parses `Models` of a list or a report: versions by model. Raises MALFORMED_BODY_ERRORS."""
     return {str(item[calls.NAME]): int(item.get(calls.VERSION, 1)) for item in items or ()}
 
 
 def parse_endpoint(item: Any) -> ListedEndpoint:  # noqa: ANN401 (any JSON)
-    """The endpoint of an entry of the platform's list. Raises MALFORMED_BODY_ERRORS."""
+    """Parses an entry of the platform's list. Raises MALFORMED_BODY_ERRORS."""
     address = item[calls.ADDRESS]
     address_from(address)
     return ListedEndpoint(
@@ -121,9 +121,9 @@
 
 
 def parse_page(body: Any) -> ListPage:  # noqa: ANN401 (any JSON)
-    """The page that the body is. Raises ListInvalidError.
+    """Parses the body of a page. Raises ListInvalidError.
 
-    One entry that can't be read refuses the page: a list without it would say that the endpoint is gone.
+    One invalid entry makes the page invalid: a list without it would mean that the endpoint no longer exists.
     """
     try:
         endpoints = [parse_endpoint(item) for item in body[calls.INSTANCES]]
@@ -136,17 +136,17 @@
 
 
 def parse_retry_after(text: str) -> float:
-    """`Retry-After` in s, fractions included; 0 if it says nothing."""
+    """Parses `Retry-After` in s, fractions included; 0 if it is missing or malformed."""
     return decimal(text) or 0.0
 
 
-def comparable(endpoints: Sequence[ListedEndpoint]) -> dict[str, ListedEndpoint]:
-    """What makes two lists differ: order doesn't, and a warm-up time only by whether it is over."""
+def comparison_key(endpoints: Sequence[ListedEndpoint]) -> dict[str, ListedEndpoint]:
+    """A value that is equal for equivalent lists: it ignores order, and how long a warm-up still takes."""
     return {endpoint.id: endpoint._replace(cold_ms=float(endpoint.cold_ms > 0)) for endpoint in endpoints}
 
 
 def versions_by_service(endpoints: Sequence[ListedEndpoint]) -> dict[str, str]:
-    """The software versions that a list shows, by service: "v1,v2"."""
+    """The software versions of the listed endpoints, by service, as in "v1,v2"."""
     found: dict[str, set[str]] = {}
     for endpoint in endpoints:
         if endpoint.version:
@@ -155,7 +155,7 @@
 
 
 class EndpointDiscovery:
-    """Reads the list again and again while the environment allows it, and publishes complete lists only."""
+    """Reads the list periodically while the environment allows it, and publishes complete lists only."""
 
     def __init__(
         self,
@@ -167,31 +167,31 @@
         wait: Wait = wait_for,
         jitter: Callable[[], float] = random.random,
     ) -> None:
-        """`clock` is steady time in s; `jitter` gives a number from 0 to 1 at each backoff."""
+        """`clock` is steady time in s; `jitter` returns a number from 0 to 1 for each backoff."""
         self.settings, self.caller, self.environment = settings, caller, environment
         self.clock, self.wait, self.jitter = clock, wait, jitter
         self.interval_s = min(
             MAX_INTERVAL_S, max(MIN_INTERVAL_S, settings.bounds.drain_ms / (READS_PER_DRAIN * 1000))
         )
         self.spacing_s = 1 / (RATE_SHARE * max(settings.cloud_rate_per_s, MIN_RATE_PER_S))
-        self.active = False  # at the last look
+        self.active = False  # whether reading was allowed at the last poll
         self.refresh_requested = False
         self.failures = 0  # in a row
         self.next_read_at = 0.0
-        self.next_refresh_at = 0.0  # `refresh_soon` brings no read before
-        self.next_call_at = 0.0  # the platform's rate allows no call before
-        self.published: dict[str, ListedEndpoint] | None = None  # comparable form, since the lease was won
+        self.next_refresh_at = 0.0  # earliest next read for `refresh_soon`
+        self.next_call_at = 0.0  # earliest next call that the platform's rate allows
+        self.published_key: dict[str, ListedEndpoint] | None = None  # None: nothing under this lease yet
         self.published_at = 0.0
         self.versions: dict[str, str] = {}  # of the last list, for the log
         self._event = asyncio.Event()
         self._never = asyncio.Event()
 
     def wake(self) -> None:
-        """Brings the next look: the lease was won or lost."""
+        """Polls at once: the lease was acquired or lost."""
         self._event.set()
 
     def refresh_soon(self) -> None:
-        """Brings an extra read, as an endpoint seems to be gone; at most one in MIN_REFRESH_INTERVAL_S."""
+        """Requests an early read, as an endpoint seems to be gone; at most one per MIN_REFRESH_INTERVAL_S."""
         self.refresh_requested = True
         self._event.set()
 
@@ -202,14 +202,14 @@
             await self.wait(self._event, await self.poll())
 
     async def poll(self) -> float:
-        """Reads and publishes the list if that is due. Returns the time (s) to the next look."""
+        """Reads and publishes the list if that is due. Returns the time (s) until the next poll."""
         if self.settings.cloud_api is None or not self.environment.may_read():
             self.active = False
             return STANDBY_INTERVAL_S
         now = self.clock()
         if not self.active:
             self.active, self.refresh_requested, self.failures = True, False, 0
-            self.next_read_at, self.published = now, None
+            self.next_read_at, self.published_key = now, None
         if self.refresh_requested and not self.failures:
             self.next_read_at = min(self.next_read_at, max(now, self.next_refresh_at))
         if now < self.next_read_at:
@@ -230,7 +230,7 @@
         return self.next_read_at - self.clock()
 
     def _back_off(self, retry_after_s: float = 0.0) -> float:
-        """Puts the next read off after a failed one. Returns the time (s) until then."""
+        """Delays the next read after a failed one. Returns the time (s) until then."""
         self.failures += 1
         backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(self.failures - 1, 8))
         jittered_s = backoff_s * (0.75 + self.jitter() / 2)
@@ -241,9 +241,9 @@
     def _publish_if_due(self, endpoints: Sequence[ListedEndpoint]) -> None:
         if not self.environment.may_read():
             return
-        now, listed = self.clock(), comparable(endpoints)
-        if listed != self.published or now >= self.published_at + REPUBLISH_INTERVAL_S:
-            self.published, self.published_at = listed, now
+        now, key = self.clock(), comparison_key(endpoints)
+        if key != self.published_key or now >= self.published_at + REPUBLISH_INTERVAL_S:
+            self.published_key, self.published_at = key, now
             self.environment.publish(endpoints)
             self._log_versions(versions_by_service(endpoints))
 
@@ -254,7 +254,7 @@
         self.versions = versions
 
     async def fetch_endpoints(self) -> list[ListedEndpoint]:
-        """The complete list. Nothing of a read that fails is used.
+        """Reads the complete list. Nothing of a failed read is used.
 
         Raises CallFailedError, CallWithdrawnError, ListInvalidError, ListRefusedError.
         """
@@ -296,6 +296,6 @@
         raise ListRefusedError(answer.status, parse_retry_after(retry_after))
 
     def _require_lease(self) -> None:
-        """Asked at the moment of sending: the process may have been frozen since the last look."""
+        """Called right before sending, as the process may have been paused since the lease was checked."""
         if not self.environment.may_read():
-            raise CallWithdrawnError("the lease is over")
+            raise CallWithdrawnError("the lease is no longer held")
--- a/plumline/registrar/durable_state.py
+++ b/plumline/registrar/durable_state.py
@@ -1,7 +1,7 @@
-"""What a registrar keeps on its disk: the incarnation of the disk, and the records of the core.
+"""A registrar's durable state: the incarnation of its disk, and the records of the core.
 
-The incarnation is a random name that the disk gets when it is first written. A registrar that comes back
-without its disk has another one, and is another member of the core: what it has promised and stored is lost.
+The incarnation is a random name that is written to a new disk. A registrar that restarts without its disk has
+another incarnation and is another member of the core, since what it had promised and stored is lost.
 """
 
 import asyncio
@@ -19,23 +19,23 @@
 
 
 class DurableState:
-    """The write-ahead log of this process. Without a folder nothing is stored: each start is a new member."""
+    """This process's write-ahead log. Without a folder nothing is stored, and each start is a new member."""
 
     def __init__(self, folder: Path | None, loop: asyncio.AbstractEventLoop) -> None:
-        """Reads what the folder holds. Raises StoreError."""
+        """Reads the records in the folder. Raises StoreError."""
         self._loop = loop
         self._writer: LogWriter = VolatileWriter()
         self._log = WriteAheadLog(folder) if folder is not None else None
-        #: Set once the incarnation is on the disk: before that nobody may hear of it.
+        #: Set once the incarnation is on the disk; it must not be sent to others before.
         self.incarnation_synced = asyncio.Event()
         stored = self._log.open() if self._log is not None else []
-        #: Of the core, as they were stored.
+        #: The core's records, as they were stored.
         self.records: list[Record] = [record for record in stored if record[0] != INCARNATION_KIND]
         incarnations = [record[1] for record in stored if record[0] == INCARNATION_KIND]
         self.incarnation: str = incarnations[-1] if incarnations else secrets.token_hex(INCARNATION_BYTES)
 
     def start_writing(self, core_records: Callable[[], list[Record]]) -> None:
-        """Opens the log for records. `core_records()`: all that a compacted log has to hold of the core."""
+        """Opens the log for appending. `core_records()`: the core's records that a compacted log needs."""
         if self._log is None:
             return
 
@@ -49,7 +49,7 @@
         return [INCARNATION_KIND, self.incarnation]
 
     async def wait_for_incarnation(self) -> None:
-        """Returns once the incarnation may be told to others."""
+        """Returns once the incarnation may be sent to others."""
         if self._log is not None:
             await self.incarnation_synced.wait()
 
@@ -58,9 +58,9 @@
         self._writer.submit([record], done)
 
     def is_unhealthy(self, now: float) -> bool:
-        """Whether the disk has failed, or stalls. `now`: s, steady."""
+        """Whether the disk has failed or is stalled. `now`: s, steady."""
         return self._writer.failure is not None or self._writer.oldest_pending_age_s(now) > STALLED_WRITE_S
 
     def close(self) -> None:
-        """Ends the writer, after what was submitted is written."""
+        """Closes the writer after all submitted records are written."""
         self._writer.close()
--- a/plumline/registrar/forwarding.py
+++ b/plumline/registrar/forwarding.py
@@ -1,9 +1,9 @@
 """Forwards operators' requests to the head or the tail of the chain, from whichever registrar they reach.
 
-Pure: times and messages in, messages and results out. A registrar's process, or a test by hand, drives it.
+Does no I/O and reads no clock: it is passed times and messages by a registrar's process or a test.
 
-Each request is answered once, and soon: a caller leaves after a second of silence. Where no majority is in
-touch, the answer is at once that another registrar should be asked.
+Each request is answered exactly once and in time: a caller disconnects after 1 s without a response. Without
+contact to a majority, requests fail at once, with the advice to ask another registrar.
 """
 
 import secrets
@@ -36,12 +36,14 @@
     forwarding_message_from_wire,
 )
 
-#: s for the head or the tail to answer; with the ways to and from the caller well under its second.
+#: s for the head or the tail to respond. With the transit times to and from the caller this stays well below
+#: the 1 s that the caller waits.
 FORWARD_TIMEOUT_S = 0.75
-#: s after which a read is forwarded again: its message or the response may have been lost. A change is not,
-#: as it may be large; its operator sends it again.
+#: s after which a read is forwarded again, as its message or the response may have been lost. A change is not
+#: forwarded again, as it may be large; the operator retries it.
 READ_REPEAT_INTERVAL_S = 0.25
-#: Callers wait longer for large bodies, and these take longer to read, to sync and to pass on.
+#: By this the time-out grows with the body: large bodies take longer to read, sync and forward, and callers
+#: wait longer for them.
 LARGE_BODY_BYTES_PER_S = 1_000_000
 ERROR_TYPES_BY_CODE = {
     error_type.code: error_type
@@ -54,22 +56,23 @@
         RolloutNotFoundError,
     )
 }
-#: The result of an acknowledged change, as it is sent and as the operator gets it.
+#: The result of an acknowledged change, on the wire and in the operator's response.
 ACKNOWLEDGED = {"taken": True}
 KEY_BYTES = 8  # of a request's random key
 
-#: Gets an error, or None and the result: ACKNOWLEDGED, or what was read (None: no configuration yet).
+#: Called with an error, or with None and the result: ACKNOWLEDGED, or the document that was read (None: there
+#: is no configuration yet).
 ResultCallback = Callable[[PlumlineError | None, Document | None], None]
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that was forwarded and has no response yet. Times are steady s."""
+    """A request that was forwarded and has no response yet. Times are in s, steady."""
 
     address: str  # of the registrar that it was forwarded to
     deadline: float
     on_result: ResultCallback
-    read: ForwardedRead | None = None  # to be repeated
+    read: ForwardedRead | None = None  # forwarded again at `repeat_at`
     repeat_at: float = 0.0
 
 
@@ -77,7 +80,7 @@
     """Forwards the requests that arrived here, and serves those that other registrars forward."""
 
     def __init__(self, core: Core, send: Callable[[str, Message], None]) -> None:
-        """`send(address, message)`: to a registrar, also to this one."""
+        """`send(address, message)` sends to a registrar, which may be this one."""
         self.core, self.send = core, send
         self.pending: dict[str, PendingRequest] = {}
 
@@ -90,9 +93,9 @@
         self._forward(now, self.core.head_address(), request, timeout_s, on_result)
 
     def read(self, now: float, on_result: ResultCallback, rollout_of: str | None = None) -> None:
-        """Asks the tail for the configuration, or for the roll-out of a service.
+        """Forwards a read of the configuration, or of the roll-out of a service, to the tail.
 
-        The result is None where there is no configuration yet.
+        The result is None if there is no configuration yet.
         """
         request = ForwardedRead(_new_key(), rollout_of)
         self._forward(now, self.core.tail_address(), request, FORWARD_TIMEOUT_S, on_result)
@@ -116,7 +119,7 @@
         self.send(address, request.to_wire())
 
     def _unreachable_error(self, now: float, address: str | None) -> UnavailableError | None:
-        """Why no response can be had from that registrar now; None if one may come."""
+        """The error if that registrar can't be reached now; None if it may respond."""
         if address is None:
             return UnavailableError("no view of the core is known yet")
         if not self.core.has_quorum_contact(now):
@@ -128,7 +131,7 @@
         return None
 
     def tick(self, now: float) -> None:
-        """Repeats reads, and fails what has timed out or waits for a registrar that can't be reached."""
+        """Repeats reads, and fails requests that have timed out or whose registrar can't be reached."""
         for key, request in list(self.pending.items()):
             error = self._unreachable_error(now, request.address)
             if error is None and now >= request.deadline:
@@ -141,7 +144,7 @@
                 self.send(request.address, request.read.to_wire())
 
     def fail_pending(self) -> None:
-        """This registrar ends: every request without a response gets one that says to ask another."""
+        """Fails every pending request, as this registrar shuts down; the operator is told to ask another."""
         for key, request in list(self.pending.items()):
             del self.pending[key]
             request.on_result(UnavailableError("this registrar ends; ask another whether it was taken"), None)
@@ -149,7 +152,7 @@
     # Between registrars.
 
     def on_message(self, now: float, sender: str, message: Message) -> bool:
-        """False if the message is of no kind that belongs here."""
+        """Handles a message of forwarding; returns False for a message of any other kind."""
         match forwarding_message_from_wire(message):
             case ForwardedWrite() as write:
                 self._on_write(now, sender, write)
@@ -212,7 +215,7 @@
     def _on_response(self, sender: str, response: ForwardingResponse) -> None:
         request = self.pending.get(response.key)
         if request is None or request.address != sender:
-            return  # it came too late, or from a registrar that was not asked
+            return  # too late, or from a registrar that the request was not forwarded to
         del self.pending[response.key]
         if response.error_code is None:
             request.on_result(None, response.result)
--- a/plumline/registrar/forwarding_messages.py
+++ b/plumline/registrar/forwarding_messages.py
@@ -5,7 +5,7 @@
     ["ask", key, ["read", service]]       a read of a service's roll-out, for the tail
     ["answer", key, code, text, result]   the response; code is nil where there is no error
 
-The key is the request's own, chosen at random by the registrar that forwards it.
+The key identifies the request; the registrar that forwards it chooses a random one.
 """
 
 from typing import NamedTuple
@@ -16,24 +16,24 @@
 
 
 class ForwardedWrite(NamedTuple):
-    """A change that the head is to submit to the chain."""
+    """A change for the head to submit to the chain."""
 
     key: str
     change: Change
 
     def to_wire(self) -> Message:
-        """The message's plain values."""
+        """Encodes the message as plain values."""
         return ["ask", self.key, ["submit", self.change]]
 
 
 class ForwardedRead(NamedTuple):
-    """A read that the tail is to serve."""
+    """A read for the tail to serve."""
 
     key: str
-    service: str | None = None  # whose roll-out is read; None: the configuration is
+    service: str | None = None  # whose roll-out is read; None: reads the configuration
 
     def to_wire(self) -> Message:
-        """The message's plain values."""
+        """Encodes the message as plain values."""
         return ["ask", self.key, ["read"] if self.service is None else ["read", self.service]]
 
 
@@ -46,7 +46,7 @@
     result: Document | None
 
     def to_wire(self) -> Message:
-        """The message's plain values."""
+        """Encodes the message as plain values."""
         return ["answer", self.key, self.error_code, self.error_text, self.result]
 
 
@@ -55,7 +55,7 @@
 
 
 def forwarding_message_from_wire(message: Message) -> ForwardingMessage | None:
-    """The typed message; None if it is of no kind, or not of the form, given above."""
+    """Parses a message; returns None if its kind or form is none of those above."""
     match message:
         case ["ask", str(key), ["submit", list(change)]]:
             return ForwardedWrite(key, change)
--- a/plumline/registrar/message_handlers.py
+++ b/plumline/registrar/message_handlers.py
@@ -1,4 +1,4 @@
-"""Dispatches what comes over internal connections: messages of other registrars, and of routers."""
+"""Dispatches the messages that other registrars and routers send over internal connections."""
 
 from collections.abc import Callable
 
@@ -26,7 +26,7 @@
 
 
 class PeerMessageHandler:
-    """What other registrars send, and what this one sends to itself."""
+    """Handles messages from registrars, including those that this one sends to itself."""
 
     def __init__(
         self,
@@ -39,14 +39,14 @@
         counters: Counters,
         clock: Callable[[], float],
     ) -> None:
-        """`zones`: of registrars, by address; filled here. `clock()`: s, steady."""
+        """`zones`: of registrars, by address; updated here. `clock()`: s, steady."""
         self.core, self.forwarder, self.replicator = core, forwarder, replicator
         self.routers, self.roles, self.zones = routers, roles, zones
         self.publisher, self.mesh = replicator.publisher, replicator.mesh
         self.counters, self.clock = counters, clock
 
     def on_link_up(self, address: str) -> None:
-        """Sends a registrar that has just been connected to what it can't know yet."""
+        """Sends this registrar's zone and the soft state over a link that has just come up."""
         own_zone = self.zones[self.mesh.local_address]
         self.mesh.links[address].send(ZoneAnnouncement(own_zone).to_wire())
         self.replicator.send_all_to(address)
@@ -84,7 +84,7 @@
 
 
 class RouterMessageHandler:
-    """What routers send. A FrameError that is raised here ends the router's connection."""
+    """Handles messages from routers. Raising FrameError closes the router's connection."""
 
     def __init__(
         self, publisher: FeedPublisher, roles: SingletonRoles, mesh: Mesh, clock: Callable[[], float]
@@ -110,11 +110,11 @@
             self.publisher.on_subscriber_message(link, message, self.clock())
 
     def _on_rollout_report(self, link: FrameLink, message: Message) -> None:
-        """Takes a report of roll-outs, and passes it on: any registrar may be the next to steer them."""
+        """Handles a report of roll-outs and forwards it, as any registrar may take over their control."""
         try:
             report = RolloutReport.from_wire(message)
         except (ValueError, TypeError) as error:
-            raise FrameError(f"a malformed report of a roll-out: {error}") from error
+            raise FrameError(f"malformed report of a roll-out: {error}") from error
         self.roles.on_rollout_report(report)
         self.mesh.send_all(message)
 
--- a/plumline/registrar/operator_api.py
+++ b/plumline/registrar/operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP API: the same response from any registrar, whichever is head or tail of the chain."""
+"""The operators' HTTP API: any registrar gives the same response, whichever is the chain's head or tail."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 from plumline.wire.calls import BASED_ON_VERSION, CALLS
 from plumline.wire.exchange import Exchange
 
-RETRY_AFTER = b"0.3"  # s, value of the header of a 503
+RETRY_AFTER = b"0.3"  # s, value of the Retry-After header of a 503
 MAX_VERSION_DIGITS = 18
 JSON_HEADER = (b"Content-Type", b"application/json")
 #: The calls that operators make, by method and path.
@@ -40,14 +40,14 @@
 
 
 class OperatorApi:
-    """Parses operators' requests, has them forwarded and writes the responses."""
+    """Parses operators' requests, forwards them and writes the responses."""
 
     def __init__(self, core: Core, send: Callable[[str, Message], None], counters: Counters) -> None:
-        """`send(address, message)`: to a registrar, also to this one."""
+        """`send(address, message)` sends to a registrar, which may be this one."""
         self.counters = counters
         self.forwarder = RequestForwarder(core, send)
         self.loop = asyncio.get_running_loop()
-        self.tasks: set[asyncio.Task[None]] = set()  # referenced here, so that they aren't collected
+        self.tasks: set[asyncio.Task[None]] = set()  # referenced here, so that they aren't garbage-collected
 
     def handle(self, exchange: Exchange) -> None:
         """Starts serving a request whose body is complete."""
@@ -78,7 +78,7 @@
         _respond(exchange, error.status, headers, body)
 
     async def _call(self, name: str, exchange: Exchange) -> Document | None:
-        """The document of a 200; raises the typed error of any other response."""
+        """Returns the document of a 200; raises the typed error of any other response."""
         if name == "configuration_read":
             return await self._read()
         if name == ROLLOUT_READ.name:
@@ -90,7 +90,7 @@
         )
 
     async def _read(self) -> Document:
-        """The configuration; raises UnavailableError where there is none yet."""
+        """Reads the configuration; raises UnavailableError if there is none yet."""
         now = self.loop.time()
         document = await self._result_of(lambda on_result: self.forwarder.read(now, on_result))
         if document is None:
@@ -98,7 +98,7 @@
         return document
 
     async def _read_rollout(self, service: str) -> Document | None:
-        """State and target of the service's newest roll-out; raises RolloutNotFoundError if there is none."""
+        """Reads state and target of the service's newest roll-out. Raises RolloutNotFoundError if none."""
         now = self.loop.time()
         return await self._result_of(lambda on_result: self.forwarder.read(now, on_result, service))
 
@@ -107,7 +107,7 @@
         future: asyncio.Future[Document | None] = self.loop.create_future()
 
         def on_result(error: PlumlineError | None, result: Document | None) -> None:
-            if future.done():  # the request was given up meanwhile
+            if future.done():  # the waiting task was cancelled
                 return
             if error is not None:
                 future.set_exception(error)
@@ -126,12 +126,12 @@
 
 
 def _service_of(exchange: Exchange) -> str:
-    """The service that a read of a roll-out names."""
+    """The service that is named in the path of a read of a roll-out."""
     return unquote(exchange.path.removeprefix(ROLLOUT_READ.path))
 
 
 def _change_of(name: str, exchange: Exchange) -> Change:
-    """The change that a request asks for, as the log holds it.
+    """The change that a request asks for, in the form of a log entry.
 
     Raises ConfigurationInvalidError, RolloutInvalidError.
     """
@@ -156,6 +156,6 @@
 
 
 def _respond(exchange: Exchange, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-    """Writes the response, unless the caller has left."""
+    """Writes the response, unless the caller has disconnected."""
     if not exchange.gone:
         exchange.respond(status, headers, body)
--- a/plumline/registrar/peer_messages.py
+++ b/plumline/registrar/peer_messages.py
@@ -1,12 +1,12 @@
-"""The messages between registrars besides those of the core and of forwarding, and their form on the wire.
+"""Messages between registrars other than those of the core and of forwarding, and their form on the wire.
 
 ["topic", topic, [term, count], value]   a new version of a topic of soft state
-["followers", loads by router]           the routers that the sender holds for alive
-["news", origin, events]                 prompt events, which are forwarded to routers as they came
+["followers", loads by router]           the routers that the sender considers alive
+["news", origin, events]                 prompt events, which are forwarded to routers unchanged
 ["hurry"]                                a router asks for a new endpoint list
-["zone", zone]                           where the sender runs
+["zone", zone]                           the zone that the sender runs in
 
-Reports of roll-outs, which are forwarded as they came, are described in plumline.routing.rollout_report.
+Reports of roll-outs, which are forwarded unchanged, are described in plumline.routing.rollout_report.
 """
 
 from typing import Any, NamedTuple
@@ -25,7 +25,7 @@
     value: Any
 
     def to_wire(self) -> Message:
-        """The message's plain values; routers get them in the same form."""
+        """Encodes the message as plain values; routers get the same form."""
         return ["topic", self.topic, list(self.version), self.value]
 
 
@@ -35,26 +35,26 @@
     routers: dict[str, ServiceLoads]
 
     def to_wire(self) -> Message:
-        """The message's plain values."""
+        """Encodes the message as plain values."""
         return ["followers", self.routers]
 
 
 class PromptEvents(NamedTuple):
-    """What a router or a cache store tells of prompts (see plumline.prefix_cache.events)."""
+    """Events about prompts from a router or a cache store (see plumline.prefix_cache.events)."""
 
     origin: str  # the router's node name, or the store's address
     events: list[Any]
 
     def to_wire(self) -> Message:
-        """The message's plain values."""
+        """Encodes the message as plain values."""
         return ["news", self.origin, self.events]
 
 
 class RefreshEndpoints(NamedTuple):
-    """The endpoint list is to be read again soon: a router has missed an endpoint."""
+    """Asks to read the endpoint list again soon, as a router misses an endpoint."""
 
     def to_wire(self) -> Message:
-        """The message's plain values."""
+        """Encodes the message as plain values."""
         return ["hurry"]
 
 
@@ -64,7 +64,7 @@
     zone: str
 
     def to_wire(self) -> Message:
-        """The message's plain values."""
+        """Encodes the message as plain values."""
         return ["zone", self.zone]
 
 
@@ -74,7 +74,7 @@
 
 
 def peer_message_from_wire(message: Message) -> PeerMessage | None:
-    """The typed message; None if it is of no kind, or not of the form, given above.
+    """Parses a message; returns None if its kind or form is none of those above.
 
     Raises ValueError, TypeError for a malformed report of a roll-out.
     """
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -33,22 +33,22 @@
 HEARTBEAT_INTERVAL_S = 0.4  # s between heartbeats to routers
 REPORT_INTERVAL_S = 1.0  # s between reports of live subscribers to the other registrars
 COUNTERS_LOG_INTERVAL_S = 10.0  # s between log lines with the counters
-LINK_TIMEOUT_S = 1.5  # s without an echo after which a link is opened anew
+LINK_TIMEOUT_S = 1.5  # s without contact to a peer after which its link is reopened
 SHUTDOWN_RESERVE_S = 1.5  # s of the grace period kept for responses in flight and the last writes
-DRAIN_TIMEOUT_S = 0.5  # s for the responses in flight
-LAST_RESPONSES_S = 0.1  # s for those that say that nothing is known of the result
+DRAIN_TIMEOUT_S = 0.5  # s to wait for the responses in flight
+LAST_RESPONSES_S = 0.1  # s to send the responses that report an unknown result
 
 log = logs.logger("registrar")
 
 
 class CoreEnvironment:
-    """The core's Environment: messages go over the mesh, records into the durable state."""
+    """The core's Environment: sends messages over the mesh and persists records in the durable state."""
 
     def __init__(self, mesh: Mesh, durable_state: DurableState) -> None:
         self.mesh, self.durable_state = mesh, durable_state
 
     def send(self, to: str, message: Message) -> None:
-        """Sends to the registrar at this address; it may be lost."""
+        """Sends a message to the registrar at this address; delivery is not guaranteed."""
         self.mesh.send(to, message)
 
     def persist(self, record: Record, done: Callable[[], None]) -> None:
@@ -57,26 +57,26 @@
 
 
 class PeriodicTimer:
-    """Says at each step whether an action is due. The first time it always is."""
+    """Tells whether a periodic action is due; it is due at the first check."""
 
     def __init__(self, interval_s: float) -> None:
         self.interval_s = interval_s
         self._due_at = 0.0
 
     def is_due(self, now: float) -> bool:
-        """Whether the interval has passed since this was last true. `now`: s, steady."""
+        """Whether the interval has passed since this last returned True. `now`: s, steady."""
         if now < self._due_at:
             return False
         self._due_at = now + self.interval_s
         return True
 
     def expire(self) -> None:
-        """Makes the action due at the next look."""
+        """Makes the action due at the next check."""
         self._due_at = 0.0
 
 
 class RegistrarProcess:
-    """One registrar, from its start to its end."""
+    """A registrar from start to shutdown: owns its parts and runs its loops."""
 
     def __init__(self, settings: Settings, settings_file: SettingsFile | None = None) -> None:
         """Reads the durable state and wires all parts together. Raises StoreError."""
@@ -124,7 +124,7 @@
         self.mesh.attach(peer_handler, RouterMessageHandler(self.publisher, self.roles, self.mesh, clock))
         self.operator_server: Server | None = None
         self.stop_requested = asyncio.Event()
-        self.core.restore(clock(), self.durable_state.records)  # may commit, and publish, what is on the disk
+        self.core.restore(clock(), self.durable_state.records)  # may commit and publish entries from the disk
 
     def _make_core(self) -> Core:
         settings = self.settings
@@ -147,10 +147,10 @@
             random=random.Random(secrets.randbits(64)),
         )
 
-    # What the core reports and asks.
+    # Callbacks of the core.
 
     def on_entry_committed(self, index: int, change: Change | None) -> None:
-        """The entry of this number is committed; None: a whole state was installed in place of it."""
+        """Publishes the committed entry of this number; None: a snapshot was installed in its place."""
         self.publisher.on_entry_committed(index, change)
         self.roles.on_configuration_changed()
 
@@ -163,7 +163,7 @@
         """Whether a router has reported an entry of the log."""
         return self.publisher.highest_subscriber_index > 0
 
-    # The loop.
+    # The main loop.
 
     async def _step_forever(self) -> None:
         """Steps the core, and publishes and reports what is due."""
@@ -176,7 +176,7 @@
             self._step(now)
             is_current = self.core.is_up_to_date(now)
             if is_current and not was_current:
-                heartbeat_timer.expire()  # routers that start wait for nothing else
+                heartbeat_timer.expire()  # routers that are starting wait only for this
             was_current = is_current
             if heartbeat_timer.is_due(now):
                 self._renew_dead_links(now)
@@ -191,7 +191,7 @@
             await asyncio.sleep(STEP_INTERVAL_S)
 
     def _check_tolerance(self) -> None:
-        """Warns as long as the registrars' places can't bear the losses of the settings."""
+        """Logs a warning while the registrars' placement can't tolerate the losses that the settings name."""
         try:
             self.core.check_tolerance()
         except ToleranceUnattainableError as error:
@@ -222,16 +222,16 @@
     # Start and shutdown.
 
     async def run(self) -> None:
-        """Until SIGTERM, and the shutdown after it. An error of any loop ends the process with it."""
+        """Runs until SIGTERM, then shuts down. An error in any loop is raised and ends the process."""
         handle_signals(self.loop, self.stop_requested.set, self.settings_file.request_reload)
-        # Told to end before its incarnation is synced, as on a stalled disk, it has nothing to hand over.
+        # If it is stopped before its incarnation is synced, as on a stalled disk, nothing is to hand over.
         synced = await finish_unless(self.stop_requested, self.durable_state.wait_for_incarnation())
         if synced is not None:
             synced.result()
             await self._serve()
 
     async def _serve(self) -> None:
-        """From the first request to the end of the shutdown."""
+        """Serves requests until a stop is requested or a loop fails, then shuts down."""
         await self._start_listening()
         self.roles.campaign()
         incarnation = self.durable_state.incarnation
@@ -252,7 +252,7 @@
             await self.operator_server.listen(self.settings.control_plane)
 
     async def _shut_down(self) -> None:
-        """Hands over, lets responses in flight end, then closes everything."""
+        """Hands over, waits for the responses in flight, then closes everything."""
         server = self.operator_server
         if server is not None:
             server.stop_accepting()
@@ -268,26 +268,26 @@
         log.info(logs.event("stopped"))
 
     async def hand_over(self) -> None:
-        """Gives up the leases and the duties in the core, and waits until others have all that they need.
+        """Releases the leases and leaves the core, and waits until others have taken over its roles.
 
-        Ends at the latest SHUTDOWN_RESERVE_S before the end of the grace period, and then counts and logs
-        which duty was left.
+        Returns at the latest SHUTDOWN_RESERVE_S before the end of the grace period; a role that is still
+        pending then is counted and logged.
         """
-        began = now = self.loop.time()
-        deadline = began + max(0.0, self.settings.bounds.grace_period_s - SHUTDOWN_RESERVE_S)
+        started_at = now = self.loop.time()
+        deadline = started_at + max(0.0, self.settings.bounds.grace_period_s - SHUTDOWN_RESERVE_S)
         self.core.begin_draining(now)
-        while (duty := self.core.pending_handover(now)) is not None and now < deadline:
+        while (pending := self.core.pending_handover(now)) is not None and now < deadline:
             await asyncio.sleep(STEP_INTERVAL_S)
             now = self.loop.time()
-        if duty is None:
-            log.info(logs.event("handed-over", seconds=round(now - began, 2)))
+        if pending is None:
+            log.info(logs.event("handed-over", seconds=round(now - started_at, 2)))
         else:
             self.counters.add("leave.incomplete")
             acceptors = self._reachable_acceptors(now)
-            log.warning(logs.event("leave-incomplete", duty=str(duty), acceptors=acceptors))
+            log.warning(logs.event("leave-incomplete", duty=str(pending), acceptors=acceptors))
 
     def _reachable_acceptors(self, now: float) -> str:
-        """How many acceptors of the view this registrar reaches, of how many: "2/3"."""
+        """The number of reachable acceptors of the view and their total, as in "2/3"."""
         view = self.core.view_agreement.view
         acceptors = view.acceptors if view else ()
         reachable = sum(self.core.failure_detector.is_alive(now, member.address) for member in acceptors)
--- a/plumline/registrar/publish_buffer.py
+++ b/plumline/registrar/publish_buffer.py
@@ -1,4 +1,4 @@
-"""The publisher's buffer: the newest committed entries, packed, and one packed snapshot of the whole state.
+"""The publisher's buffer: the newest committed entries, packed, and one packed snapshot of the state.
 
 Both are packed once and shared by all subscribers; a subscriber's queue holds references only.
 """
@@ -13,21 +13,21 @@
 from plumline.wire.frames import pack
 
 MAX_BUFFERED_BYTES = 1024 * 1024  # of packed entries; a subscriber that is further behind gets a snapshot
-SMALL_DELTA_BYTES = 16 * 1024  # entries of no more bytes are sent without packing a snapshot to compare with
-MAX_DELTA_PART = 4  # a cached snapshot is sent while the entries after it take a quarter of its bytes at most
+SMALL_DELTA_BYTES = 16 * 1024  # up to this size entries are sent without packing a snapshot to compare with
+MIN_SNAPSHOT_TO_DELTA_RATIO = 4  # a cached snapshot is reused while it has this many times the delta's bytes
 
 
 @dataclass(frozen=True, slots=True)
 class PackedMessage:
-    """A frame that is ready to be sent."""
+    """An encoded frame, ready to be sent."""
 
-    index: int  # number of the entry up to which the receiver is complete once it has this message
+    index: int  # number of the newest entry that the receiver has after this message
     kind: str  # of the message, as on the wire
-    data: bytes  # the whole frame
+    data: bytes  # the encoded frame
 
 
 class PublishBuffer:
-    """Consecutive entries that end at `newest_index`, and the last snapshot that was packed."""
+    """Consecutive packed entries that end at `newest_index`, and the last snapshot that was packed."""
 
     def __init__(self, committed_state: Callable[[], tuple[int, ReplicatedConfiguration]]) -> None:
         """`committed_state()`: the number of the newest committed entry, and the state after it."""
@@ -38,7 +38,7 @@
         self._cached_snapshot: PackedMessage | None = None
 
     def reset(self, index: int) -> None:
-        """Drops all entries: the one that led to the state at `index` isn't known here."""
+        """Drops all entries, as the entry of this number isn't known here."""
         self.newest_index = index
         self.entries.clear()
         self.size_bytes = 0
@@ -65,7 +65,7 @@
         return [self.entries[position] for position in range(len(self.entries) - count, len(self.entries))]
 
     def messages_after(self, index: int) -> list[PackedMessage]:
-        """What takes a subscriber from `index` to the newest entry in the fewest bytes."""
+        """The messages that bring a subscriber from `index` to the newest entry, in few bytes."""
         delta = self.entries_after(index)
         if delta is not None:
             delta_bytes = total_bytes(delta)
@@ -75,7 +75,7 @@
         return [snapshot, *(self.entries_after(snapshot.index) or [])]
 
     def snapshot(self) -> PackedMessage:
-        """A whole state: the newest, or a cached earlier one that few bytes of entries lead on from."""
+        """A snapshot of the newest state, or a cached earlier one after which few bytes of entries follow."""
         cached = self._cached_snapshot
         if cached is not None and self._is_near_newest(cached):
             return cached
@@ -87,13 +87,13 @@
         return self._cached_snapshot
 
     def _is_near_newest(self, snapshot: PackedMessage) -> bool:
-        """Whether few bytes of entries lead on from it: packing another would cost more than sending them."""
+        """Whether few bytes of entries follow it: packing a new one would cost more than sending them."""
         delta = self.entries_after(snapshot.index)
         if delta is None:
             return False
-        return total_bytes(delta) <= max(SMALL_DELTA_BYTES, len(snapshot.data) // MAX_DELTA_PART)
+        return total_bytes(delta) <= max(SMALL_DELTA_BYTES, len(snapshot.data) // MIN_SNAPSHOT_TO_DELTA_RATIO)
 
 
 def total_bytes(messages: list[PackedMessage]) -> int:
-    """The size of the messages' frames together."""
+    """The total size of the messages' frames."""
     return sum(len(message.data) for message in messages)
--- a/plumline/registrar/publisher.py
+++ b/plumline/registrar/publisher.py
@@ -1,8 +1,8 @@
 """Publishes the configuration feed to routers: committed entries from an index on, soft state, heartbeats.
 
-Entries go only to the subscribers that have chosen this registrar as their primary. A subscriber that has not
-read yet what it was sent gets no more of them: once it has, it gets all that it lacks, as entries or as one
-snapshot, whichever is shorter. Nothing is sent while this registrar may lack the newest entries.
+Entries go only to the subscribers that have chosen this registrar as their primary. While a subscriber's link
+is busy it is sent no further entries; once the link has drained, it gets all missing ones, as entries or as
+one snapshot, whichever is shorter. No entries are sent while this registrar may lack the newest ones.
 """
 
 from collections.abc import Callable
@@ -28,24 +28,24 @@
 from plumline.wire.frame_link import FrameLink
 from plumline.wire.frames import pack
 
-MAX_MISSED_HEARTBEATS = 3  # a subscriber that is silent for so many of its intervals counts as dead
+MAX_MISSED_HEARTBEATS = 3  # heartbeat intervals without a message after which a subscriber counts as dead
 
 
 @dataclass(slots=True)
 class Subscriber:
-    """A router on its link."""
+    """The state of one subscribed router."""
 
     link: FrameLink
     node: str
-    sent_index: int = -1  # number of the newest entry it has or was sent; -1: it has not subscribed yet
+    sent_index: int = -1  # of the newest entry it has or was sent; -1: it has not subscribed yet
     last_seen: float = 0.0  # s, steady
     loads: ServiceLoads = field(default_factory=dict)  # of its last heartbeat
-    is_primary: bool = False  # whether it takes entries and prompt events from this registrar
-    has_soft_state: bool = False  # whether all soft state that was known has been sent to it
+    is_primary: bool = False  # whether it has chosen this registrar for entries and prompt events
+    has_soft_state: bool = False  # whether the initial soft state has been sent to it
 
 
 class FeedPublisher:
-    """The routers that subscribe to this registrar, which also watches them: see `live_subscribers`."""
+    """Publishes to the routers that subscribe here, and detects their failure: see `live_subscribers`."""
 
     def __init__(
         self,
@@ -54,12 +54,12 @@
         heartbeat_s: float,
         is_current: Callable[[], bool] = lambda: True,
     ) -> None:
-        """`heartbeat_s`: interval of the routers' heartbeats. `is_current()`: whether this registrar surely
-        has the newest entries."""
+        """`heartbeat_s`: interval of the routers' heartbeats. `is_current()`: whether this registrar is
+        known to have the newest entries."""
         self.chain, self.soft_state, self.is_current = chain, soft_state, is_current
         self.subscriber_timeout_s = MAX_MISSED_HEARTBEATS * heartbeat_s
         self.subscribers: dict[FrameLink, Subscriber] = {}
-        self.highest_subscriber_index = 0  # that a subscriber has had from any registrar
+        self.highest_subscriber_index = 0  # that subscribers have reported, of entries from any registrar
         self.buffer = PublishBuffer(lambda: (chain.committed_index, chain.state))
         self._last_heartbeat: PublisherHeartbeat | None = None
         self._last_configuration: tuple[int, Document | None] = (-1, None)  # after the entry of that number
@@ -77,7 +77,7 @@
         self.subscribers.pop(link, None)
 
     def on_subscriber_message(self, link: FrameLink, message: Message, now: float) -> None:
-        """Raises FrameError for a message that a subscriber never sends."""
+        """Handles a subscriber's message. Raises FrameError for a kind that subscribers don't send."""
         subscriber = self.subscribers.get(link)
         if subscriber is None:
             return
@@ -98,7 +98,7 @@
     # Entries.
 
     def on_entry_committed(self, index: int, change: Change | None) -> None:
-        """Publishes the committed entry of this number; None: a whole state was installed in place of it."""
+        """Publishes the committed entry of this number; None: a snapshot was installed in its place."""
         previous_index, previous = self._last_configuration
         if change is None:
             self.buffer.reset(index)
@@ -111,7 +111,7 @@
     def _subscribe(self, subscriber: Subscriber, index: int) -> None:
         self.highest_subscriber_index = max(self.highest_subscriber_index, index)
         if subscriber.sent_index >= 0 and subscriber.link.busy and subscriber.is_primary:
-            return  # what it asks for is on its way
+            return  # the entries that it asks for are being sent
         is_first = subscriber.sent_index < 0
         subscriber.sent_index = index
         if is_first:
@@ -120,7 +120,7 @@
         self._catch_up(subscriber)
 
     def _send_first_heartbeat(self, subscriber: Subscriber) -> None:
-        """Spares a router that starts the wait for the next one: it chooses its primary by it."""
+        """Sends the last heartbeat at once: a starting router chooses its primary by a heartbeat."""
         if self._last_heartbeat is not None and self.is_current():
             heartbeat = self._last_heartbeat._replace(
                 is_current=True, committed_index=self.chain.committed_index
@@ -128,7 +128,7 @@
             subscriber.link.send(heartbeat.to_wire())
 
     def _send_soft_state(self, subscriber: Subscriber) -> None:
-        """All of it, once, and not while this registrar may have old values only."""
+        """Sends all soft state, once, and not while this registrar's values may be outdated."""
         if subscriber.sent_index < 0 or subscriber.has_soft_state or not self.is_current():
             return
         subscriber.has_soft_state = True
@@ -136,7 +136,7 @@
             subscriber.link.send(message)
 
     def _catch_up(self, subscriber: Subscriber) -> None:
-        """Sends the entries that it lacks. One that is ahead gets nothing: indexes never go back."""
+        """Sends the missing entries. A subscriber that is ahead gets none, as indexes never decrease."""
         is_receiving = subscriber.is_primary and subscriber.sent_index >= 0 and not subscriber.link.busy
         if not is_receiving or not self.is_current():
             return
@@ -154,7 +154,7 @@
     # Broadcasts.
 
     def publish_soft_state(self, topic: str) -> None:
-        """Sends the present value of the topic to all subscribers."""
+        """Sends the current value of the topic to all subscribers."""
         current = self.soft_state.values[topic]
         self.broadcast(SoftStateUpdate(topic, current.version, current.value).to_wire())
 
@@ -169,7 +169,7 @@
     def forward_prompt_events(self, message: Message, origin: FrameLink | None = None) -> None:
         """Sends a router's or a store's prompt events to all whose primary this is, except their origin.
 
-        `message` is a `news` message as it came; of all messages these are the most, so it isn't parsed.
+        `message` is a `news` message as it was received. It isn't parsed, as these are the most frequent.
         """
         data = pack(message)
         for subscriber in list(self.subscribers.values()):
@@ -179,7 +179,10 @@
     def publish_heartbeat(
         self, is_current: bool, registrars: list[list[str]], routers: dict[str, ServiceLoads]
     ) -> None:
-        """`registrars`: [address, zone] of those that can be subscribed to; `routers`: all that are alive."""
+        """Sends a heartbeat to all subscribers.
+
+        `registrars`: [address, zone] of those that can be subscribed to; `routers`: all that are alive.
+        """
         heartbeat = PublisherHeartbeat(
             is_current,
             self.chain.committed_index,
@@ -194,7 +197,7 @@
     # Failure detection.
 
     def live_subscribers(self, now: float) -> dict[str, ServiceLoads]:
-        """The loads of each subscriber that was heard within its time-out, by node name."""
+        """The loads of each subscriber that sent a message within the time-out, by node name."""
         return {
             subscriber.node: subscriber.loads
             for subscriber in self.subscribers.values()
--- a/plumline/registrar/service_load.py
+++ b/plumline/registrar/service_load.py
@@ -6,22 +6,22 @@
 
 from plumline.routing.reserved_quota import summed
 
-#: By service: ms of endpoints' time a second for short and for long requests; then, where shares are
-#: reserved, what the tenants ask for (routing.shares.Told).
+#: By service: ms of endpoints' time a second for short and for long requests; then, where quotas are
+#: reserved, the tenants' demand (plumline.routing.reserved_quota.DemandReport).
 ServiceLoads = dict[str, list[Any]]
 
 ROUNDED_DIGITS = 1  # of ms a second
 
 
 def is_load_report(report: Any) -> bool:  # noqa: ANN401
-    """Whether it has the shape of a value of `ServiceLoads`; the tenants' part is checked by the sum."""
+    """Whether a report has the form of a value of `ServiceLoads`; `total_loads` checks the tenants' part."""
     if not isinstance(report, list) or not 2 <= len(report) <= 3:
         return False
     return all(type(load) in (int, float) and 0 <= load < math.inf for load in report[:2])
 
 
 def total_loads(reports: Iterable[ServiceLoads]) -> ServiceLoads:
-    """The sum of several routers' loads; a malformed part of a tenants' demand counts as nothing."""
+    """The sum of several routers' loads; malformed demand of tenants is ignored."""
     totals: ServiceLoads = {}
     demands: dict[str, list[Any]] = {}
     for report in reports:
--- a/plumline/registrar/singleton_environments.py
+++ b/plumline/registrar/singleton_environments.py
@@ -1,7 +1,7 @@
-"""What the singleton roles see of the registrar that they run in: lease, configuration and soft state.
+"""The environments that connect the singleton roles to the registrar: lease, configuration and soft state.
 
-What a role finds is published as soft state under its lease's fencing token, which is asked at every act: a
-lease can end at any moment.
+A role's results are published as soft state under its lease's fencing token. The token is read anew before
+each action, since a lease can end at any moment.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -25,12 +25,12 @@
 from plumline.wire.http import Address
 from plumline.wire.mesh import Mesh
 
-MAX_EVENTS_PER_MESSAGE = 500  # of a cache store; they are small
+MAX_EVENTS_PER_MESSAGE = 500  # of a cache store
 
-#: The fencing token of a role's lease, None unless the lease is held at this moment.
+#: Returns the fencing token of a role's lease, None unless the lease is held at this moment.
 FencingToken = Callable[[], int | None]
 
-#: What of the configuration is committed here.
+#: Returns the configuration that is committed at this registrar.
 CommittedConfiguration = Callable[[], ReplicatedConfiguration]
 
 
@@ -40,18 +40,18 @@
     def __init__(
         self, token: FencingToken, replicator: SoftStateReplicator, on_published: Callable[[], None]
     ) -> None:
-        """`on_published()` is called after each list."""
+        """`on_published()` is called after each call of `publish`."""
         self._token, self._replicator, self._on_published = token, replicator, on_published
 
     def may_read(self) -> bool:
-        """Whether the lease is held, or no list is known, as after a loss of power.
+        """Whether the lease is held, or no list is known, as after a power failure.
 
-        Nobody can hold the lease for a while then, and routers can do nothing without a list.
+        Then no registrar can hold the lease for a while, and routers can't serve requests without a list.
         """
         return self._token() is not None or not self._list_is_known()
 
     def publish(self, endpoints: Sequence[ListedEndpoint]) -> None:
-        """Publishes the list; without the lease only where none is known, and to own subscribers only."""
+        """Publishes the list; without the lease only if none is known, and only to own subscribers."""
         value = [endpoint.to_wire() for endpoint in endpoints]
         if (token := self._token()) is not None:
             self._replicator.publish(Topic.ENDPOINTS, token, value)
@@ -78,7 +78,7 @@
         self._token, self._configuration = token, configuration
         self._replicator, self._publisher, self._mesh = replicator, publisher, mesh
         self._counters = counters
-        self._document: Document | None = None  # that the addresses are from
+        self._document: Document | None = None  # that `_addresses` was computed from
         self._addresses: dict[str, Address] = {}
 
     def holds_lease(self) -> bool:
@@ -86,7 +86,7 @@
         return self._token() is not None
 
     def addresses(self) -> Mapping[str, Address]:
-        """The stores that have an address, by name; worked out once for each configuration."""
+        """The addresses of the stores that have one, by name; computed once for each configuration."""
         document = self._configuration().configuration
         if document is not self._document:
             self._document = document
@@ -103,7 +103,7 @@
             self._replicator.publish(Topic.CACHE_STORES, token, value)
 
     def publish_events(self, address: Address, events: StoreEvents) -> None:
-        """Sends a store's events to all routers: evictions, and additions large enough to count."""
+        """Sends a store's events to all routers: evictions, and additions of large enough prefixes."""
         if events.lost:
             self._counters.add("stores.events-lost")
         changes = [
@@ -112,7 +112,7 @@
             if change.cached_tokens >= TOLD_PART or change.sign == "-"
         ]
         host, port = address
-        # Without changes one message goes out as well: the epoch may be another.
+        # A message is sent even without changes, since the epoch may have changed.
         for start in range(0, max(len(changes), 1), MAX_EVENTS_PER_MESSAGE):
             stored = ["stored", events.epoch, changes[start : start + MAX_EVENTS_PER_MESSAGE]]
             message = PromptEvents(f"{host}:{port}", [stored]).to_wire()
@@ -141,7 +141,7 @@
         return self._endpoints.newest()
 
     def desired_versions(self) -> Mapping[str, int]:
-        """The committed versions by model."""
+        """The committed versions of the weights, by model."""
         return self._configuration().weight_versions
 
     def publish(self, states: RolloutStates) -> None:
@@ -162,7 +162,7 @@
         live_routers: Callable[[], Iterable[str]],
         submit: Callable[[Change, Callable[[PlumlineError | None], None]], None],
     ) -> None:
-        """`submit(change, on_result)`: orders a change at the head of the chain."""
+        """`submit(change, on_result)`: submits a change to the head of the chain."""
         self._token, self._configuration = token, configuration
         self._replicator, self._live_routers, self._submit = replicator, live_routers, submit
         self._endpoints = PublishedEndpoints(replicator)
@@ -190,7 +190,7 @@
             self._replicator.publish(Topic.GRANTS, token, value)
 
     def published_any(self) -> bool:
-        """Whether the newest grants that any holder has published allow anything."""
+        """Whether the newest grants that any lease holder has published are not empty."""
         return bool(self._replicator.soft_state.get(Topic.GRANTS))
 
     def record(self, decision: AdvanceRollout, on_result: Callable[[PlumlineError | None], None]) -> None:
@@ -199,11 +199,11 @@
 
 
 class PublishedEndpoints:
-    """The published list of endpoints, decoded once for each list."""
+    """Decodes the published list of endpoints, once for each list."""
 
     def __init__(self, replicator: SoftStateReplicator) -> None:
         self._replicator = replicator
-        self._decoded: Any = None  # the published value that the endpoints are from
+        self._decoded: Any = None  # the published value that `_endpoints` was decoded from
         self._endpoints: list[ListedEndpoint] = []
 
     def newest(self) -> Sequence[ListedEndpoint]:
@@ -216,7 +216,7 @@
 
 
 def rollout_states_from_wire(value: Any) -> RolloutStates:  # noqa: ANN401 (plain values of a message)
-    """The published states of a roll-out. Raises ValueError for another value."""
+    """Decodes the published states of a roll-out. Raises ValueError if the value is malformed."""
     if not isinstance(value, Mapping) or not all(isinstance(state, Mapping) for state in value.values()):
         raise ValueError("no states of a roll-out")
     return {endpoint_id: RolloutState.from_wire(state) for endpoint_id, state in value.items()}
--- a/plumline/registrar/singleton_roles.py
+++ b/plumline/registrar/singleton_roles.py
@@ -1,12 +1,12 @@
-"""The singleton roles: what only one registrar of the fleet does at a time, the holder of the role's lease.
+"""The singleton roles: work that one registrar of the fleet does at a time, the holder of the role's lease.
 
 | lease       | roles                                                                      |
 | ----------- | -------------------------------------------------------------------------- |
-| `discovery` | keeping the endpoint list, health checks of the cache stores, steering     |
-|             | roll-outs of service versions; the term is recorded with each stage        |
-| `weights`   | rolling out versions of the endpoints' weights; the term is the fencing token |
+| `discovery` | endpoint discovery, health checks of the cache stores, roll-outs of        |
+|             | service versions; the term is recorded with each stage                     |
+| `weights`   | roll-outs of versions of the endpoints' weights; the term is the fencing token |
 
-All loops run at each registrar; they do nothing while its lease is held elsewhere.
+All loops run at each registrar; a loop does nothing while its lease is held elsewhere.
 """
 
 from collections.abc import Callable, Coroutine
@@ -40,7 +40,7 @@
 from plumline.wire.calls import Caller
 from plumline.wire.mesh import Mesh
 
-DISCOVERY_LEASE_S = 1.2  # s; no lock delay: the calls of two holders do no harm but their price
+DISCOVERY_LEASE_S = 1.2  # s; no lock delay: concurrent calls of two holders only cost more
 WEIGHTS_LEASE_S = 1.0  # s
 LOCK_DELAY_MARGIN_S = 0.4  # s added to the lock delay that the deployment asks for
 
@@ -57,7 +57,7 @@
 
 
 def lease_durations(settings: Settings) -> dict[str, LeaseDurations]:
-    """How long each lease lasts, and rests after it has ended before another registrar may win it."""
+    """The duration of each lease, and the delay after its end before another registrar may acquire it."""
     lock_delay_s = settings.bounds.lease_duration_ms / 1000 + LOCK_DELAY_MARGIN_S
     return {
         Lease.DISCOVERY: LeaseDurations(DISCOVERY_LEASE_S, 0.0),
@@ -66,7 +66,7 @@
 
 
 class SingletonRoles:
-    """The roles' loops, what they read, and where what they find is published."""
+    """Wires the loops of all roles to the registrar, and forwards events to them."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
     ) -> None:
         """`clock()`: s, steady."""
         self.core, self.clock, self.forwarder = core, clock, forwarder
-        self.known_terms: dict[Lease, int | None] = {}  # held here, as of the last check
+        self.known_terms: dict[Lease, int | None] = {}  # of the leases held here, as of the last check
         caller = Caller(clock)
         self.rollout = RolloutController(
             caller,
@@ -130,7 +130,7 @@
         )
 
     def loops(self) -> tuple[Coroutine[Any, Any, None], ...]:
-        """The loops, which run until they are cancelled."""
+        """Coroutines of the loops, which run until they are cancelled."""
         return (
             self.discovery.run(),
             self.cache_stores.run(),
@@ -141,12 +141,12 @@
     # Events.
 
     def campaign(self) -> None:
-        """Stands for all leases from now on."""
+        """Starts to campaign for all leases."""
         for lease in Lease:
             self.core.campaign(self.clock(), lease)
 
     def check_leases(self, now: float) -> None:
-        """Wakes all loops when a lease was won or lost. `now`: s, steady."""
+        """Wakes all loops when a lease was acquired or lost. `now`: s, steady."""
         for lease in Lease:
             term = self.core.lease_election.fencing_token(now, lease)
             if term != self.known_terms.get(lease):
@@ -158,7 +158,7 @@
                 self.service_rollouts.wake()
 
     def on_rollout_report(self, report: RolloutReport) -> None:
-        """A router has reported what it saw of the roll-outs under way."""
+        """Records a router's report of the roll-outs that are under way."""
         self.service_rollouts.reports.take(report)
 
     def on_configuration_changed(self) -> None:
@@ -174,19 +174,19 @@
         self.rollout.wake()
 
     def refresh_endpoints(self) -> None:
-        """A router misses an endpoint: the list is read again soon, if the lease is held here."""
+        """A router misses an endpoint: reads the list again soon, if the lease is held here."""
         self.discovery.refresh_soon()
 
     def _on_endpoints_published(self) -> None:
         self.rollout.wake()
         self.service_rollouts.wake()
 
-    # What the roles ask.
+    # Callbacks of the roles.
 
     def _submit(self, change: Change, on_result: Callable[[PlumlineError | None], None]) -> None:
-        """Orders a change at the head of the chain, like an operator's."""
+        """Submits a change to the head of the chain, as for an operator's request."""
         self.forwarder.submit(self.clock(), change, 0, lambda error, _: on_result(error))
 
     def _active_term(self, lease: Lease) -> int | None:
-        """The term of the lease if this registrar may act for it right now."""
+        """The term of the lease if this registrar holds it at this moment, else None."""
         return self.core.lease_election.fencing_token(self.clock(), lease)
--- a/plumline/registrar/subscriber_messages.py
+++ b/plumline/registrar/subscriber_messages.py
@@ -1,12 +1,12 @@
-"""The messages between a registrar and the routers that subscribe to it, and their form on the wire.
+"""The messages between a registrar and its subscribed routers, and their form on the wire.
 
 From a router:
 
-    ["follow", index]                   subscribes, with the number of the newest entry that it has
-    ["primary", is_primary]             whether this registrar is to send it entries and prompt events
-    ["heartbeat", index, loads]         is alive; the loads that it sees, by service
+    ["follow", index]                   subscribes; index: number of the newest entry it has
+    ["primary", is_primary]             whether this registrar should send entries and prompt events
+    ["heartbeat", index, loads]         heartbeat with the loads that it sees, by service
     ["hurry"]                           asks for a new endpoint list
-    ["news", origin, events]            prompt events, which are forwarded as they came
+    ["news", origin, events]            prompt events, which are forwarded unchanged
 
 To a router, besides `topic` (soft state), `entry`, `state` and `news`:
 
@@ -20,40 +20,40 @@
 from plumline.registrar.service_load import ServiceLoads, is_load_report
 
 ENTRY_KIND = "entry"  # [kind, index, change]
-SNAPSHOT_KIND = "state"  # [kind, index, the whole state after that entry]
+SNAPSHOT_KIND = "state"  # [kind, index, the state after that entry]
 PROMPT_EVENTS_KIND = "news"  # [kind, address that the events are about, events]
 REFRESH_ENDPOINTS_KIND = "hurry"  # [kind]
 
 
 class Subscribe(NamedTuple):
-    """The router wants the feed."""
+    """The router subscribes to the feed."""
 
     index: int  # number of the newest entry that it has
 
 
 class SelectPrimary(NamedTuple):
-    """The router has chosen its primary registrar."""
+    """The router has chosen its primary registrar, or changed it."""
 
-    is_primary: bool  # whether it is this one
+    is_primary: bool  # whether the primary is the receiver
 
 
 class RouterHeartbeat(NamedTuple):
-    """The router is alive."""
+    """The router's heartbeat."""
 
     loads: ServiceLoads
 
 
 class PublisherHeartbeat(NamedTuple):
-    """The registrar is alive, and says what it knows of the fleet."""
+    """The registrar's heartbeat, with what it knows of the fleet."""
 
-    is_current: bool  # whether the registrar surely has the newest entries
+    is_current: bool  # whether the registrar is known to have the newest entries
     committed_index: int  # number of the newest committed entry
     registrars: list[list[str]]  # [address, zone] of each that can be subscribed to
-    router_count: int  # alive, at any registrar; at least 1
+    router_count: int  # live ones at all registrars; at least 1
     loads: ServiceLoads  # the sum over these routers
 
     def to_wire(self) -> Message:
-        """The message's plain values."""
+        """Encodes the message as plain values."""
         return ["beat", *self]
 
 
@@ -61,7 +61,7 @@
 
 
 def subscriber_message_from_wire(message: Message) -> SubscriberMessage:
-    """The typed message. Raises FrameError for any other kind, and for a malformed one."""
+    """Parses a subscriber's message. Raises FrameError if its kind is unexpected or it is malformed."""
     match message:
         case ["follow", int(index)]:
             return Subscribe(index)
@@ -69,7 +69,7 @@
             return SelectPrimary(is_primary)
         case ["heartbeat", int(), dict(loads)]:
             if not all(map(is_load_report, loads.values())):
-                raise FrameError("a heartbeat with a malformed load report")
+                raise FrameError("heartbeat has a malformed load report")
             return RouterHeartbeat(loads)
         case _:
-            raise FrameError(f"a subscriber does not send {message[0]!r}")
+            raise FrameError(f"unexpected or malformed message from a subscriber: {message[0]!r}")
