--- a/tests/test_cache_stores.py
+++ b/tests/test_cache_stores.py
@@ -36,9 +36,9 @@
 
 
 RESET, REFUSED = failed(ConnectionResetError()), failed(ConnectionRefusedError())
-SILENT = CallTimeoutError("silent")
+TIMED_OUT = CallTimeoutError("silent")
 TOO_LONG = CallFailedError("the answer is longer than that", sent=True)
-BAD = (Answer(500, {}, None), Answer(200, {}, None), Answer(200, {}, {"Epoch": 1}), TOO_LONG)
+INVALID_ANSWERS = (Answer(500, {}, None), Answer(200, {}, None), Answer(200, {}, {"Epoch": 1}), TOO_LONG)
 
 
 def up(epoch: int = 7) -> dict[str, Any]:
@@ -54,7 +54,7 @@
 
 
 class Call(NamedTuple):
-    """A call that is out, until `reply` is given."""
+    """A call in flight, until `reply` is set."""
 
     address: tuple[str, int]
     query: str
@@ -64,26 +64,26 @@
 
 
 class Wait(NamedTuple):
-    """A watch that waits so long (s), until `over` is given."""
+    """A watch that waits for `seconds`, until `over` is set."""
 
     seconds: float
     over: asyncio.Future[None]
 
 
 class World:
-    """A job on a clock that only the test moves; the world stands in for its caller, too."""
+    """A monitor on a clock that only the test advances; this is also its environment and caller."""
 
     def __init__(self, stores: Mapping[str, tuple[str, int]] | None = None) -> None:
         self.now = 100.0
-        self.leased = True
+        self.has_lease = True
         self.stores = dict({"a": A} if stores is None else stores)
         self.idle: dict[tuple[str, int], None] = {}
         self.calls: asyncio.Queue[Call] = asyncio.Queue()
         self.waits: asyncio.Queue[Wait] = asyncio.Queue()
-        self.looks: asyncio.Queue[float] = asyncio.Queue()
+        self.check_delays: asyncio.Queue[float] = asyncio.Queue()
         self.published: asyncio.Queue[dict[str, dict[str, Any]]] = asyncio.Queue()
         self.forgotten: list[tuple[str, int]] = []
-        self.out: list[Call] = []
+        self.pending_calls: list[Call] = []
         self.events: list[tuple[tuple[str, int], StoreEvents]] = []
         self.monitor = CacheStoreMonitor(
             self,  # type: ignore[arg-type]
@@ -93,7 +93,7 @@
         )
 
     def holds_lease(self) -> bool:
-        return self.leased
+        return self.has_lease
 
     def addresses(self) -> Mapping[str, tuple[str, int]]:
         return self.stores
@@ -119,12 +119,12 @@
         prepare()
         self.idle.pop(address, None)
         call = Call(address, query, (headers or {}).get("Wait-Ms"), timeout_s, asyncio.Future())
-        self.out.append(call)
+        self.pending_calls.append(call)
         self.calls.put_nowait(call)
         try:
             got = await call.reply
         finally:
-            self.out.remove(call)
+            self.pending_calls.remove(call)
         if isinstance(got, Exception):
             raise got
         return got
@@ -134,7 +134,7 @@
 
     async def wait(self, event: asyncio.Event, seconds: float) -> None:
         if event is self.monitor._event:
-            self.looks.put_nowait(seconds)
+            self.check_delays.put_nowait(seconds)
             await event.wait()
         else:
             wait = Wait(seconds, asyncio.Future())
@@ -147,40 +147,40 @@
     async def next_published(self) -> dict[str, dict[str, Any]]:
         return await soon(self.published.get())
 
-    async def look(self) -> float:
-        """One more look at lease and configuration, and the time that the job gives to the next."""
+    async def reconcile(self) -> float:
+        """Makes the monitor reconcile; returns the time (s) to its next check."""
         self.monitor.wake()
-        return await soon(self.looks.get())
+        return await soon(self.check_delays.get())
 
     async def answer(self, got: Answer | Exception, after: float = 0.0) -> Call:
-        """Takes the next call, and answers it `after` so long."""
+        """Answers the next call `after` this time (s)."""
         call = await self.next_call()
         self.now += after
         call.reply.set_result(got)
         return call
 
-    async def let_pass(self) -> float:
-        """Ends the next wait of a watch when its time is over, which it returns."""
+    async def finish_wait(self) -> float:
+        """Advances the clock to the end of a watch's next wait; returns the length of the wait (s)."""
         wait = await soon(self.waits.get())
         self.now += wait.seconds
         wait.over.set_result(None)
         return wait.seconds
 
-    async def come_up(self, epoch: int = 7, token: int = 3) -> None:
+    async def bring_up(self, epoch: int = 7, token: int = 3) -> None:
         await self.answer(events(epoch, token))
         assert await self.next_published() == {"a": up(epoch)}
-        await self.let_pass()
+        await self.finish_wait()
 
 
 def in_world(**stores: tuple[str, int]) -> Callable[..., Callable[[], None]]:
-    """Runs a test's coroutine beside a running job, which has looked once."""
+    """Runs a test's coroutine beside a running monitor, after its first check."""
 
     def decorate(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-        async def whole(args: Mapping[str, object]) -> None:
+        async def run_beside_monitor(args: Mapping[str, object]) -> None:
             world = World(stores or None)
             running = asyncio.ensure_future(world.monitor.run())
             try:
-                await soon(world.looks.get())
+                await soon(world.check_delays.get())
                 await soon(test(world, **args))
             finally:
                 running.cancel()
@@ -188,10 +188,10 @@
             assert not world.monitor._watches
 
         def run() -> None:
-            asyncio.run(whole({}))
+            asyncio.run(run_beside_monitor({}))
 
         def run_with(got: object) -> None:
-            asyncio.run(whole({"got": got}))
+            asyncio.run(run_beside_monitor({"got": got}))
 
         chosen: Callable[..., None] = run_with if "got" in test.__annotations__ else run
         chosen.__name__, chosen.__doc__ = test.__name__, test.__doc__
@@ -252,7 +252,7 @@
     first = await world.answer(events(7, 118))
     assert (first.address, first.query, first.wait_ms, first.timeout_s) == (A, "Since=0", None, 0.8)
     assert await world.next_published() == {"a": up()}
-    assert await world.let_pass() == 1.0
+    assert await world.finish_wait() == 1.0
     later = await world.answer(events(7, 120), after=1.0)
     assert (later.query, later.wait_ms, later.timeout_s) == ("Since=118", "1000", 1.6)
     assert (await world.next_call()).query == "Since=120"  # with no pause
@@ -261,30 +261,30 @@
 
 @in_world()
 async def test_after_an_early_answer_the_rest_of_the_second_is_waited_for(world: World) -> None:
-    await world.come_up()
+    await world.bring_up()
     for after, pause in ((0.05, 0.95), (0.5, 0.5), (0.999, 0.001)):
         await world.answer(events(), after=after)
-        assert await world.let_pass() == pytest.approx(pause)
+        assert await world.finish_wait() == pytest.approx(pause)
 
 
-@pytest.mark.parametrize("got", [RESET, REFUSED, SILENT])
+@pytest.mark.parametrize("got", [RESET, REFUSED, TIMED_OUT])
 @in_world()
 async def test_one_failure_means_down_at_once_and_short_calls_retry(world: World, got: Exception) -> None:
-    await world.come_up()
+    await world.bring_up()
     await world.answer(got, after=0.5)
     assert await world.next_published() == {"a": down(7)}
     for _ in range(3):
-        assert await world.let_pass() == 0.3
+        assert await world.finish_wait() == 0.3
         call = await world.answer(REFUSED)
         assert (call.query, call.wait_ms, call.timeout_s) == ("Since=3", None, 0.8)
-    assert await world.let_pass() == 0.3
+    assert await world.finish_wait() == 0.3
     await world.answer(events(8, 0))
     assert await world.next_published() == {"a": up(8)}
-    assert await world.let_pass() == 1.0
+    assert await world.finish_wait() == 1.0
     assert (await world.next_call()).query == "Since=0"
 
 
-@pytest.mark.parametrize("got", [RESET, REFUSED, SILENT])
+@pytest.mark.parametrize("got", [RESET, REFUSED, TIMED_OUT])
 @in_world()
 async def test_a_store_that_is_dead_from_the_start(world: World, got: Exception) -> None:
     await world.answer(got, after=0.4)
@@ -293,43 +293,43 @@
 
 @in_world()
 async def test_a_reset_of_an_idle_connection_is_retried_once(world: World) -> None:
-    await world.come_up()
+    await world.bring_up()
     await world.answer(events(), after=0.1)
     world.idle[A] = None
-    await world.let_pass()
+    await world.finish_wait()
     assert (await world.answer(RESET, after=0.01)).wait_ms == "1000"
     again = await world.answer(events(7, 5))
     assert again.wait_ms is None
-    assert await world.let_pass() == pytest.approx(0.99)
+    assert await world.finish_wait() == pytest.approx(0.99)
     assert world.published.empty()
 
 
 @in_world()
 async def test_a_second_reset_means_down(world: World) -> None:
-    await world.come_up()
+    await world.bring_up()
     await world.answer(events())
     world.idle[A] = None
-    await world.let_pass()
+    await world.finish_wait()
     await world.answer(RESET)
     await world.answer(REFUSED)
     assert await world.next_published() == {"a": down(7)}
-    assert await world.let_pass() == 0.3
+    assert await world.finish_wait() == 0.3
 
 
 @in_world()
 async def test_a_reset_of_a_long_poll_means_down(world: World) -> None:
-    await world.come_up()
+    await world.bring_up()
     await world.answer(events())
     world.idle[A] = None
-    await world.let_pass()
+    await world.finish_wait()
     await world.answer(RESET, after=0.6)
     assert await world.next_published() == {"a": down(7)}
 
 
 @in_world()
 async def test_a_time_out_of_a_process_that_was_paused_itself_is_retried_once(world: World) -> None:
-    await world.come_up()
-    await world.answer(SILENT, after=2.5)
+    await world.bring_up()
+    await world.answer(TIMED_OUT, after=2.5)
     assert (await world.answer(events())).timeout_s == 0.8
     assert (await world.next_call()).wait_ms == "1000"
     assert world.published.empty()
@@ -337,15 +337,15 @@
 
 @in_world()
 async def test_time_outs_of_a_process_paused_again_and_again_mean_down(world: World) -> None:
-    await world.come_up()
-    await world.answer(SILENT, after=2.5)
-    await world.answer(SILENT, after=2.5)
+    await world.bring_up()
+    await world.answer(TIMED_OUT, after=2.5)
+    await world.answer(TIMED_OUT, after=2.5)
     assert await world.next_published() == {"a": down(7)}
 
 
 @in_world()
 async def test_a_new_epoch_is_published_and_its_token_used(world: World) -> None:
-    await world.come_up(7, 118)
+    await world.bring_up(7, 118)
     await world.answer(events(8, 2), after=1.0)
     assert await world.next_published() == {"a": up(8)}
     assert (await world.next_call()).query == "Since=2"
@@ -353,56 +353,56 @@
 
 @in_world()
 async def test_lost_events_and_a_token_that_goes_back_only_move_the_token(world: World) -> None:
-    await world.come_up(7, 118)
+    await world.bring_up(7, 118)
     await world.answer(events(7, 500, lost=True), after=1.0)
     assert (await world.answer(events(7, 4), after=1.0)).query == "Since=500"
     assert (await world.next_call()).query == "Since=4"
     assert world.published.empty()
 
 
-@pytest.mark.parametrize("got", BAD)
+@pytest.mark.parametrize("got", INVALID_ANSWERS)
 @in_world()
 async def test_two_invalid_answers_in_a_row_mean_down(world: World, got: Answer | Exception) -> None:
-    await world.come_up()
+    await world.bring_up()
     await world.answer(got)
-    assert await world.let_pass() == 1.0
+    assert await world.finish_wait() == 1.0
     await world.answer(events())
-    assert await world.let_pass() == 1.0
+    assert await world.finish_wait() == 1.0
     await world.answer(got)
-    assert await world.let_pass() == 1.0
+    assert await world.finish_wait() == 1.0
     assert world.published.empty()
     await world.answer(got)
     assert await world.next_published() == {"a": down(7)}
-    assert await world.let_pass() == 1.0  # it answers, and answers have a price
+    assert await world.finish_wait() == 1.0  # it answers, and answers are charged
     assert (await world.next_call()).wait_ms is None
 
 
 @in_world()
 async def test_over_the_concurrency_limit_a_store_is_up_and_called_no_faster(world: World) -> None:
     busy = Answer(429, {}, None)
-    await world.come_up()
+    await world.bring_up()
     await world.answer(busy)
-    assert await world.let_pass() == 1.0
+    assert await world.finish_wait() == 1.0
     assert world.published.empty()
     await world.answer(REFUSED)
     assert await world.next_published() == {"a": down(7)}
-    await world.let_pass()
+    await world.finish_wait()
     await world.answer(busy)
-    assert await world.next_published() == {"a": up(0)}  # it may have come back empty
-    assert await world.let_pass() == 1.0
+    assert await world.next_published() == {"a": up(0)}  # it may have restarted empty
+    assert await world.finish_wait() == 1.0
     await world.answer(events(7, 3))
     assert await world.next_published() == {"a": up(7)}
 
 
 @in_world()
 async def test_unchanged_statuses_are_published_again_after_five_seconds(world: World) -> None:
-    await world.come_up()
-    assert await world.look() == 0.5
+    await world.bring_up()
+    assert await world.reconcile() == 0.5
     world.now = 104.7
-    assert await world.look() == pytest.approx(0.3)
+    assert await world.reconcile() == pytest.approx(0.3)
     assert world.published.empty()
     world.now = 105.0
-    assert await world.look() == 0.5
+    assert await world.reconcile() == 0.5
     assert await world.next_published() == {"a": up()}
 
 
@@ -419,16 +419,16 @@
 @in_world()
 async def test_nothing_is_published_before_anything_is_known(world: World) -> None:
     await world.next_call()
-    await world.look()
+    await world.reconcile()
     assert world.published.empty()
 
 
 @in_world()
 async def test_a_changed_address_ends_the_old_call_and_begins_anew(world: World) -> None:
-    await world.come_up()
+    await world.bring_up()
     old = await world.next_call()
     world.stores = {"a": OTHER}
-    await world.look()
+    await world.reconcile()
     assert await world.next_published() == {}
     new = await world.answer(events(9, 1))
     assert old.reply.cancelled() and world.forgotten == [A]
@@ -442,35 +442,35 @@
         (await world.next_call()).reply.set_result(events())
         await world.next_published()
     del world.stores["b"]
-    await world.look()
+    await world.reconcile()
     assert await world.next_published() == {"a": up()}
     world.stores = {}
-    await world.look()
+    await world.reconcile()
     assert await world.next_published() == {}
     assert not world.monitor.stores
 
 
 @in_world()
 async def test_a_lease_that_ends_ends_the_calls_and_a_new_one_begins_anew(world: World) -> None:
-    await world.come_up()
+    await world.bring_up()
     old = await world.next_call()
-    world.leased = False
-    assert await world.look() == 0.5
+    world.has_lease = False
+    assert await world.reconcile() == 0.5
     assert old.reply.cancelled()
-    world.leased = True
-    await world.look()
+    world.has_lease = True
+    await world.reconcile()
     assert (await world.answer(events())).query == "Since=0"
     assert await world.next_published() == {"a": up()}  # no change, but it is a new lease
-    assert not world.out
+    assert not world.pending_calls
 
 
 @in_world()
 async def test_a_call_after_the_lease_is_withdrawn_and_an_answer_not_published(world: World) -> None:
     call = await world.next_call()
-    world.leased = False
+    world.has_lease = False
     call.reply.set_result(events())
-    assert await world.let_pass() == 1.0
-    assert await world.let_pass() == 0.3
+    assert await world.finish_wait() == 1.0
+    assert await world.finish_wait() == 0.3
     assert world.calls.empty() and world.published.empty()
 
 
@@ -486,8 +486,8 @@
         world.monitor.reconcile()
 
 
-class Real:
-    """A job with real sockets whose watches never wait."""
+class SocketWorld:
+    """A monitor with real sockets whose watches never wait."""
 
     def __init__(self, peer: Peer) -> None:
         self.published: asyncio.Queue[dict[str, dict[str, Any]]] = asyncio.Queue()
@@ -511,7 +511,7 @@
         if event is self.monitor._event:
             await event.wait()
 
-    async def __aenter__(self) -> "Real":
+    async def __aenter__(self) -> "SocketWorld":
         self.running = asyncio.ensure_future(self.monitor.run())
         return self
 
@@ -526,27 +526,27 @@
 
 @play
 async def test_on_sockets_a_reset_of_an_idle_connection_is_no_failure_but_a_refusal_is(_: object) -> None:
-    async with Peer() as peer, Real(peer) as real:
+    async with Peer() as peer, SocketWorld(peer) as real:
         (await peer.next()).answer(200, body=json.dumps(body(7, 118)))
         assert await real.next() == {"a": up()}
-        held = await peer.next()
-        assert (held.target, held.headers["wait-ms"]) == ("/kv-events?Since=118", "1000")
+        long_poll = await peer.next()
+        assert (long_poll.target, long_poll.headers["wait-ms"]) == ("/kv-events?Since=118", "1000")
         assert peer.accepted == 1
-        held.break_off()
+        long_poll.break_off()
         again = await peer.next()
         assert again.target == "/kv-events?Since=118" and "wait-ms" not in again.headers
         assert peer.accepted == 2
         again.answer(200, body=json.dumps(body(8, 0)))
         assert await real.next() == {"a": up(8)}
-        held = await peer.next()
+        long_poll = await peer.next()
         peer.server.close()
-        held.break_off()
+        long_poll.break_off()
         assert await real.next() == {"a": down(8)}
 
 
 @play
 async def test_on_sockets_noise_and_a_body_without_end_are_invalid_answers(_: object) -> None:
-    async with Peer() as peer, Real(peer) as real:
+    async with Peer() as peer, SocketWorld(peer) as real:
         (await peer.next()).write("noise\r\n\r\n")
         (await peer.next()).answer(200, body="[" * 100_000)
         assert await real.next() == {"a": down()}
--- a/tests/test_durable_state.py
+++ b/tests/test_durable_state.py
@@ -1,4 +1,4 @@
-"""What a registrar's disk gives back, when the incarnation may be told, and when the disk is unhealthy."""
+"""A registrar's durable state: recovery, when the incarnation may be sent, and when the disk is unhealthy."""
 
 import asyncio
 from pathlib import Path
@@ -29,7 +29,7 @@
 
 
 @play
-async def test_the_incarnation_may_not_be_told_before_it_is_synced(folder: Path) -> None:
+async def test_the_incarnation_may_not_be_sent_before_it_is_synced(folder: Path) -> None:
     state = DurableState(folder, asyncio.get_running_loop())
     assert not state.incarnation_synced.is_set()
     state.start_writing(list)
@@ -59,7 +59,7 @@
     state.start_writing(list)
     await soon(state.wait_for_incarnation())
     submitted_at = loop.time()
-    assert not state.is_unhealthy(submitted_at + 60.0)  # nothing waits
+    assert not state.is_unhealthy(submitted_at + 60.0)  # no write is pending
     synced = asyncio.Event()
     state.persist(VIEW_RECORD, synced.set)
     assert not state.is_unhealthy(submitted_at)
--- a/tests/test_endpoint_discovery.py
+++ b/tests/test_endpoint_discovery.py
@@ -24,7 +24,7 @@
 
 
 class Platform:
-    """Stands in for the caller: gives the next of a script for each call and remembers queries and times."""
+    """A fake caller: returns the next result of a script for each call, and records queries and times."""
 
     def __init__(self, world: "World") -> None:
         self.world = world
@@ -59,14 +59,14 @@
 
 
 class World:
-    """A job on a clock that only `pause` and the test move."""
+    """A discovery on a clock that only `wait` and the test advance; this is also its environment."""
 
     def __init__(self, settings: Settings | None = None) -> None:
         self.now = 100.0
-        self.leased = True
+        self.has_lease = True
         self.published: list[list[ListedEndpoint]] = []
         self.platform = Platform(self)
-        self.job = EndpointDiscovery(
+        self.discovery = EndpointDiscovery(
             settings or Settings(),
             self.platform,  # type: ignore[arg-type]
             self,
@@ -76,7 +76,7 @@
         )
 
     def may_read(self) -> bool:
-        return self.leased
+        return self.has_lease
 
     def publish(self, endpoints: Sequence[ListedEndpoint]) -> None:
         self.published.append(list(endpoints))
@@ -85,7 +85,7 @@
         self.now += seconds
 
     def poll(self) -> float:
-        return asyncio.run(self.job.poll())
+        return asyncio.run(self.discovery.poll())
 
     def ids(self) -> list[list[str]]:
         return [[each.id for each in endpoints] for endpoints in self.published]
@@ -167,15 +167,15 @@
 
 def test_the_list_is_read_at_once_when_the_lease_is_won_and_not_without_it() -> None:
     world = World()
-    world.leased = False
+    world.has_lease = False
     assert world.poll() == 0.5
     assert not world.platform.calls
-    world.leased = True
+    world.has_lease = True
     world.poll()
     assert world.ids() == [["a"]]
-    world.leased = False
+    world.has_lease = False
     world.poll()
-    world.leased = True
+    world.has_lease = True
     world.poll()  # no time has passed, but it is a new lease
     assert world.ids() == [["a"], ["a"]]
 
@@ -213,7 +213,7 @@
     world.now += waits[-1]
     world.poll()
     assert world.ids() == [["a"]]
-    assert world.job.failures == 0
+    assert world.discovery.failures == 0
 
 
 def test_retry_after_is_heeded_up_to_the_longest_backoff() -> None:
@@ -247,12 +247,12 @@
     world = World(Settings(bounds=Bounds(3600)))
     world.poll()
     world.now += 0.1
-    world.job.refresh_soon()
+    world.discovery.refresh_soon()
     world.poll()
     assert len(world.platform.calls) == 2
     world.now += 0.1
-    world.job.refresh_soon()
-    world.job.refresh_soon()
+    world.discovery.refresh_soon()
+    world.discovery.refresh_soon()
     assert world.poll() == pytest.approx(0.9)
     assert len(world.platform.calls) == 2
     world.now += 0.9
@@ -264,7 +264,7 @@
     world = World()
     world.platform.script = [Answer(429, {}, None)]
     world.poll()
-    world.job.refresh_soon()
+    world.discovery.refresh_soon()
     assert world.poll() == pytest.approx(0.3)
     assert len(world.platform.calls) == 1
 
@@ -273,33 +273,33 @@
     world = World()
     world.platform.script = [page("a", token="p1"), page("b")]
 
-    async def lose(event: asyncio.Event, seconds: float) -> None:
-        world.leased = False
+    async def lose_lease(event: asyncio.Event, seconds: float) -> None:
+        world.has_lease = False
 
-    world.job.wait = lose
+    world.discovery.wait = lose_lease
     assert world.poll() == 0.0
     assert len(world.platform.calls) == 1
     assert not world.published
 
 
-class LeaseToWin:
-    """A registrar that doesn't hold the lease until the test says so."""
+class LeaseEnvironment:
+    """An environment without the lease until the test sets it."""
 
     def __init__(self) -> None:
-        self.leased = False
-        self.looked = asyncio.Event()
+        self.has_lease = False
+        self.checked = asyncio.Event()
         self.published: asyncio.Queue[Sequence[ListedEndpoint]] = asyncio.Queue()
 
     def may_read(self) -> bool:
-        self.looked.set()
-        return self.leased
+        self.checked.set()
+        return self.has_lease
 
     def publish(self, endpoints: Sequence[ListedEndpoint]) -> None:
         self.published.put_nowait(endpoints)
 
 
 def test_run_reads_from_a_platform_on_a_socket_and_wakes_when_the_lease_is_won() -> None:
-    async def whole() -> Sequence[ListedEndpoint]:
+    async def read_first_list() -> Sequence[ListedEndpoint]:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             body = json.dumps({"Instances": [entry("a")], "NextToken": None}).encode()
@@ -308,19 +308,19 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        caller, environment = Caller(), LeaseToWin()
+        caller, environment = Caller(), LeaseEnvironment()
         settings = Settings(cloud_api=server.sockets[0].getsockname())
-        job = EndpointDiscovery(settings, caller, environment)
-        running = asyncio.ensure_future(job.run())
+        discovery = EndpointDiscovery(settings, caller, environment)
+        running = asyncio.ensure_future(discovery.run())
         try:
             async with asyncio.timeout(10):
-                await environment.looked.wait()
-                environment.leased = True
-                job.wake()
+                await environment.checked.wait()
+                environment.has_lease = True
+                discovery.wake()
                 return await environment.published.get()
         finally:
             running.cancel()
             caller.close()
             server.close()
 
-    assert [each.id for each in asyncio.run(whole())] == ["a"]
+    assert [each.id for each in asyncio.run(read_first_list())] == ["a"]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""What a request forwarder sends, whose responses it accepts, and how long it waits."""
+"""A request forwarder: what it sends, which responses it accepts, and its time-outs."""
 
 from typing import Any
 
@@ -37,7 +37,7 @@
 
 
 class Core:
-    """As much of a core as the request forwarder looks at."""
+    """A fake of the part of a core that the request forwarder uses."""
 
     def __init__(self) -> None:
         self.local_member = Member("me", "1")
@@ -63,7 +63,7 @@
         self.results: list[tuple[PlumlineError | None, Any]] = []
 
     def submit(self, size: int = 0) -> str:
-        """Returns the key of the request that was forwarded."""
+        """Submits a change; returns the key of the forwarded request."""
         self.forwarder.submit(0.0, CHANGE, size, self.on_result)
         return self.sent[-1][1][1]
 
@@ -115,12 +115,12 @@
     assert scene.unavailable()
 
 
-@pytest.mark.parametrize("why", ["no view", "no majority", "silent head"])
-def test_a_request_that_cannot_be_served_fails_at_once(why: str) -> None:
+@pytest.mark.parametrize("cause", ["no view", "no majority", "silent head"])
+def test_a_request_that_cannot_be_served_fails_at_once(cause: str) -> None:
     scene = Scene()
-    if why == "no view":
+    if cause == "no view":
         scene.core.chain_head = None
-    elif why == "no majority":
+    elif cause == "no majority":
         scene.core.majority = False
     else:
         scene.core.failure_detector.silent.add("head")
@@ -128,11 +128,11 @@
     assert scene.unavailable() and not scene.sent
 
 
-@pytest.mark.parametrize("why", ["no majority", "silent head"])
-def test_a_pending_request_fails_as_soon_as_its_registrar_is_unreachable(why: str) -> None:
+@pytest.mark.parametrize("cause", ["no majority", "silent head"])
+def test_a_pending_request_fails_as_soon_as_its_registrar_is_unreachable(cause: str) -> None:
     scene = Scene()
     scene.submit(size=4_000_000)
-    if why == "no majority":
+    if cause == "no majority":
         scene.core.majority = False
     else:
         scene.core.failure_detector.silent.add("head")
@@ -143,8 +143,8 @@
 def test_a_head_or_tail_without_a_quorum_accepts_nothing() -> None:
     scene = Scene()
     scene.core.majority = False
-    for question in (["submit", CHANGE], ["read"]):
-        assert scene.forwarder.on_message(0.0, "asker", ["ask", "k", question])
+    for operation in (["submit", CHANGE], ["read"]):
+        assert scene.forwarder.on_message(0.0, "asker", ["ask", "k", operation])
         to, message = scene.sent.pop()
         assert (to, message[:3]) == ("asker", ["answer", "k", "unavailable"])
     assert not scene.core.chain.submitted and not scene.core.chain.reads
@@ -176,7 +176,7 @@
     for now in (READ_REPEAT_INTERVAL_S / 2, READ_REPEAT_INTERVAL_S, READ_REPEAT_INTERVAL_S * 1.5):
         scene.forwarder.tick(now)
     assert scene.sent[2:] == [("tail", read)]
-    for _ in range(2):  # the response to each of the two
+    for _ in range(2):  # a response to each of the two reads
         scene.forwarder.on_message(0.5, "tail", ["answer", read[1], None, "", {"Version": 1}])
     assert scene.results == [(None, {"Version": 1})]
     scene.forwarder.tick(READ_REPEAT_INTERVAL_S * 2)
--- a/tests/test_message_handlers.py
+++ b/tests/test_message_handlers.py
@@ -1,4 +1,4 @@
-"""Which part of a registrar gets which message, what is counted, and what is passed on."""
+"""Which part of a registrar handles each message, what is counted, and what is forwarded."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 class Scene:
-    """Both handlers over real soft state, with mocks for all that has sockets or loops."""
+    """Both handlers over real soft state, with mocks for parts with sockets or loops."""
 
     def __init__(self) -> None:
         self.now = 10.0
--- a/tests/test_publisher.py
+++ b/tests/test_publisher.py
@@ -1,4 +1,4 @@
-"""The publisher of the feed: to whom entries go, in what form, and how much waits for a slow subscriber."""
+"""The feed's publisher: which subscribers get entries, in what form, and the limits for slow subscribers."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 class FakeChain:
-    """What a publisher reads of a chain; a test commits to it."""
+    """The part of a chain that a publisher reads; tests commit changes to it."""
 
     def __init__(self) -> None:
         self.state, self.committed_index = ReplicatedConfiguration(), 0
@@ -26,7 +26,7 @@
 
 
 class FakeLink:
-    """Records what it was sent; a test says whether the router reads it."""
+    """Records the frames that are sent; tests set `busy` while the router does not read."""
 
     def __init__(self, node: str) -> None:
         self.peer = {"node": node}
@@ -45,20 +45,20 @@
         self.on_drained(self)
 
     def received(self) -> list[list[Any]]:
-        """The entries and snapshots that came since the last call."""
+        """The entries and snapshots sent since the last call."""
         frames, self.frames = self.frames, []
         messages = [FrameDecoder().feed(frame)[0] for frame in frames]
         return [message for message in messages if message[0] in ("entry", "state")]
 
 
 class Router:
-    """Applies what it is sent as a router does."""
+    """Applies entries and snapshots as a router does."""
 
     def __init__(self, link: FakeLink) -> None:
         self.link, self.index, self.state, self.received_bytes = link, 0, ReplicatedConfiguration(), 0
 
     def apply_received(self) -> list[str]:
-        """Returns the kinds of the messages."""
+        """Applies all messages received; returns their kinds."""
         self.received_bytes += sum(map(len, self.link.frames))
         kinds = []
         for kind, index, content in self.link.received():
@@ -85,13 +85,13 @@
 
 
 def amend(version: int, at: int) -> list[Any]:
-    """Another time-out for one route."""
+    """A change that sets another time-out for one route."""
     changed = {"Name": f"r{at}", "Host": "h", "PathPrefix": f"/{at}/", "Service": "s", "TimeoutMs": version}
     return ["amend", version - 1, {"Version": version, "Upserts": {"Routes": [changed]}}]
 
 
 class Scene:
-    """A chain with a publisher and some routers, all of which have it as their primary."""
+    """A chain with a publisher and some routers, which have chosen it as their primary."""
 
     def __init__(self, routers: int = 1) -> None:
         self.chain, self.is_current = FakeChain(), True
@@ -101,12 +101,12 @@
     def join(self, node: str, index: int = 0, primary: bool = True) -> Router:
         link: Any = FakeLink(node)
         self.publisher.on_subscriber_connected(link, 0.0)
-        self.say(link, ["follow", index])
+        self.receive(link, ["follow", index])
         if primary:
-            self.say(link, ["primary", True])
+            self.receive(link, ["primary", True])
         return Router(link)
 
-    def say(self, link: Any, message: list[Any]) -> None:  # noqa: ANN401
+    def receive(self, link: Any, message: list[Any]) -> None:  # noqa: ANN401
         self.publisher.on_subscriber_message(link, message, 0.0)
 
     def commit(self, *changes: list[Any]) -> None:
@@ -121,11 +121,11 @@
     scene.publisher.publish_heartbeat(True, [], {})
     assert scene.routers[0].apply_received() == ["entry", "entry"]
     assert other.link.received() == []
-    scene.say(other.link, ["follow", 0])
-    scene.say(other.link, ["primary", True])
+    scene.receive(other.link, ["follow", 0])
+    scene.receive(other.link, ["primary", True])
     assert other.apply_received() == ["entry", "entry"]
     assert other.state.configuration == scene.chain.state.configuration
-    scene.say(other.link, ["primary", False])
+    scene.receive(other.link, ["primary", False])
     scene.commit(amend(3, 0))
     assert other.apply_received() == []
 
@@ -152,7 +152,7 @@
     scene.publisher.publish_heartbeat(True, [], {})
     assert router.apply_received() == []
     router.link.drain()
-    assert router.apply_received() == ["state"]  # 398 entries are longer
+    assert router.apply_received() == ["state"]  # it is shorter than 398 entries
     assert router.state.configuration == scene.chain.state.configuration
     router.link.busy = True
     scene.commit(amend(400, 1), amend(401, 1))
@@ -168,8 +168,8 @@
     sent = len(router.link.frames)
     router.link.busy = True
     for _ in range(5):
-        scene.say(router.link, ["follow", 0])
-        scene.say(router.link, ["primary", True])
+        scene.receive(router.link, ["follow", 0])
+        scene.receive(router.link, ["primary", True])
     assert len(router.link.frames) == sent
     router.link.drain()
     assert len(router.link.frames) == sent
@@ -241,7 +241,7 @@
 
 
 def test_a_subscriber_of_a_registrar_that_may_be_partitioned_gets_no_old_soft_state() -> None:
-    """It comes with the first heartbeat after the registrar is current again, and once."""
+    """The soft state is sent once, with the first heartbeat after the registrar is current again."""
     scene = Scene(routers=0)
     scene.publisher.soft_state.update("roster", (3, 1), ["an endpoint"])
     scene.is_current = False
@@ -270,14 +270,14 @@
 
 
 def test_a_router_that_subscribes_gets_the_heartbeat_at_once_if_the_registrar_is_current() -> None:
-    """It chooses its primary by it: a router that starts need not wait for the next one."""
+    """A starting router chooses its primary by a heartbeat, so it must not wait for the next one."""
     scene = Scene(routers=0)
     assert kinds_in(scene.join("too-early").link) == []
     scene.publisher.publish_heartbeat(False, [["a:1", "zone"]], {})
     scene.commit(["replace", 0, document(1, 3)])
     link = scene.join("n", primary=False).link
     assert decoded(link)[0][:4] == ["beat", True, 1, [["a:1", "zone"]]]
-    scene.say(link, ["follow", 0])
+    scene.receive(link, ["follow", 0])
     assert kinds_in(link) == ["beat"]
     scene.is_current = False
     assert kinds_in(scene.join("partitioned").link) == []
--- a/tests/test_registrar_drain.py
+++ b/tests/test_registrar_drain.py
@@ -1,4 +1,4 @@
-"""What a registrar does with operators' requests that are unanswered, or come, while it shuts down."""
+"""Operators' requests that are pending, or arrive, while a registrar shuts down."""
 
 import asyncio
 import signal
@@ -8,7 +8,7 @@
 
 import pytest
 from peers import play, soon
-from test_registrar_process import formed, settings_for
+from test_registrar_process import become_head, settings_for
 
 from plumline.lab.local import Ports
 from plumline.registrar.process import RegistrarProcess
@@ -22,9 +22,9 @@
 READ = b"GET /Configuration.Read HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-async def serving(registrar: RegistrarProcess) -> tuple[str, int]:
-    """Lets it listen for operators; the address."""
-    await soon(formed(registrar))
+async def start_serving(registrar: RegistrarProcess) -> tuple[str, int]:
+    """Makes the registrar listen for operators; returns the address."""
+    await soon(become_head(registrar))
     registrar.operator_server = Server(registrar.operator_api.handle)
     await registrar.operator_server.listen(("127.0.0.1", 0))
     return registrar.operator_server.address()
@@ -32,10 +32,10 @@
 
 @play
 async def test_a_change_that_is_unanswered_when_the_registrar_ends_gets_an_answer(tmp_path: Path) -> None:
-    """It may have been taken, so it is a 503 that tells the operator to ask another registrar."""
+    """The change may have been committed, so the 503 tells the operator to ask another registrar."""
     registrar = RegistrarProcess(settings_for(tmp_path))
-    address = await serving(registrar)
-    registrar.core.chain.submit = lambda change, on_committed: None  # the chain never comes to it
+    address = await start_serving(registrar)
+    registrar.core.chain.submit = lambda change, on_committed: None  # the chain never commits it
     reader, writer = await asyncio.open_connection(*address)
     writer.write(CHANGE + b'{"Version":3}')
     while not registrar.operator_api.forwarder.pending:
@@ -50,7 +50,7 @@
 @play
 async def test_requests_on_kept_connections_are_answered_until_the_registrar_ends(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
-    address = await serving(registrar)
+    address = await start_serving(registrar)
     reader, writer = await asyncio.open_connection(*address)
     writer.write(READ)
     assert b"Keep-Alive" in await soon(reader.readuntil(b"\r\n\r\n"))
@@ -61,47 +61,47 @@
         await asyncio.sleep(0.05)
 
     registrar.hand_over = hand_over  # type: ignore[method-assign]
-    ending = asyncio.ensure_future(registrar._shut_down())
+    shutdown = asyncio.ensure_future(registrar._shut_down())
     await handing_over.wait()
     writer.write(READ)
     rest = await soon(reader.read())
     assert b"HTTP/1.1 503 " in rest and b"\r\nConnection: close\r\n" in rest
     writer.close()
-    await soon(ending)
+    await soon(shutdown)
 
 
-class Order:
-    """What a process did as it started, in order."""
+class StartupRecorder:
+    """Records the steps of a process's start, in order."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.steps: list[str] = []
         listen = Server.listen
 
-        async def noted_listen(server: Server, address: Any) -> None:  # noqa: ANN401
+        async def recorded_listen(server: Server, address: Any) -> None:  # noqa: ANN401
             self.steps.append("listen")
             await listen(server, ("127.0.0.1", 0))
 
-        monkeypatch.setattr(Server, "listen", noted_listen)
+        monkeypatch.setattr(Server, "listen", recorded_listen)
         loop = asyncio.get_running_loop()
         add_signal_handler = loop.add_signal_handler
 
-        def noted_handler(number: int, callback: Callable[..., Any], *args: Any) -> None:  # noqa: ANN401
+        def recorded_add_signal_handler(number: int, callback: Callable[..., Any], *args: Any) -> None:  # noqa: ANN401
             self.steps.append(signal.Signals(number).name)
             add_signal_handler(number, callback, *args)
 
-        monkeypatch.setattr(loop, "add_signal_handler", noted_handler)
+        monkeypatch.setattr(loop, "add_signal_handler", recorded_add_signal_handler)
 
 
 @pytest.mark.parametrize("role", ["router", "registrar"])
 def test_a_process_can_be_told_to_end_before_it_takes_the_first_request(
     role: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without a handler, SIGTERM ends it at once, with whatever it has taken on since it listens."""
+    """Without a handler, SIGTERM would end it at once, with the requests accepted since it listens."""
 
-    async def scene() -> list[str]:
+    async def startup_steps() -> list[str]:
         any_port = ("127.0.0.1", 0)
         port = Ports.free(["127.0.0.1"]).internal
-        order = Order(monkeypatch)
+        recorder = StartupRecorder(monkeypatch)
         folder = tmp_path if role == "registrar" else None
         settings = Settings(
             node_name="n",
@@ -116,13 +116,13 @@
         )
         process = Router(settings) if role == "router" else RegistrarProcess(settings)
         task = asyncio.ensure_future(process.run())
-        while "listen" not in order.steps or "SIGTERM" not in order.steps:
+        while "listen" not in recorder.steps or "SIGTERM" not in recorder.steps:
             await asyncio.sleep(0)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        return order.steps
+        return recorder.steps
 
-    steps = asyncio.run(asyncio.wait_for(scene(), 10))
+    steps = asyncio.run(asyncio.wait_for(startup_steps(), 10))
     assert steps[:2] == ["SIGTERM", "SIGHUP"]
 
 
--- a/tests/test_registrar_messages.py
+++ b/tests/test_registrar_messages.py
@@ -1,4 +1,4 @@
-"""The typed messages of registrars: their form on the wire both ways, and what is none of them."""
+"""The typed messages of registrars: encoding, decoding, and values that are not valid messages."""
 
 from typing import Any
 
--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -1,4 +1,4 @@
-"""One registrar's process object on loopback sockets and a real folder, without the rest of a fleet."""
+"""A single RegistrarProcess on loopback sockets and a real folder, without a fleet."""
 
 import asyncio
 import json
@@ -27,8 +27,8 @@
     )
 
 
-async def formed(registrar: RegistrarProcess) -> None:
-    """Steps it by hand until it is the head of a chain of one."""
+async def become_head(registrar: RegistrarProcess) -> None:
+    """Steps the registrar by hand until it is the head of a chain of one."""
     await registrar.durable_state.wait_for_incarnation()
     now = registrar.loop.time()
     while not registrar.core.chain.caught_up:
@@ -40,13 +40,13 @@
 @play
 async def test_a_registrar_recovers_from_its_disk_and_commits_what_is_on_it(tmp_path: Path) -> None:
     first = RegistrarProcess(settings_for(tmp_path))
-    await soon(formed(first))
-    taken = first.loop.create_future()
+    await soon(become_head(first))
+    result = first.loop.create_future()
     change = ["weights", {"Model": "m", "Version": 3}]
-    first.core.chain.submit(change, lambda error: taken.set_result(error))
-    assert await soon(taken) is None
+    first.core.chain.submit(change, lambda error: result.set_result(error))
+    assert await soon(result) is None
     first.durable_state.close()
-    # What was the newest entry as it ended is committed as the next process starts, before any message came.
+    # The newest entry of the first process is committed when the next one starts, before any message arrives.
     second = RegistrarProcess(settings_for(tmp_path))
     assert second.core.local_member == first.core.local_member
     assert second.core.chain.state.weight_versions == {"m": 3}
@@ -59,7 +59,7 @@
     tmp_path: Path,
 ) -> None:
     first = RegistrarProcess(settings_for(tmp_path / "one"))
-    await soon(formed(first))
+    await soon(become_head(first))
     second = RegistrarProcess(settings_for(tmp_path / "two"))
     assert second.core.local_member.address == first.core.local_member.address
     assert second.core.local_member.incarnation != first.core.local_member.incarnation
@@ -68,8 +68,8 @@
     second.durable_state.close()
 
 
-class Exchange:
-    """A request of an operator, and the answer that it gets."""
+class FakeExchange:
+    """A fake of an operator's request that records the response."""
 
     def __init__(self, method: str, path: str, body: bytes = b"", based_on: bytes = b"0") -> None:
         self.method, self.path, self.body, self.gone = method, path, body, False
@@ -82,23 +82,23 @@
 
 @play
 async def test_a_registrar_that_knows_nothing_rejects_nothing(tmp_path: Path) -> None:
-    """It sends callers to another at once: before it has a view, and before there is any configuration."""
+    """Without a view or a configuration it responds 503 at once, so that callers ask another registrar."""
     registrar = RegistrarProcess(settings_for(tmp_path))
     calls = [
-        Exchange("GET", "/Configuration.Read"),
-        Exchange("POST", "/Configuration.Replace", b'{"Version":1}'),
-        Exchange("POST", "/Configuration.Amend", b'{"Version":3}', b"2"),
-        Exchange("POST", "/version-put", b'{"Model":"m","Version":1}'),
+        FakeExchange("GET", "/Configuration.Read"),
+        FakeExchange("POST", "/Configuration.Replace", b'{"Version":1}'),
+        FakeExchange("POST", "/Configuration.Amend", b'{"Version":3}', b"2"),
+        FakeExchange("POST", "/version-put", b'{"Model":"m","Version":1}'),
     ]
     for each in calls:
         await soon(registrar.operator_api.serve(each))
         assert each.answer is not None
         assert (each.answer[0], each.answer[1][b"Retry-After"]) == (503, b"0.3")
-    cut_short = Exchange("POST", "/Configuration.Replace", b'{"Version":')
-    await soon(registrar.operator_api.serve(cut_short))  # no state could ever take this one
+    cut_short = FakeExchange("POST", "/Configuration.Replace", b'{"Version":')
+    await soon(registrar.operator_api.serve(cut_short))  # invalid in any state
     assert cut_short.answer is not None and cut_short.answer[0] == 400
-    await soon(formed(registrar))
-    read = Exchange("GET", "/Configuration.Read")
+    await soon(become_head(registrar))
+    read = FakeExchange("GET", "/Configuration.Read")
     await soon(registrar.operator_api.serve(read))
     assert read.answer is not None and read.answer[0] == 503
     registrar.durable_state.close()
@@ -107,16 +107,16 @@
 @play
 async def test_changes_are_acknowledged_repeated_and_rejected_over_http(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
-    await soon(formed(registrar))
+    await soon(become_head(registrar))
 
     async def status(body: bytes, based_on: bytes, path: str = "/Configuration.Replace") -> int:
-        exchange = Exchange("POST", path, body, based_on)
+        exchange = FakeExchange("POST", path, body, based_on)
         await soon(registrar.operator_api.serve(exchange))
         assert exchange.answer is not None
         return exchange.answer[0]
 
     assert await status(b'{"Version":3,"Limits":{}}', b"0") == 200
-    assert await status(b'{ "Limits": {},\n "Version": 3 }', b"0") == 200  # the same, written in another way
+    assert await status(b'{ "Limits": {},\n "Version": 3 }', b"0") == 200  # the same, formatted differently
     assert await status(b'{"Version":3}', b"0") == 412
     assert await status(b'{"Version":2}', b"3") == 400
     assert await status(b'{"Version":9}', b"5") == 503  # version 5 may be under way
@@ -128,7 +128,7 @@
 @play
 async def test_a_lone_registrar_shuts_down_without_waiting(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
-    await soon(formed(registrar))
+    await soon(become_head(registrar))
     began = registrar.loop.time()
     await soon(registrar.hand_over())
     assert registrar.loop.time() - began < SHUTDOWN_RESERVE_S
@@ -143,7 +143,7 @@
 ) -> None:
     settings = replace(settings_for(tmp_path), bounds=Bounds(grace_period_s=SHUTDOWN_RESERVE_S + 0.1))
     registrar = RegistrarProcess(settings)
-    await soon(formed(registrar))
+    await soon(become_head(registrar))
     registrar.core.pending_handover = lambda now: PendingHandover.REPLICA
     with patch.object(process, "log") as log:
         await soon(registrar.hand_over())
@@ -155,18 +155,18 @@
 @play
 async def test_shutdown_ends_as_soon_as_all_duties_are_handed_over(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
-    await soon(formed(registrar))
-    duties = [PendingHandover.LEASE, PendingHandover.REPLICA, PendingHandover.ACCEPTOR, None]
-    registrar.core.pending_handover = lambda now: duties.pop(0)
+    await soon(become_head(registrar))
+    pending = [PendingHandover.LEASE, PendingHandover.REPLICA, PendingHandover.ACCEPTOR, None]
+    registrar.core.pending_handover = lambda now: pending.pop(0)
     await soon(registrar.hand_over())
-    assert duties == []
+    assert pending == []
     assert registrar.counters.get("leave.incomplete") == 0
     registrar.durable_state.close()
 
 
 @play
 async def test_all_loops_of_a_registrar_go_by_its_own_clock(tmp_path: Path) -> None:
-    """One that read the machine's clock made a day in virtual time hang on how busy the machine is."""
+    """A loop on the machine's clock would make runs in virtual time depend on the machine's load."""
     registrar = RegistrarProcess(settings_for(tmp_path))
     roles = registrar.roles
     for each in (roles, roles.discovery, roles.cache_stores, roles.rollout):
@@ -175,14 +175,14 @@
     registrar.durable_state.close()
 
 
-# Guards against an order that the operators' API does not know (issue 49: "had no ack after N ms of calm").
+# Guards against an operators' API without the roll-out calls (issue 49: "had no ack after N ms of calm").
 @play
 async def test_a_roll_out_is_ordered_read_and_refused_over_http(tmp_path: Path) -> None:
     registrar = RegistrarProcess(settings_for(tmp_path))
-    await soon(formed(registrar))
+    await soon(become_head(registrar))
 
     async def call(method: str, path: str, body: bytes = b"") -> tuple[int, dict[str, str]]:
-        exchange = Exchange(method, path, body)
+        exchange = FakeExchange(method, path, body)
         await soon(registrar.operator_api.serve(exchange))
         assert exchange.answer is not None
         return exchange.answer[0], json.loads(exchange.answer[2])
--- a/tests/test_registrar_start.py
+++ b/tests/test_registrar_start.py
@@ -1,4 +1,4 @@
-"""A registrar's start: what routers and other registrars wait for goes at once, not at the next interval."""
+"""A registrar's start: pings and heartbeats that others wait for are sent without waiting for an interval."""
 
 from typing import Any
 from unittest.mock import patch
@@ -12,7 +12,7 @@
 
 
 class Links:
-    """Counts the pings to each registrar."""
+    """Records the recipients of pings."""
 
     def __init__(self) -> None:
         self.sent: list[str] = []
@@ -42,10 +42,10 @@
 
 
 class Registrar:
-    """What the loop steps: current from the third step on; it ends the loop after the sixth."""
+    """A fake of what the loop steps: up to date from the third step on; ends the loop in the sixth."""
 
     class EndedError(Exception):
-        """The test has seen enough."""
+        """Ends the loop under test."""
 
     def __init__(self) -> None:
         self.now, self.steps, self.heartbeats = 100.0, 0, list[int]()
@@ -59,7 +59,7 @@
         return self.steps >= 3
 
     def _check_tolerance(self) -> None:
-        """Nothing to warn of."""
+        """Does nothing."""
 
     def _step(self, now: float) -> None:
         self.steps += 1
--- a/tests/test_singleton_environments.py
+++ b/tests/test_singleton_environments.py
@@ -1,4 +1,4 @@
-"""What the singleton roles publish, in the plain values that travel, and when they may."""
+"""What the singleton roles publish, as plain values on the wire, and when they may publish it."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -30,8 +30,8 @@
     configuration: Any = None
 
 
-class Registrar:
-    """Stands in for lease, soft state and links; keeps what is published and sent."""
+class FakeRegistrar:
+    """A fake of lease, soft state and links that records what is published and sent."""
 
     def __init__(self) -> None:
         self.token: int | None = 5
@@ -44,7 +44,7 @@
         self.counters = Counters()
 
     @property
-    def soft_state(self) -> "Registrar":
+    def soft_state(self) -> "FakeRegistrar":
         return self
 
     def get(self, topic: str) -> Any:  # noqa: ANN401
@@ -87,7 +87,7 @@
 
 
 def test_the_lease_holder_publishes_the_list_under_its_token() -> None:
-    registrar = Registrar()
+    registrar = FakeRegistrar()
     assert registrar.discovery().may_read()
     registrar.discovery().publish([ENDPOINT])
     assert registrar.published == [("roster", 5, [ENDPOINT_ON_WIRE])]
@@ -95,7 +95,7 @@
 
 
 def test_without_the_lease_a_list_is_read_and_published_only_where_none_is_known() -> None:
-    registrar = Registrar()
+    registrar = FakeRegistrar()
     registrar.token = None
     assert registrar.discovery().may_read()
     registrar.discovery().publish([])
@@ -110,7 +110,7 @@
 
 
 def test_store_statuses_are_published_under_the_lease_only() -> None:
-    registrar = Registrar()
+    registrar = FakeRegistrar()
     registrar.cache_stores().publish({"a": StoreStatus(up=True, epoch=7)})
     assert registrar.published == [("stores", 5, {"a": {"up": True, "epoch": 7}})]
     registrar.token = None
@@ -120,7 +120,7 @@
 
 
 def test_the_addresses_of_the_stores_follow_the_configuration() -> None:
-    registrar = Registrar()
+    registrar = FakeRegistrar()
     environment = registrar.cache_stores()
     assert environment.addresses() == {}
     store = {"Name": "a", "CacheStoreAddress": "10.0.0.9:80", "Zone": "z", "LinkSpeedMbps": 1000.0}
@@ -130,7 +130,7 @@
 
 
 def test_evictions_and_long_prefixes_go_to_all_routers() -> None:
-    registrar = Registrar()
+    registrar = FakeRegistrar()
     changes = [
         BlockChange("+", "s", "p1", 512),
         BlockChange("+", "s", "p2", 511),
@@ -143,7 +143,7 @@
 
 
 def test_many_events_go_in_several_messages_and_an_epoch_without_events_in_one() -> None:
-    registrar = Registrar()
+    registrar = FakeRegistrar()
     changes = [BlockChange("-", "s", str(number), 0) for number in range(MAX_EVENTS_PER_MESSAGE + 1)]
     registrar.cache_stores().publish_events(STORE, StoreEvents(7, False, changes))
     assert [len(message[2][0][2]) for message in registrar.to_routers] == [MAX_EVENTS_PER_MESSAGE, 1]
@@ -152,7 +152,7 @@
 
 
 def test_rollout_states_are_published_under_the_lease_only() -> None:
-    registrar = Registrar()
+    registrar = FakeRegistrar()
     registrar.rollout().publish({"i-1": RolloutState(updating=True, models={"m": 2})})
     assert registrar.published == [("marks", 5, {"i-1": {"moving": True, "models": {"m": 2}}})]
     registrar.token = None
@@ -162,7 +162,7 @@
 
 
 def test_the_rollout_reads_the_newest_list_and_the_committed_versions() -> None:
-    registrar = Registrar()
+    registrar = FakeRegistrar()
     environment = registrar.rollout()
     assert list(environment.endpoints()) == []
     registrar.values["roster"] = [ENDPOINT_ON_WIRE]
