--- a/tests/control_world.py
+++ b/tests/control_world.py
@@ -1,7 +1,7 @@
-"""Operators over forwarders over whole cores, in the hand-stepped world: what they see must hold together.
+"""Operators, request forwarders and cores in a simulated world: all answers must be consistent.
 
-Operators send real changes of the configuration to any registrar, several at a time and on the same version,
-and send them again, unchanged, whenever no clear answer came; also long after they were acknowledged.
+Operators send changes of the configuration to any registrar, several at a time and on the same version, and
+repeat them unchanged until they get a clear answer, and also long after they were acknowledged.
 """
 
 from collections import Counter
@@ -24,20 +24,20 @@
 from tests.core_schedule import Schedule
 from tests.core_world import KEPT, TICK_S, Node
 
-Ask = Callable[[RequestForwarder, float, Callable[..., None]], None]
-Told = Callable[[PlumlineError | None, Any], None]
+ForwarderCall = Callable[[RequestForwarder, float, Callable[..., None]], None]
+ResultCallback = Callable[[PlumlineError | None, Any], None]
 
-SILENCE_S = 1.0  # a caller leaves after so long
-MOST_UNDER_WAY = 8
-SETTLE_S = 25.0  # simulated time, after the troubles, for every order to get its clear answer
+RESPONSE_TIMEOUT_S = 1.0  # a caller gives up after this time without a response
+MAX_OPEN_ORDERS = 8
+SETTLE_S = 25.0  # simulated time after the last fault for every order to get a clear answer
 REFUSALS = (ConfigurationInvalidError, VersionConflictError)
 SERVICES = ("s1", "s2", "s3")
-MODELS = ("p", "q", "r")  # the first two are those that the operators name versions of
-LATE_S = (0.05, 1.5)  # what a delayed request takes
+MODELS = ("p", "q", "r")  # operators set weight versions of the first two
+LATE_S = (0.05, 1.5)  # range of the delay of a late request
 
 
 def change_id(change: list[Any]) -> str:
-    """A text that names this very change."""
+    """A text that identifies the change."""
     if is_rollout_change(change):
         return f"rollout {change[1]['Rollout']}"
     if change[0] == "weights":
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NamedState:
-    """The state of the program, and the ids of all changes that led to it."""
+    """The replicated state, and the ids of all changes that led to it."""
 
     state: ReplicatedConfiguration = field(default_factory=ReplicatedConfiguration)
     ids: tuple[str, ...] = ()
@@ -79,10 +79,10 @@
 
 @dataclass(slots=True)
 class Order:
-    """A change on its way, sent until it is clearly answered."""
+    """A change that an operator sends repeatedly until it gets a clear answer."""
 
     change: list[Any]
-    tries: int = 0
+    attempts: int = 0
     answered: bool = False
 
     @property
@@ -97,12 +97,12 @@
 class Operator:
     def __init__(self, world: "ControlWorld", name: str) -> None:
         self.world, self.name = world, name
-        self.known = 0  # the newest version that it was told of
-        self.under_way: list[Order] = []
+        self.known_version = 0  # the newest version that it has learned of
+        self.open_orders: list[Order] = []
         self.count = 0
 
     def act(self) -> None:
-        """Something new, while the troubles last."""
+        """Reads, repeats an order or sends a new one, while faults are injected."""
         if not self.world.troubles_on:
             return
         self.world.at(self.world.random.expovariate(4.0), self.act)
@@ -111,21 +111,21 @@
             self.world.read(self.name, self.learn)
         elif chance < 0.45 and self.world.settled_orders:
             self.world.repeat(self.world.random.choice(self.world.settled_orders))
-        elif len(self.under_way) < MOST_UNDER_WAY:
+        elif len(self.open_orders) < MAX_OPEN_ORDERS:
             order = Order(self.new_change())
-            self.under_way.append(order)
+            self.open_orders.append(order)
             self.send(order)
 
     def learn(self, version: int) -> None:
-        self.known = max(self.known, version)
+        self.known_version = max(self.known_version, version)
 
     def new_change(self) -> list[Any]:
         random = self.world.random
         self.count += 1
-        base = self.known
+        base = self.known_version
         if random.random() < 0.2:
-            own = [each.version for each in self.under_way if each.change[0] != "weights"]
-            base = random.choice([*own, max(0, base - 1), base])  # on what is not acknowledged yet, or is old
+            own = [each.version for each in self.open_orders if each.change[0] != "weights"]
+            base = random.choice([*own, max(0, base - 1), base])  # may be unacknowledged yet, or old
         if random.random() < 0.05:
             return ["weights", {"Model": self.name, "Version": self.count}]
         body: dict[str, Any] = {"Version": base + random.randint(1, 3), "Id": f"{self.name}{self.count}"}
@@ -133,7 +133,7 @@
             models = [{"Name": each} for each in random.sample(MODELS, random.randint(0, len(MODELS)))]
             services = [{"Name": "s1", "Engine": {"Models": models}}, {"Name": "s2"}]
             return ["replace", base, body | {"Services": services}]
-        service = random.choice(SERVICES)  # valid or not by what the version that it builds on holds
+        service = random.choice(SERVICES)  # valid or not, depending on its base version
         if random.random() < 0.3:
             return ["amend", base, body | {"Removals": {"Services": [service]}}]
         place = random.choice("xyz")
@@ -141,11 +141,11 @@
         return ["amend", base, body | {"Upserts": {"Routes": [route]}}]
 
     def send(self, order: Order) -> None:
-        order.tries += 1
-        tries = order.tries
+        order.attempts += 1
+        attempts = order.attempts
 
-        def again() -> None:
-            if not order.answered and order.tries == tries:
+        def send_again() -> None:
+            if not order.answered and order.attempts == attempts:
                 self.send(order)
 
         def told(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
@@ -153,15 +153,15 @@
                 return
             if error is None or isinstance(error, REFUSALS):
                 order.answered = True
-                self.under_way.remove(order)
+                self.open_orders.remove(order)
                 self.world.settled_orders.append(order)
                 if error is None and order.change[0] != "weights":
                     self.learn(order.version)
             else:
-                self.world.at(min(1.0, 0.05 * 2 ** min(tries, 5)), again)
+                self.world.at(min(1.0, 0.05 * 2 ** min(attempts, 5)), send_again)
 
         self.world.submit_at(self.world.any_registrar(), order.change, told)
-        self.world.at(SILENCE_S + min(1.0, 0.05 * 2 ** min(tries, 5)), again)
+        self.world.at(RESPONSE_TIMEOUT_S + min(1.0, 0.05 * 2 ** min(attempts, 5)), send_again)
 
 
 class ControlWorld(Schedule):
@@ -210,7 +210,7 @@
 
         def step() -> None:
             if not self.forwarders[to].on_message(self.now + node.offset, sender, message):
-                raise ViolationError(f"nobody knows {message}")
+                raise ViolationError(f"no handler knows {message}")
             self.after(node)
 
         self.guard(node, node.life, step)
@@ -226,13 +226,13 @@
     def any_registrar(self) -> Node:
         return self.random.choice(list(self.nodes.values()))
 
-    def request(self, node: Node, ask: Ask, told: Told) -> None:
-        """A call to a registrar: it may come late, and its answer may be lost."""
+    def request(self, node: Node, ask: ForwarderCall, told: ResultCallback) -> None:
+        """Calls a registrar: the call may arrive late, and its answer may be lost."""
         late = self.random.random() < self.slow
         delay = self.random.uniform(*LATE_S) if late else self.random.uniform(0.001, 0.02)
         self.at(delay, lambda: self.guard(node, node.life, lambda: self.take(node, ask, told)))
 
-    def take(self, node: Node, ask: Ask, told: Told) -> None:
+    def take(self, node: Node, ask: ForwarderCall, told: ResultCallback) -> None:
         began, life, answers = self.now, node.life, []
 
         def outcome(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
@@ -240,38 +240,40 @@
             if len(answers) > 1:
                 raise ViolationError(f"{node.name} answers a call twice")
             self.counts["answers"] += 1
-            self.saw(error, result)
+            self.count_answer(error, result)
             if self.random.random() >= self.answer_loss:
                 self.at(self.random.uniform(0.001, 0.02), lambda: told(error, result))
 
-        def overdue() -> None:
+        def check_answered() -> None:
             if not answers and node.life == life and node.core and node.thaws_at <= began:
-                raise ViolationError(f"{node.name} is silent for {SILENCE_S} s to a call of {began:.3f} s")
+                raise ViolationError(
+                    f"{node.name} is silent for {RESPONSE_TIMEOUT_S} s to a call of {began:.3f} s"
+                )
 
-        self.at(SILENCE_S, overdue)
+        self.at(RESPONSE_TIMEOUT_S, check_answered)
         ask(self.forwarders[node.name], self.now + node.offset, outcome)
 
-    def saw(self, error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
+    def count_answer(self, error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
         """Counts answers by kind."""
         self.counts[error.code if error else "ok"] += 1
 
-    def submit_at(self, node: Node, change: list[Any], told: Told) -> None:
-        """Whatever a registrar answers is held against all else that is known, also if the answer is lost."""
+    def submit_at(self, node: Node, change: list[Any], told: ResultCallback) -> None:
+        """Checks each answer of a registrar against all that is known, even if the answer is lost."""
 
         def ask(forwarder: RequestForwarder, now: float, outcome: Callable[..., None]) -> None:
-            def judged(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
+            def checked(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
                 if error is None:
-                    self.on_taken(change)
+                    self.check_acknowledged(change)
                 elif isinstance(error, REFUSALS):
                     self.on_refusal(change, error)
                 outcome(error, result)
 
-            forwarder.submit(now, change, 100, judged)
+            forwarder.submit(now, change, 100, checked)
 
         self.request(node, ask, told)
 
     def repeat(self, order: Order) -> None:
-        """A settled order once more: its answer is judged like any other."""
+        """Sends a settled order again; its answer is checked like any other."""
         self.counts["repeats"] += 1
         self.submit_at(self.any_registrar(), order.change, lambda error, result: None)
 
@@ -279,15 +281,15 @@
         floor = self.acknowledged_version
 
         def ask(forwarder: RequestForwarder, now: float, outcome: Callable[..., None]) -> None:
-            def judged(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
+            def checked(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
                 version = result["Version"] if result else 0
                 if error is None and version < floor:
                     raise ViolationError(f"{version} is read after {floor} was acknowledged")
                 if error is None and result:
-                    self.judge_read(result)
+                    self.check_read(result)
                 outcome(error, result)
 
-            forwarder.read(now, judged)
+            forwarder.read(now, checked)
 
         def told(error: PlumlineError | None, result: Any) -> None:  # noqa: ANN401
             if error is None:
@@ -295,7 +297,7 @@
 
         self.request(node or self.any_registrar(), ask, told)
 
-    def judge_read(self, result: dict[str, Any]) -> None:
+    def check_read(self, result: dict[str, Any]) -> None:
         self.counts["reads"] += 1
         if result["Id"] not in self.committed.values():
             raise ViolationError(f"{result['Id']}, which is not in force, is read")
@@ -303,9 +305,9 @@
             raise ViolationError(f"{result['Id']} is read under the number of another change")
         validate(result)
 
-    def on_taken(self, change: list[Any]) -> None:
+    def check_acknowledged(self, change: list[Any]) -> None:
         if change[0] == "weights" and not is_rollout_change(change):
-            self.on_named(change[1])
+            self.check_weights_acknowledged(change[1])
             return
         name = change_id(change)
         if name not in self.committed.values():
@@ -322,8 +324,8 @@
             self.acknowledged[name] = base
             self.counts["acknowledged"] += 1
 
-    def on_named(self, named: dict[str, Any]) -> None:
-        """A version of weights is acknowledged; a newer one of the same model covers it."""
+    def check_weights_acknowledged(self, named: dict[str, Any]) -> None:
+        """Checks that an acknowledged version of weights, or a newer one of the model, is committed."""
         in_force = [each for each in self.committed.values() if each.startswith(f"{named['Model']}@")]
         if max((int(each.split("@")[1]) for each in in_force), default=0) < named["Version"]:
             raise ViolationError(f"{named} is acknowledged and not in force: {in_force}")
@@ -337,7 +339,7 @@
     # Single calls.
 
     def put_first(self) -> None:
-        """A first configuration, acknowledged, and applied by every member."""
+        """Submits a first configuration; it is acknowledged, and every member has time to apply it."""
         change = ["replace", 0, {"Version": 1, "Id": "first"}]
         error, _ = self.wait(lambda told: self.submit_at(self.nodes[self.chain()[0]], change, told))
         if error is not None:
@@ -345,17 +347,17 @@
         self.go(1.0)
 
     def read_now(self, node: Node) -> tuple[PlumlineError | None, float]:
-        """A read's error and the time that it took."""
+        """Reads at the node; returns the error and the time that the read took."""
         return self.wait(
             lambda told: self.request(node, lambda forwarder, now, out: forwarder.read(now, out), told)
         )
 
     def change_now(self, node: Node) -> tuple[PlumlineError | None, float]:
-        """The same of a change on the version in place."""
+        """Submits a change on the acknowledged version; returns the same as `read_now`."""
         change = ["amend", self.acknowledged_version, {"Version": 9, "Id": "nine"}]
         return self.wait(lambda told: self.submit_at(node, change, told))
 
-    def wait(self, call: Callable[[Told], None]) -> tuple[PlumlineError | None, float]:
+    def wait(self, call: Callable[[ResultCallback], None]) -> tuple[PlumlineError | None, float]:
         answers: list[PlumlineError | None] = []
         began = self.now
         call(lambda error, result: answers.append(error))
@@ -378,7 +380,7 @@
             self.cut |= {(other, node.name) for other in others}
 
     def run_cuts(self, seconds: float = 22.0) -> None:
-        """One machine of the chain after another is cut off for long, some restarted meanwhile."""
+        """Partitions machines of the chain one after another for long; some restart during it."""
         self.begin()
         self.at(self.random.uniform(1.0, 4.0), self.cut_one)
         self.go(seconds)
@@ -406,14 +408,14 @@
         self.at(self.random.choice([0.01, 0.5, 2.0]), lambda: self.start(node))
 
     def run_troubles(self, seconds: float = 8.0) -> None:
-        """Every kind of trouble of the explorer of cores."""
+        """Injects every kind of fault of the explorer of cores."""
         self.begin()
         self.at(self.random.random() * 4, self.trouble)
         self.go(seconds)
         self.end()
 
     def end(self) -> None:
-        """Calm: every order gets its clear answer, and what was acknowledged is read, and sent again."""
+        """Ends all faults: orders get clear answers and a read succeeds; then repeats the settled orders."""
         self.troubles_on, self.syncs = False, (0.005,)
         self.cut.clear()
         self.loss = self.twice = self.slow = self.jitter = self.answer_loss = 0.0
@@ -421,8 +423,8 @@
             node.thaws_at = min(node.thaws_at, self.now)
             self.thaw(node, node.life)
             self.start(node)
-        if not self.go(SETTLE_S, lambda: not self.lagging()):
-            raise ViolationError(f"no clear answer {SETTLE_S} s after the troubles: {self.lagging()}")
+        if not self.go(SETTLE_S, lambda: not self.unsettled_orders()):
+            raise ViolationError(f"no clear answer {SETTLE_S} s after the faults: {self.unsettled_orders()}")
         read: list[int] = []
         for _ in range(60):
             self.read("end", read.append)
@@ -436,25 +438,25 @@
 
     def can_settle(self, change: list[Any], newest: ReplicatedConfiguration) -> bool:
         if change[0] == "weights":
-            known = model_names(newest.configuration)
-            return not known or change[1]["Model"] in known
+            configured = model_names(newest.configuration)
+            return not configured or change[1]["Model"] in configured
         return newest.history.horizon <= change[1] <= newest.version
 
-    def lagging(self) -> list[Order]:
-        """Orders without a clear answer, but for those on a version that never came or is forgotten."""
+    def unsettled_orders(self) -> list[Order]:
+        """Orders with no clear answer, except those on a version never committed or forgotten."""
         cores = [node.core for node in self.nodes.values() if node.core]
         newest = max((core.chain.state.state for core in cores), key=lambda state: state.version)
         return [
             order
             for operator in self.operators
-            for order in operator.under_way
+            for order in operator.open_orders
             if self.can_settle(order.change, newest)
         ]
 
 
 @contextmanager
 def short_memory(remembered: int = 0) -> Iterator[None]:
-    """Short logs, the state above in the cores, and, if given, few repeats remembered."""
+    """Cores with short logs and NamedState, and, if given, with few remembered changes."""
     with ExitStack() as stack:
         stack.enter_context(patch.object(storage_module, "RETAINED_ENTRIES", KEPT))
         stack.enter_context(patch.object(core_world, "Register", NamedState))
@@ -473,7 +475,7 @@
     seconds: float = 8.0,
     **kwargs: Any,  # noqa: ANN401
 ) -> Counter[str]:
-    """Plays a schedule for each seed and counts what happened in them; ViolationError names the seed."""
+    """Runs a schedule for each seed and counts its events; ViolationError names the seed."""
     counts: Counter[str] = Counter()
     with short_memory(remembered):
         for seed in seeds:
--- a/tests/test_control_explorer.py
+++ b/tests/test_control_explorer.py
@@ -1,5 +1,5 @@
-"""Random schedules of operators over cut, restarted and frozen registrars, and for each guard that is taken
-out a schedule that shows it.
+"""Random schedules of operators with partitioned, restarted and frozen registrars, and for each removed guard
+a schedule that detects its absence.
 
 The default count runs in less than a minute on one core; PLUMLINE_SCHEDULES multiplies it.
 """
@@ -27,32 +27,32 @@
 from tests.control_world import ControlWorld, explore_control, short_memory
 from tests.core_register import ViolationError
 
-TIMES = float(os.environ.get("PLUMLINE_SCHEDULES", "1"))
-FEW = 8  # repeats remembered, so that many are forgotten
+SCHEDULE_MULTIPLIER = float(os.environ.get("PLUMLINE_SCHEDULES", "1"))
+FEW_REMEMBERED = 8  # remembered changes, so that many repeats are forgotten
 
 SCHEDULES = [
     pytest.param(60, {"cuts": True, "seconds": 22.0}, id="cuts-3"),
     pytest.param(12, {"cuts": True, "seconds": 22.0, "size": 5, "copies": 3}, id="cuts-5"),
     pytest.param(90, {}, id="troubles-3"),
     pytest.param(25, {"size": 5, "copies": 3}, id="troubles-5"),
-    pytest.param(60, {"remembered": FEW}, id="troubles-3-few-remembered"),
+    pytest.param(60, {"remembered": FEW_REMEMBERED}, id="troubles-3-few-remembered"),
 ]
 
 
 @pytest.mark.parametrize(("schedules", "how"), SCHEDULES)
 def test_operators_see_nothing_wrong(schedules: int, how: dict[str, Any]) -> None:
-    count = max(1, int(schedules * TIMES))
+    count = max(1, int(schedules * SCHEDULE_MULTIPLIER))
     counts = explore_control(range(count), **how)
     print(how, dict(counts))
     assert counts["schedules"] == count
-    assert counts["acknowledged"] > 2 * count  # else it explored nothing
+    assert counts["acknowledged"] > 2 * count  # otherwise the schedules explored nothing
     assert counts["version-conflict"] > 2 * count
     assert counts["repeats"] > 2 * count
     assert counts["reads"] > count
 
 
 def test_who_is_cut_off_answers_at_once_that_another_should_be_asked() -> None:
-    """Head, middle and tail, in both directions and in either one; after it was found out, and before."""
+    """For head, middle and tail, cut off in both directions or in one, before and after detection."""
     with short_memory():
         for place in range(3):
             for how in ("both", "in", "out"):
@@ -70,11 +70,11 @@
                         world.go(0.0)
 
 
-# Guards taken out.
+# Mutations that remove a guard.
 
 
 class RefusesAtOnce(ChainReplica):
-    """Does not wait until what a refusal rests on is committed."""
+    """Refuses before the entries that the refusal depends on are committed."""
 
     def submit(self, change: list[Any], answer: SubmitCallback) -> None:
         if self.is_head() and self.can_commit():
@@ -110,7 +110,7 @@
             super().submit(change, answer)
 
 
-def exchange(kind: type) -> dict[str, Any]:
+def replace_chain(kind: type) -> dict[str, Any]:
     def mutate(core: Core) -> None:
         core.chain.__class__ = kind
 
@@ -159,34 +159,36 @@
 )
 
 
-def guards() -> Iterator[Any]:
-    # The seed to begin with, where it would take long from 0.
+def mutations() -> Iterator[Any]:
+    # The first seed, where the search from 0 would take long.
     for kind, first in (
         (RefusesAtOnce, 110),
         (ReadsWithoutAsking, 165),
         (AcknowledgesBeforeCommit, 0),
         (AcknowledgesAnUncommittedRepeat, 0),
     ):
-        yield pytest.param({"first": first, **exchange(kind)}, nullcontext(), id=kind.__name__)
+        yield pytest.param({"first": first, **replace_chain(kind)}, nullcontext(), id=kind.__name__)
     yield pytest.param(
         {},
         patch.object(ReplicatedConfiguration, "_is_repeat", refuses_what_may_come),
         id="RefusesWhatMayCome",
     )
-    few = {"remembered": FEW, "first": 35}
-    forgot = patch.object(ReplicatedConfiguration, "_is_repeat", refuses_what_it_forgot)
-    yield pytest.param(few, forgot, id="RefusesWhatItForgot")
+    with_few_remembered = {"remembered": FEW_REMEMBERED, "first": 35}
+    forget_repeats = patch.object(ReplicatedConfiguration, "_is_repeat", refuses_what_it_forgot)
+    yield pytest.param(with_few_remembered, forget_repeats, id="RefusesWhatItForgot")
     unknown = patch.object(ReplicatedConfiguration, "_check_weights", refuses_unknown_models)
     yield pytest.param({"cuts": True, "seconds": 22.0}, unknown, id="RefusesUnknownModels")
     yield pytest.param({}, patch.object(History, "match", knows_no_repeat), id="KnowsNoRepeat")
-    yield pytest.param(few, patch.object(History, "match", knows_no_content), id="TakesAnyBodyForTheRepeat")
+    yield pytest.param(
+        with_few_remembered, patch.object(History, "match", knows_no_content), id="TakesAnyBodyForTheRepeat"
+    )
     yield pytest.param({}, patch.object(forwarding, "FORWARD_TIMEOUT_S", 3.0), id="WaitsLongerThanItsCallers")
 
 
-@pytest.mark.parametrize(("how", "without"), list(guards()))
-def test_a_schedule_shows_what_each_guard_is_for(how: dict[str, Any], without: Any) -> None:  # noqa: ANN401
+@pytest.mark.parametrize(("how", "mutation"), list(mutations()))
+def test_a_schedule_shows_what_each_guard_is_for(how: dict[str, Any], mutation: Any) -> None:  # noqa: ANN401
     first = how.get("first", 0)
     rest = {key: value for key, value in how.items() if key != "first"}
-    with without, pytest.raises(ViolationError) as caught:
+    with mutation, pytest.raises(ViolationError) as caught:
         explore_control(range(first, first + 2000), **rest)
     print(caught.value)
