--- a/plumline/lab/flood.py
+++ b/plumline/lab/flood.py
@@ -34,7 +34,9 @@
 SHARES = {"library": 0.3, "guides": 0.4}
 ENGINES = 2
 #: Reads as fast as routers expect and puts out eight tokens in 1.6 ms: 0.2 ms of its time each.
-SHAPE = Shape(slots=8, queue=8, prefill_ms=1 / 61.2, token_ms=1.6, crowd=0.0, in_turn=True)
+SHAPE = Shape(
+    slots=8, queue=8, prefill_ms=1 / 61.2, token_ms=1.6, slowdown_per_request=0.0, serial_prefill=True
+)
 CALM_S = 2.0  # s of the flooder's usual rate before the flood
 USUAL_RATE = 6.0  # the flooder's requests/s; one is about 70 ms of an endpoint's time
 
--- a/plumline/lab/judge.py
+++ b/plumline/lab/judge.py
@@ -46,7 +46,7 @@
         yield Breach("UNASKED", run.id, f"changed on its way: {run.method} {run.target}")
     elif run.tenant != asked.tenant:
         yield Breach("UNASKED", run.id, f"tenant {run.tenant!r}, not {asked.tenant!r}")
-    if run.key_shown:
+    if run.api_key_sent:
         yield Breach("UNASKED", run.id, "the key was passed on")
     for tenant, version in run.reused:
         if version != run.version:
--- a/plumline/lab/soak/runner.py
+++ b/plumline/lab/soak/runner.py
@@ -103,7 +103,7 @@
     async def run(self) -> SoakResult:
         """Errors: NotStartedError, UnavailableError."""
         shape = Shape(slots=self.slots, queue=self.slots, connection_limit=4096, tokens_per_event=50)
-        shape = replace(shape, crowd=0.02, cache_tokens=20_000_000)
+        shape = replace(shape, slowdown_per_request=0.02, cache_tokens=20_000_000)
         async with AsyncExitStack() as stack:
             engines, store, platform = await stack.enter_async_context(surroundings(ENGINES, 1.0, shape))
             self.engines, self.platform, self.shape = engines, platform, shape
@@ -243,7 +243,7 @@
         self.platform.drain(old.id)
         old.draining = True
         await asyncio.sleep(BOUNDS["DrainMs"] / 1000 + RELEASE_EXTRA_S)
-        await old.until(lambda: not old.running and not old.queue)
+        await old.wait_until(lambda: not old.running and not old.queue)
         self.platform.end(old.id)
         await old.stop()
 
--- a/tests/test_lab_engine.py
+++ b/tests/test_lab_engine.py
@@ -1,4 +1,4 @@
-"""The lab's model endpoint by itself: it must show the faults and keep the records that tests rely on."""
+"""The simulated model endpoint: the faults and records that other tests rely on."""
 
 import asyncio
 import json
@@ -10,14 +10,14 @@
 from plumline.lab.clients import whole_stream
 from plumline.lab.engine import Engine, Fault, Shape, body_hash
 from plumline.lab.judge import judge
-from plumline.lab.store import CacheStore, Kept, Part
+from plumline.lab.store import CachedBlock, CacheStore, PrefixCache
 from tests.lab_stand import BODY, SPEED, ask, order, play, sent, serving
 
 # --- engine
 
 
 @play
-async def test_an_engine_streams_a_whole_answer_and_notes_the_run() -> None:
+async def test_an_engine_streams_a_complete_response_and_records_the_run() -> None:
     engine = Engine(speed=SPEED)
     async with serving(engine):
         status, headers, body = await ask(
@@ -29,7 +29,7 @@
         assert body.count(b"id: ") == 4  # 16 tokens, four an event
         (run,) = engine.runs
         assert (run.id, run.tenant, run.version, run.salt) == ("a1", "t", 1, "s")
-        assert (run.seal, run.target, run.missing) == (headers["server-seal"], "/chat/1?x=2", 150)
+        assert (run.seal, run.target, run.prefilled_tokens) == (headers["server-seal"], "/chat/1?x=2", 150)
         assert judge(engine.runs, {"a1": sent(tenant="t")}, [("a1", run.seal)]) == []
 
 
@@ -48,14 +48,14 @@
 
 
 @play
-async def test_a_full_engine_turns_away_and_lets_the_waiting_in_later() -> None:
+async def test_a_full_engine_rejects_requests_and_admits_queued_ones_later() -> None:
     engine = Engine(Shape(slots=1, queue=1), SPEED)
     async with serving(engine), asyncio.TaskGroup() as group:
-        with engine.held():
+        with engine.streams_paused():
             first = group.create_task(ask(engine, "a1"))
-            await engine.until(lambda: len(engine.running) == 1)
+            await engine.wait_until(lambda: len(engine.running) == 1)
             second = group.create_task(ask(engine, "a2"))
-            await engine.until(lambda: len(engine.queue) == 1)
+            await engine.wait_until(lambda: len(engine.queue) == 1)
             status, headers, _ = await ask(engine, "a3")
             assert (status, headers["not-executed"], headers["attempt-id"]) == (503, "1", "a3")
             assert (await fetch(engine.server.address, "GET", "/health"))[0] == 503
@@ -66,14 +66,14 @@
 
 
 @play
-async def test_the_more_urgent_takes_the_place_of_the_less_urgent_whose_stream_stays_whole() -> None:
+async def test_a_preempted_stream_completes_after_the_more_urgent_request() -> None:
     engine = Engine(Shape(slots=1, queue=2), SPEED)
     async with serving(engine), asyncio.TaskGroup() as group:
-        with engine.held():
+        with engine.streams_paused():
             slow = group.create_task(ask(engine, "slow", Priority="7"))
-            await engine.until(lambda: len(engine.runs) == 1)
+            await engine.wait_until(lambda: len(engine.runs) == 1)
             fast = group.create_task(ask(engine, "fast", Priority="0"))
-            await engine.until(lambda: len(engine.runs) == 2)
+            await engine.wait_until(lambda: len(engine.runs) == 2)
         assert whole_stream((await fast)[2], body_hash(BODY))
         assert whole_stream((await slow)[2], body_hash(BODY))
         assert engine.counts["preempted"] == 1
@@ -81,7 +81,7 @@
 
 
 @play
-async def test_a_request_larger_than_the_memory_is_refused_as_if_full() -> None:
+async def test_a_request_larger_than_the_cache_is_rejected_as_if_full() -> None:
     engine = Engine(Shape(cache_tokens=100), SPEED)
     async with serving(engine):
         assert (await ask(engine))[0] == 503
@@ -89,14 +89,14 @@
 
 
 @play
-async def test_a_connection_that_ends_drops_its_request() -> None:
+async def test_a_closed_connection_cancels_its_request() -> None:
     engine = Engine(speed=SPEED)
     async with serving(engine):
         engine.inject(Fault.SILENCE)
         asking = asyncio.ensure_future(ask(engine))
-        await engine.until(lambda: len(engine.runs) == 1)
+        await engine.wait_until(lambda: len(engine.runs) == 1)
         asking.cancel()
-        await engine.until(lambda: engine.running == [])
+        await engine.wait_until(lambda: engine.running == [])
 
 
 @play
@@ -119,7 +119,7 @@
         (Fault.SURPLUS, GarbledAnswerError, 1),
     ],
 )
-def test_faults_that_break_the_answer(fault: Fault, error: type[CallError], runs: int) -> None:
+def test_faults_that_break_the_response(fault: Fault, error: type[CallError], runs: int) -> None:
     @play
     async def test() -> None:
         engine = Engine(speed=SPEED)
@@ -135,7 +135,7 @@
 
 
 @play
-async def test_faults_that_answer() -> None:
+async def test_faults_with_a_complete_response() -> None:
     engine = Engine(speed=SPEED)
     async with serving(engine):
         engine.inject(Fault.REFUSE)
@@ -155,9 +155,9 @@
 async def test_connections_beyond_the_limit_are_reset() -> None:
     engine = Engine(Shape(connection_limit=1), SPEED)
     async with serving(engine), asyncio.TaskGroup() as group:
-        with engine.held():
+        with engine.streams_paused():
             first = group.create_task(ask(engine, "a1"))
-            await engine.until(lambda: len(engine.runs) == 1)
+            await engine.wait_until(lambda: len(engine.runs) == 1)
             with pytest.raises(CallError):
                 await ask(engine, "a2")
         assert (await first)[0] == 200
@@ -168,16 +168,16 @@
 
 
 @play
-async def test_orders_are_weighed() -> None:
+async def test_orders_are_validated() -> None:
     engine = Engine(speed=SPEED)
     async with serving(engine):
         assert await order(engine) == 400  # no such version yet
-        engine.named["model"] = 2
+        engine.latest_versions["model"] = 2
         assert await order(engine, Holder=None) == 400
         assert await order(engine, Method="soon") == 400
         assert await order(engine, ExpectedCount=3) == 409
         assert await order(engine) == 202
-        await engine.until(lambda: engine.moving is None)
+        await engine.wait_until(lambda: engine.updating_model is None)
         assert (engine.models["model"], engine.sequence) == (2, 1)
         assert await order(engine) == 200
         assert await order(engine, FenceNumber=4) == 412
@@ -187,85 +187,86 @@
 
 
 @play
-async def test_waiting_lets_runs_finish_and_turns_the_others_away() -> None:
+async def test_waiting_method_finishes_runs_and_rejects_other_requests() -> None:
     engine = Engine(Shape(slots=1), SPEED)
-    engine.named["model"] = 2
+    engine.latest_versions["model"] = 2
     async with serving(engine), asyncio.TaskGroup() as group:
-        with engine.held():
+        with engine.streams_paused():
             first = group.create_task(ask(engine, "a1"))
-            await engine.until(lambda: len(engine.runs) == 1)
+            await engine.wait_until(lambda: len(engine.runs) == 1)
             second = group.create_task(ask(engine, "a2"))
-            await engine.until(lambda: len(engine.queue) == 1)
+            await engine.wait_until(lambda: len(engine.queue) == 1)
             assert await order(engine) == 202
             assert await order(engine) == 409
             assert (await second)[0] == 503
             assert (await ask(engine, "a3"))[0] == 503
         assert (await first)[0] == 200
-        await engine.until(lambda: engine.moving is None)
+        await engine.wait_until(lambda: engine.updating_model is None)
         assert [run.id for run in engine.runs] == ["a1"]
         assert (await ask(engine, "a4", Expect_Version="2"))[1]["versions"] == "2"
 
 
 @play
-async def test_cutover_resets_and_keep_goes_on_under_the_new_version() -> None:
+async def test_cutover_method_resets_streams_and_keep_method_continues_them() -> None:
     engine = Engine(speed=SPEED)
-    engine.named["model"] = 3
+    engine.latest_versions["model"] = 3
     async with serving(engine), asyncio.TaskGroup() as group:
-        with engine.held():
-            kept = group.create_task(ask(engine, "a1"))
-            await engine.until(lambda: len(engine.runs) == 1)
+        with engine.streams_paused():
+            continued = group.create_task(ask(engine, "a1"))
+            await engine.wait_until(lambda: len(engine.runs) == 1)
             assert await order(engine, Method="keep") == 202
-            await engine.until(lambda: engine.moving is None)
-        body = (await kept)[2]
+            await engine.wait_until(lambda: engine.updating_model is None)
+        body = (await continued)[2]
         assert body.startswith(b"versions: 2\nid: 1\n")
         assert whole_stream(body, body_hash(BODY))
-        engine.hold()
+        engine.pause_streams()
         cut = asyncio.ensure_future(ask(engine, "a2"))
-        await engine.until(lambda: len(engine.runs) == 2)
+        await engine.wait_until(lambda: len(engine.runs) == 2)
         assert await order(engine, Method="cutover", Version=3) == 202
         with pytest.raises(CallError):
             await cut
-        await engine.until(lambda: engine.moving is None)
+        await engine.wait_until(lambda: engine.updating_model is None)
         assert engine.models["model"] == 3
 
 
-# --- kept parts
+# --- cached blocks
 
 
-def test_parts_unused_longest_give_way_and_events_tell_it() -> None:
-    kept = Kept(250)
+def test_least_recently_used_blocks_are_evicted_with_an_event() -> None:
+    cache = PrefixCache(250)
     for name in ("a", "b"):
-        kept.put(("s", "m", name), Part(100, "t", 1))
-    assert [name for name, _ in kept.prefix("s", "m", [("a", 100), ("x", 1)])] == ["a"]
-    kept.put(("s", "m", "c"), Part(100, "t", 1))
-    assert [key[2] for key in kept.parts] == ["a", "c"]
-    assert [event[:4] for event in kept.events][-2:] == [[3, "+", "s", "c"], [4, "-", "s", "b"]]
-    assert kept.prefix("other", "m", [("a", 100)]) == []
-    kept.taken = 200
-    kept.shrink()
-    assert (kept.total, dict(kept.parts)) == (0, {})
+        cache.put(("s", "m", name), CachedBlock(100, "t", 1))
+    assert [name for name, _ in cache.prefix("s", "m", [("a", 100), ("x", 1)])] == ["a"]
+    cache.put(("s", "m", "c"), CachedBlock(100, "t", 1))
+    assert [key[2] for key in cache.blocks] == ["a", "c"]
+    assert [event[:4] for event in cache.events][-2:] == [[3, "+", "s", "c"], [4, "-", "s", "b"]]
+    assert cache.prefix("other", "m", [("a", 100)]) == []
+    cache.reserved_tokens = 200
+    cache.evict_to_capacity()
+    assert (cache.cached_tokens, dict(cache.blocks)) == (0, {})
 
 
 @play
-async def test_kept_parts_are_not_read_again_under_the_same_salt() -> None:
+async def test_cached_blocks_are_not_prefilled_again_under_the_same_salt() -> None:
     engine = Engine(speed=SPEED)
-    engine.named["model"] = 2
+    engine.latest_versions["model"] = 2
     async with serving(engine):
         await ask(engine, "a1", Cache_Salt="s")
         await ask(engine, "a2", Cache_Salt="s")
         await ask(engine, "a3", Cache_Salt="u")
-        assert [run.missing for run in engine.runs] == [150, 0, 150]
-        held = json.loads((await fetch(engine.server.address, "GET", "/kv-list"))[2])
-        assert ["s", "aa", 100, "model"] in held["Held"]
+        assert [run.prefilled_tokens for run in engine.runs] == [150, 0, 150]
+        listed = json.loads((await fetch(engine.server.address, "GET", "/kv-list"))[2])
+        assert ["s", "aa", 100, "model"] in listed["Held"]
         assert await order(engine) == 202
-        await engine.until(lambda: engine.moving is None)
+        await engine.wait_until(lambda: engine.updating_model is None)
         await ask(engine, "a4", Cache_Salt="s")
-        assert engine.runs[-1].missing == 150
+        assert engine.runs[-1].prefilled_tokens == 150
 
 
 @play
-async def test_events_are_told_from_a_place_on_and_a_held_call_gets_what_arrives() -> None:
-    engine = Engine(Shape(kv_calls=1))  # at real pace: the call must be ended by the event, not by its time
+async def test_events_start_after_a_token_and_a_waiting_call_returns_new_events() -> None:
+    # In real time: the event must end the call before its wait expires.
+    engine = Engine(Shape(event_poll_limit=1))
     engine.pace.speed = 1.0
     address = engine.server
 
@@ -276,38 +277,38 @@
 
     async with serving(engine):
         assert (await events(0))[1] == {
-            "Epoch": engine.kept.epoch,
+            "Epoch": engine.prefix_cache.epoch,
             "NextToken": 0,
             "Lost": False,
             "Events": [],
         }
-        engine.kept.put(("s", "model", "aa"), Part(100, "t", 1))
-        _, told = await events(0, 1000)
-        assert told["Events"] == [[1, "+", "s", "aa", 100, "model"]]
-        engine.kept_calls.held = 1
+        engine.prefix_cache.put(("s", "model", "aa"), CachedBlock(100, "t", 1))
+        _, response = await events(0, 1000)
+        assert response["Events"] == [[1, "+", "s", "aa", 100, "model"]]
+        engine.prefix_cache_handlers.pending_polls = 1
         assert (await events(1))[0] == 429
-        engine.kept_calls.held = 0
-        epoch = engine.kept.epoch
+        engine.prefix_cache_handlers.pending_polls = 0
+        epoch = engine.prefix_cache.epoch
         await engine.restart()
-        _, told = await events(told["NextToken"])
-        assert (told["Epoch"] != epoch, told["Lost"], told["NextToken"]) == (True, True, 0)
+        _, response = await events(response["NextToken"])
+        assert (response["Epoch"] != epoch, response["Lost"], response["NextToken"]) == (True, True, 0)
 
 
 @play
-async def test_parts_go_through_the_store_with_the_version_that_made_them() -> None:
+async def test_blocks_pass_through_the_store_with_the_version_that_produced_them() -> None:
     store, one, two = CacheStore(), Engine(speed=SPEED), Engine(speed=SPEED)
-    two.models["model"] = two.named["model"] = 2
+    two.models["model"] = two.latest_versions["model"] = 2
     async with serving(store.server, one, two):
-        place = store.server.address
-        await ask(one, "a1", Tenant_Name="t", Kv_Save=place)
-        assert len(store.kept.parts) == 2
-        await ask(two, "a2", Tenant_Name="u", Kv_Fetch=place)
-        assert two.runs[0].missing == 0
+        store_address = store.server.address
+        await ask(one, "a1", Tenant_Name="t", Kv_Save=store_address)
+        assert len(store.cache.blocks) == 2
+        await ask(two, "a2", Tenant_Name="u", Kv_Fetch=store_address)
+        assert two.runs[0].prefilled_tokens == 0
         known = {"a1": sent("a1", "t"), "a2": sent("a2", "u")}
         breaches = judge(one.runs + two.runs, known, isolated=["t"])
         assert {breach.rule for breach in breaches} == {"STALE", "WALL"}
         store.restart()
-        await ask(two, "a3", Cache_Salt="n", Kv_Fetch=place)
-        assert two.runs[1].missing == 150
+        await ask(two, "a3", Cache_Salt="n", Kv_Fetch=store_address)
+        assert two.runs[1].prefilled_tokens == 150
     async with serving(one):
-        assert (await ask(one, "a4", Cache_Salt="n", Kv_Fetch=place))[0] == 200  # a dead source
+        assert (await ask(one, "a4", Cache_Salt="n", Kv_Fetch=store_address))[0] == 200  # the store is down
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -36,7 +36,7 @@
         ([run_of("a1", target="/other")], ["UNASKED"]),
         ([run_of("a1", body_hash="0")], ["UNASKED"]),
         ([run_of("a1", tenant="t")], ["UNASKED"]),
-        ([run_of("a1", key_shown=True)], ["UNASKED"]),
+        ([run_of("a1", api_key_sent=True)], ["UNASKED"]),
         ([run_of("a1", reused=(("", 2),))], ["STALE"]),
         ([run_of("a1", reused=(("t", 1),))], ["WALL"]),
         ([run_of("a1", reused=(("u", 1),))], []),  # neither is isolated
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -303,16 +303,16 @@
             await self.gates[-1].wait()
 
     async def work() -> None:
-        engine = Engine(Shape(in_turn=True))
+        engine = Engine(Shape(serial_prefill=True))
         engine.pace = pace = Turns()
         order: list[int] = []
 
         async def read(priority: int) -> None:
-            await engine.read(priority, 100)
+            await engine.prefill(priority, 100)
             order.append(priority)
 
         tasks = [asyncio.create_task(read(each)) for each in (7, 9, 3, 5)]
-        while len(engine.readers) < 3:
+        while len(engine.prefill_queue) < 3:
             await asyncio.sleep(0)
         tasks[3].cancel()  # its client is gone
         for n in range(3):
@@ -320,7 +320,7 @@
                 await asyncio.sleep(0)
             pace.gates[n].set()
         await asyncio.gather(*tasks, return_exceptions=True)
-        assert order == [7, 3, 9] and not engine.reading
+        assert order == [7, 3, 9] and not engine.prefilling
 
     within(work())
 
