--- a/plumline/lab/__init__.py
+++ b/plumline/lab/__init__.py
@@ -1,7 +1,7 @@
-"""Small stand-ins for what surrounds the system: endpoints, cache store, platform, operator and clients.
+"""Simulations of the services around the system: endpoints, cache store, platform, operator and clients.
 
-They share this plain HTTP/1.1 (over h11, apart from the system's own, so that a fault in that one is seen),
-and `Pace`, by which the times of the model run `speed` times as fast as real ones.
+This module has their HTTP/1.1 server and client, and `Pace`, which runs model time `speed` times as fast as
+real time. The HTTP code uses h11 and shares nothing with the system's own, so that it detects faults in that.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class CallError(PlumlineError):
-    """A call that brought no whole answer. `sent`: the peer may have read the request."""
+    """A call without a complete response. `sent`: the peer may have read the request."""
 
     code, status = "lab-call", 502
 
@@ -31,29 +31,31 @@
         self.sent = sent
 
 
-class GarbledAnswerError(CallError):
-    """Bytes that are no answer, or that belong to none."""
+class MalformedResponseError(CallError):
+    """Received bytes that are not a valid response, or that belong to no response."""
 
     code = "lab-garbled"
 
 
 class Pace:
-    """Waits of the model, given in its ms; real time passes `speed` times slower than the model's."""
+    """Converts model time to real time; model time runs `speed` times as fast as real time."""
 
     def __init__(self, speed: float = 1.0, clock: Clock = time.monotonic) -> None:
         self.speed, self.clock = speed, clock
 
     async def wait(self, ms: float) -> None:
-        """Waits for so many of the model's ms."""
+        """Waits for `ms` milliseconds of model time."""
         await asyncio.sleep(max(0.0, ms) / 1000 / self.speed)
 
 
 class Call:
-    """A request that came in whole, and the means to answer it. Header names are lower case. The handler is
-    cancelled when the connection ends."""
+    """A completely received request, and the methods to answer it.
 
-    def __init__(self, peer: "_Peer", head: h11.Request, body: bytes) -> None:
-        self._peer = peer
+    Header names are lower case. The handler is cancelled when the connection ends.
+    """
+
+    def __init__(self, connection: "_ServerConnection", head: h11.Request, body: bytes) -> None:
+        self._connection = connection
         self.method = head.method.decode()
         self.target = head.target.decode()
         parts = urlsplit(self.target)
@@ -63,47 +65,47 @@
         self.body = body
 
     def json(self) -> Any:  # noqa: ANN401
-        """The body read as JSON; None if it is none."""
+        """Returns the body parsed as JSON, None if it is not valid JSON."""
         with suppress(ValueError):
             return json.loads(self.body)
         return None
 
     def head(self, status: int, headers: Headers = ()) -> None:
-        """Starts an answer whose body follows by `piece`, in chunks."""
-        self._peer.send(h11.Response(status_code=status, headers=list(headers)))
+        """Starts a response whose body follows in chunks, sent by `chunk`."""
+        self._connection.send(h11.Response(status_code=status, headers=list(headers)))
 
-    def piece(self, data: bytes) -> None:
-        """A chunk of the body of an answer that has begun."""
-        self._peer.send(h11.Data(data=data))
+    def chunk(self, data: bytes) -> None:
+        """Sends a chunk of the response body."""
+        self._connection.send(h11.Data(data=data))
 
     def end(self) -> None:
-        """Ends the answer."""
-        self._peer.send(h11.EndOfMessage())
+        """Ends the response."""
+        self._connection.send(h11.EndOfMessage())
 
     def answer(self, status: int, body: bytes = b"", headers: Headers = ()) -> None:
-        """A whole answer."""
+        """Sends a complete response."""
         self.head(status, [*headers, ("Content-Length", str(len(body)))])
         if body:
-            self.piece(body)
+            self.chunk(body)
         self.end()
 
-    def answer_json(self, status: int, what: Any) -> None:  # noqa: ANN401
-        """A whole answer whose body is the value as JSON."""
-        self.answer(status, json.dumps(what, separators=(",", ":")).encode(), [JSON])
+    def answer_json(self, status: int, value: Any) -> None:  # noqa: ANN401
+        """Sends a complete response with the value as JSON."""
+        self.answer(status, json.dumps(value, separators=(",", ":")).encode(), [JSON])
 
     def raw(self, data: bytes) -> None:
-        """Bytes as they are, outside any answer."""
-        self._peer.transport.write(data)
+        """Writes bytes to the connection unchanged, outside any response."""
+        self._connection.transport.write(data)
 
     def reset(self) -> None:
-        """Resets the connection, in the middle of an answer or before it."""
-        self._peer.transport.abort()
+        """Resets the connection, before or during the response."""
+        self._connection.transport.abort()
 
 
 Handler = Callable[[Call], Awaitable[None]]
 
 
-class _Peer(asyncio.Protocol):
+class _ServerConnection(asyncio.Protocol):
     """One connection of a server; answers one request at a time."""
 
     transport: asyncio.Transport
@@ -118,13 +120,13 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.server.peers.add(self)
+        self.server.connections.add(self)
         self.server.accepted += 1
-        if len(self.server.peers) > self.server.limit:
+        if len(self.server.connections) > self.server.limit:
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.server.peers.discard(self)
+        self.server.connections.discard(self)
         if self.task:
             self.task.cancel()
 
@@ -133,7 +135,7 @@
             self.h11.receive_data(data)
             self.advance()
         except h11.RemoteProtocolError:
-            self.server.garbled += 1
+            self.server.malformed += 1
             self.transport.abort()
 
     def advance(self) -> None:
@@ -173,36 +175,36 @@
 
     def __init__(self, handler: Handler, host: str = "127.0.0.1", port: int = 0, limit: int = 1024) -> None:
         self.handler, self.host, self.port, self.limit = handler, host, port, limit
-        self.peers: set[_Peer] = set()
+        self.connections: set[_ServerConnection] = set()
         self.accepted = 0
-        self.garbled = 0  # connections that brought bytes that are no request
-        self.failures: list[Exception] = []  # of the handler: faults of the stand-in itself
+        self.malformed = 0  # connections with bytes that are not a valid request
+        self.failures: list[Exception] = []  # exceptions of the handler: faults of the simulation itself
         self._server: asyncio.Server | None = None
 
     @property
     def address(self) -> str:
-        """Where it listens, as "ip:port"."""
+        """Listen address as "ip:port"."""
         return f"{self.host}:{self.port}"
 
     async def start(self) -> None:
-        """Listens; the port is known from then on."""
+        """Starts to listen; sets `port`."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _Peer(self), self.host, self.port)
+        self._server = await loop.create_server(lambda: _ServerConnection(self), self.host, self.port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Closes the port and resets what is open."""
+        """Stops listening and resets all open connections."""
         if self._server:
             self._server.close()
             self._server = None
-        tasks = [peer.task for peer in self.peers if peer.task]
-        for peer in list(self.peers):
-            peer.transport.abort()
+        tasks = [connection.task for connection in self.connections if connection.task]
+        for connection in list(self.connections):
+            connection.transport.abort()
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
 class Reply:
-    """The answer to a call: the head, then the body's pieces by `data`."""
+    """The response to a call: its head, and its body in chunks by `data`."""
 
     def __init__(self, connection: h11.Connection, reader: asyncio.StreamReader, head: h11.Response) -> None:
         self._connection, self._reader = connection, reader
@@ -210,31 +212,31 @@
         self.headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
 
     async def data(self) -> AsyncIterator[bytes]:
-        """Errors: CallError if the body ends early, GarbledAnswerError for bytes beyond it."""
-        while not isinstance(event := await _next(self._connection, self._reader), h11.EndOfMessage):
+        """Yields the body. Errors: CallError if it ends early, MalformedResponseError for bytes after it."""
+        while not isinstance(event := await _next_event(self._connection, self._reader), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
                 raise CallError("cut")
             yield bytes(event.data)
         if self._connection.trailing_data[0]:
-            raise GarbledAnswerError("bytes after the answer")
+            raise MalformedResponseError("bytes after the answer")
 
     async def body(self) -> bytes:
-        """The whole body; errors as for `data`."""
-        return b"".join([piece async for piece in self.data()])
+        """Returns the complete body; errors as for `data`."""
+        return b"".join([chunk async for chunk in self.data()])
 
     async def json(self) -> Any:  # noqa: ANN401
-        """The whole body read as JSON; errors as for `data`, and ValueError."""
+        """Returns the body parsed as JSON; errors as for `data`, and ValueError."""
         return json.loads(await self.body())
 
 
-async def _next(connection: h11.Connection, reader: asyncio.StreamReader) -> h11.Event:
+async def _next_event(connection: h11.Connection, reader: asyncio.StreamReader) -> h11.Event:
     try:
         while (event := connection.next_event()) is h11.NEED_DATA:
             connection.receive_data(await reader.read(65536))
     except h11.RemoteProtocolError as error:
-        # a close before the end of an answer is h11's error too; only that one is no garbage
+        # h11 raises the same error if the connection closes before the response ends
         early = reader.at_eof() and not connection.trailing_data[0]
-        raise (CallError if early else GarbledAnswerError)(str(error)) from error
+        raise (CallError if early else MalformedResponseError)(str(error)) from error
     except OSError as error:
         raise CallError(str(error)) from error
     if isinstance(event, h11.Event):
@@ -246,8 +248,10 @@
 async def exchange(
     address: str, method: str, target: str, headers: Headers = (), body: bytes = b""
 ) -> AsyncIterator[Reply]:
-    """One call on a connection of its own to `address` ("ip:port"). Time limits are the caller's
-    (asyncio.timeout). Errors: CallError."""
+    """Sends one request on a new connection to `address` ("ip:port"). Errors: CallError.
+
+    The caller sets the time limit (asyncio.timeout).
+    """
     host, _, port = address.rpartition(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
@@ -262,7 +266,7 @@
         request = h11.Request(method=method, target=target, headers=lines)
         events = (request, h11.Data(data=body), h11.EndOfMessage())
         writer.write(b"".join(connection.send(event) or b"" for event in events))
-        head = await _next(connection, reader)
+        head = await _next_event(connection, reader)
         if not isinstance(head, h11.Response):
             raise CallError("closed without an answer")
         yield Reply(connection, reader, head)
@@ -278,7 +282,7 @@
     body: bytes = b"",
     timeout: float = 5.0,
 ) -> tuple[int, dict[str, str], bytes]:
-    """A whole call within `timeout` seconds: status, headers (lower case), body. Errors: CallError."""
+    """Returns status, headers (lower case) and body within `timeout` seconds. Errors: CallError."""
     try:
         async with asyncio.timeout(timeout), exchange(address, method, target, headers, body) as reply:
             return reply.status, reply.headers, await reply.body()
--- a/plumline/lab/clients.py
+++ b/plumline/lab/clients.py
@@ -1,4 +1,4 @@
-"""Clients: requests by class at given rates, whatever becomes of them."""
+"""Open-loop clients: send requests of several classes at given rates."""
 
 import asyncio
 import random
@@ -9,19 +9,22 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from plumline.lab import CallError, Clock, GarbledAnswerError, Reply, exchange
+from plumline.lab import CallError, Clock, MalformedResponseError, Reply, exchange
 from plumline.lab.engine import body_hash
 
-PROMISES = {408, 421, 429, 503}
-LAST = {400, 401, 404, 413, 431}
+NOT_RUN_STATUSES = {408, 421, 429, 503}
+FINAL_STATUSES = {400, 401, 404, 413, 431}
 CONNECT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Class:
-    """A kind of request. `rate` in requests/s, `objective_ms` to the first event, `patience_ms` in all,
-    `gap_ms` the longest pause between events of an answer in time; `subjects`: how many shared first parts it
-    draws from; `resumable` makes it idempotent."""
+class RequestClass:
+    """A class of requests.
+
+    `rate`: requests/s. A response is in time if its first event comes within `objective_ms` and no two events
+    are more than `max_gap_ms` apart. `timeout_ms`: for all attempts. `shared_prefixes`: number of shared
+    prompt prefixes to draw from. `resumable`: also idempotent.
+    """
 
     name: str
     host: str
@@ -31,47 +34,47 @@
     prompt_tokens: int = 400
     out_tokens: int = 32
     objective_ms: float = 600
-    patience_ms: float = 6000
-    gap_ms: float = 500
-    subjects: int = 8
+    timeout_ms: float = 6000
+    max_gap_ms: float = 500
+    shared_prefixes: int = 8
     resumable: bool = False
     key: str = ""
     tenant: str = ""
-    tries: int = 4
+    max_attempts: int = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """What a client sent as one try."""
+class SentRequest:
+    """A request as a client sent it in one attempt."""
 
     id: str
     method: str
     target: str
     body_hash: str
     tenant: str
-    repeatable: bool
+    idempotent: bool
     model: str
 
 
 @dataclass(slots=True)
 class Tally:
-    """Of one class: outcomes by name, and ms from the first try to the first event of those served."""
+    """Results of a class: outcomes by name, and ms from first attempt to first event of served requests."""
 
     outcomes: Counter[str] = field(default_factory=Counter)
     first_ms: list[float] = field(default_factory=list)
 
     def percentile(self, share: float) -> float:
-        """ms; nan if nothing was served."""
+        """Returns the percentile of `first_ms` in ms; nan if nothing was served."""
         ordered = sorted(self.first_ms)
         return ordered[min(len(ordered) - 1, int(share * len(ordered)))] if ordered else float("nan")
 
 
 @dataclass(slots=True)
-class _Try:
-    """How one try ended: a status (0: no head), the first event's time, and what may follow."""
+class _Attempt:
+    """Result of one attempt. `status`: 0 without a response head; `first_at`: time of the first event."""
 
     status: int = 0
-    word: str = "failed"
+    outcome: str = "failed"
     first_at: float | None = None
     longest_gap_ms: float = 0.0
     retry_after: float = 0.0
@@ -80,72 +83,79 @@
 
 
 class Clients:
-    """Sends `classes` to the `fronts` ("ip:port"); `tallies`, `sent` and `answers` tell what came of it."""
+    """Sends requests of `classes` to routers ("ip:port"); records `tallies`, `sent` and `answers`."""
 
     def __init__(
-        self, fronts: list[str], classes: Iterable[Class], seed: int = 1, clock: Clock = time.monotonic
+        self,
+        router_addresses: list[str],
+        classes: Iterable[RequestClass],
+        seed: int = 1,
+        clock: Clock = time.monotonic,
     ) -> None:
-        self.fronts, self.classes = list(fronts), list(classes)
+        self.router_addresses, self.classes = list(router_addresses), list(classes)
         self.random, self.clock = random.Random(seed), clock
         self.tallies: dict[str, Tally] = defaultdict(Tally)
-        self.sent: dict[str, Sent] = {}
+        self.sent: dict[str, SentRequest] = {}
         self.answers: list[tuple[str, str]] = []  # (Attempt-Id, Server-Seal) of each success
 
     async def run(self, seconds: float) -> None:
-        """Open loop: a request leaves when it is due, whether or not earlier ones are answered."""
+        """Sends each request when it is due, whether or not earlier ones are answered (open loop)."""
         began = self.clock()
         async with asyncio.TaskGroup() as group:
             for due, kind in self.plan(seconds):
                 await asyncio.sleep(max(0.0, began + due - self.clock()))
-                group.create_task(self.ask(kind))
+                group.create_task(self.send_request(kind))
 
-    def plan(self, seconds: float) -> list[tuple[float, Class]]:
+    def plan(self, seconds: float) -> list[tuple[float, RequestClass]]:
         """Poisson arrivals of all classes, by time in seconds."""
         return sorted(
             (due for kind in self.classes for due in self._arrivals(kind, seconds)), key=lambda x: x[0]
         )
 
-    def _arrivals(self, kind: Class, seconds: float) -> Iterator[tuple[float, Class]]:
+    def _arrivals(self, kind: RequestClass, seconds: float) -> Iterator[tuple[float, RequestClass]]:
         at = self.random.expovariate(kind.rate)
         while at < seconds:
             yield at, kind
             at += self.random.expovariate(kind.rate)
 
-    async def ask(self, kind: Class) -> str:
-        """One request with all its tries: in-time, late, cut, refused, denied, garbled or failed."""
+    async def send_request(self, kind: RequestClass) -> str:
+        """Sends one request with its retries.
+
+        Returns in-time, late, cut, refused, denied, garbled or failed.
+        """
         began = self.clock()
-        deadline = began + kind.patience_ms / 1000
-        subject = self.random.randrange(kind.subjects)
-        own = f"{self.random.getrandbits(32):08x}"
+        deadline = began + kind.timeout_ms / 1000
+        prefix_number = self.random.randrange(kind.shared_prefixes)
+        unique = f"{self.random.getrandbits(32):08x}"
         shared = kind.prompt_tokens // 2
-        prefix = f"{0xA0000000 + subject:08x}:{shared},{own}:{kind.prompt_tokens - shared}"
+        prefix = f"{0xA0000000 + prefix_number:08x}:{shared},{unique}:{kind.prompt_tokens - shared}"
         body = self.random.randbytes(64)
-        last = _Try()
-        for number in range(kind.tries):
+        last = _Attempt()
+        for number in range(kind.max_attempts):
             left = deadline - self.clock()
             if left <= 0:
                 break
-            last = await self._try(kind, prefix, body, left)
-            if last.word == "served":
+            last = await self._send_attempt(kind, prefix, body, left)
+            if last.outcome == "served":
                 break
-            promised = last.status in PROMISES
-            again = not last.status or last.status >= 500
-            repeat = promised or not last.may_have_run or (kind.resumable and again)
-            if last.word in ("garbled", "cut") or last.status in LAST or not repeat:
+            not_run = last.status in NOT_RUN_STATUSES
+            server_failed = not last.status or last.status >= 500
+            may_retry = not_run or not last.may_have_run or (kind.resumable and server_failed)
+            if last.outcome in ("garbled", "cut") or last.status in FINAL_STATUSES or not may_retry:
                 break
-            if number + 1 < kind.tries:
+            if number + 1 < kind.max_attempts:
                 left = max(0.0, deadline - self.clock())
                 await asyncio.sleep(min(last.retry_after or 0.05 * 2**number, left / 3))
-        word = last.word
-        if word == "served" and last.first_at is not None:
+        outcome = last.outcome
+        if outcome == "served" and last.first_at is not None:
             first_ms = (last.first_at - began) * 1000
             self.tallies[kind.name].first_ms.append(first_ms)
-            in_time = first_ms <= kind.objective_ms and last.longest_gap_ms <= kind.gap_ms
-            word = "in-time" if in_time else "late"
-        self.tallies[kind.name].outcomes[word] += 1
-        return word
+            in_time = first_ms <= kind.objective_ms and last.longest_gap_ms <= kind.max_gap_ms
+            outcome = "in-time" if in_time else "late"
+        self.tallies[kind.name].outcomes[outcome] += 1
+        return outcome
 
-    async def _try(self, kind: Class, prefix: str, body: bytes, left: float) -> _Try:
+    async def _send_attempt(self, kind: RequestClass, prefix: str, body: bytes, left: float) -> _Attempt:
         name = f"{self.random.getrandbits(64):016x}"
         target = f"{kind.path}{self.random.getrandbits(8):02x}"
         headers = [
@@ -159,45 +169,49 @@
         if kind.key:
             headers.append(("X-Api-Key", kind.key))
         digest = body_hash(body)
-        self.sent[name] = Sent(name, "POST", target, digest, kind.tenant, kind.resumable, kind.model)
-        result = _Try()
+        self.sent[name] = SentRequest(name, "POST", target, digest, kind.tenant, kind.resumable, kind.model)
+        result = _Attempt()
         try:
             async with (
                 asyncio.timeout(left),
-                exchange(self.random.choice(self.fronts), "POST", target, headers, body) as reply,
+                exchange(self.random.choice(self.router_addresses), "POST", target, headers, body) as reply,
             ):
                 result.status = reply.status
                 result.seal = reply.headers.get("server-seal", "")
                 result.retry_after = _seconds(reply.headers.get("retry-after", ""))
                 await self._read(reply, name, digest, result)
-        except GarbledAnswerError:
-            result.word = "garbled"
+        except MalformedResponseError:
+            result.outcome = "garbled"
         except CallError as error:
             result.may_have_run = error.sent
-            result.word = "cut" if result.status == 200 else "failed"
+            result.outcome = "cut" if result.status == 200 else "failed"
         except TimeoutError:
-            result.word = "cut" if result.status == 200 else "failed"
+            result.outcome = "cut" if result.status == 200 else "failed"
         return result
 
-    async def _read(self, reply: Reply, name: str, digest: str, result: _Try) -> None:
+    async def _read(self, reply: Reply, name: str, digest: str, result: _Attempt) -> None:
         if reply.status != 200:
             await reply.body()
-            refused = reply.status in PROMISES
-            result.word = "refused" if refused else "denied" if reply.status < 500 else "failed"
+            refused = reply.status in NOT_RUN_STATUSES
+            result.outcome = "refused" if refused else "denied" if reply.status < 500 else "failed"
             return
-        whole, before = bytearray(), 0.0
-        async with aclosing(reply.data()) as pieces:
-            async for piece in pieces:
+        data, before = bytearray(), 0.0
+        async with aclosing(reply.data()) as chunks:
+            async for chunk in chunks:
                 now = self.clock()
                 if result.first_at is None:
                     result.first_at = now
                 else:
                     result.longest_gap_ms = max(result.longest_gap_ms, (now - before) * 1000)
                 before = now
-                whole += piece
-        right = reply.headers.get("attempt-id") == name and result.seal and whole_stream(bytes(whole), digest)
-        result.word = "served" if right else "garbled"
-        if right:
+                data += chunk
+        valid = (
+            reply.headers.get("attempt-id") == name
+            and result.seal
+            and is_complete_stream(bytes(data), digest)
+        )
+        result.outcome = "served" if valid else "garbled"
+        if valid:
             self.answers.append((name, result.seal))
 
 
@@ -208,16 +222,16 @@
         return 0.0
 
 
-def whole_stream(data: bytes, digest: str) -> bool:
-    """Whether an engine's events are there from the first to the last, each once and in order."""
-    pieces = [line[6:] for line in data.decode("latin-1").split("\n") if line.startswith("data: ")]
-    return bool(pieces) and pieces == [f"{digest}.{n}/{len(pieces)}" for n in range(1, len(pieces) + 1)]
+def is_complete_stream(data: bytes, digest: str) -> bool:
+    """Whether the stream has all events of an endpoint, each once and in order."""
+    chunks = [line[6:] for line in data.decode("latin-1").split("\n") if line.startswith("data: ")]
+    return bool(chunks) and chunks == [f"{digest}.{n}/{len(chunks)}" for n in range(1, len(chunks) + 1)]
 
 
 def summary(tallies: Mapping[str, Tally]) -> list[dict[str, Any]]:
-    """One row a class: counts by outcome and the first event's middle and 95th percentile, ms."""
+    """Returns a row per class: counts by outcome, and p50 and p95 of the time to the first event, in ms."""
     rows = []
     for name, tally in sorted(tallies.items()):
-        middle, high = tally.percentile(0.5), tally.percentile(0.95)
-        rows.append({"class": name, **tally.outcomes, "first_p50_ms": middle, "first_p95_ms": high})
+        median, p95 = tally.percentile(0.5), tally.percentile(0.95)
+        rows.append({"class": name, **tally.outcomes, "first_p50_ms": median, "first_p95_ms": p95})
     return rows
--- a/plumline/lab/engine.py
+++ b/plumline/lab/engine.py
@@ -517,7 +517,7 @@
             now = self.models[run.model]
             first = f"versions: {now}\n" if now != version else ""
             version = now
-            job.call.piece(f"{first}id: {number}\ndata: {run.body_hash}.{number}/{of}\n\n".encode())
+            job.call.chunk(f"{first}id: {number}\ndata: {run.body_hash}.{number}/{of}\n\n".encode())
         job.call.end()
 
     # --- transfer of cached blocks
--- a/plumline/lab/flood.py
+++ b/plumline/lab/flood.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from plumline.errors import UnavailableError
-from plumline.lab.clients import Class, Clients, Sent, Tally
+from plumline.lab.clients import Clients, RequestClass, SentRequest, Tally
 from plumline.lab.engine import Engine, Run, Shape
 from plumline.lab.judge import Breach, judge_all
 from plumline.lab.local import (
@@ -23,9 +23,9 @@
     Process,
     configuration_for,
     machines_for,
-    ready,
     settings_for,
-    surroundings,
+    simulated_services,
+    wait_until_ready,
 )
 from plumline.lab.operator import Operator
 
@@ -53,9 +53,9 @@
     return document
 
 
-def kind(name: str, tenant: str, rate: float, prompt: int, out: int) -> Class:
+def kind(name: str, tenant: str, rate: float, prompt: int, out: int) -> RequestClass:
     """A kind of request of one tenant, `rate` a second."""
-    return Class(
+    return RequestClass(
         name,
         HOST,
         "/once/",
@@ -64,11 +64,11 @@
         out_tokens=out,
         key=f"key-{tenant}",
         tenant=tenant,
-        patience_ms=4000,
+        timeout_ms=4000,
     )
 
 
-def victims() -> list[Class]:
+def victims() -> list[RequestClass]:
     """The requests of the two tenants that have a reserved share."""
     return [
         kind("catalog-check", "library", 3.0, 500, 8),
@@ -78,10 +78,12 @@
     ]
 
 
-def flooder(times: float) -> Class:
+def flooder(times: float) -> RequestClass:
     """The third tenant's, at so many times its usual rate; hardly two share a part."""
     each = kind("flood", FLOODER, USUAL_RATE * times, 4400, 24)
-    return Class(**({name: getattr(each, name) for name in Class.__slots__} | {"subjects": 1 << 30}))
+    return RequestClass(
+        **({name: getattr(each, name) for name in RequestClass.__slots__} | {"shared_prefixes": 1 << 30})
+    )
 
 
 @dataclass(slots=True)
@@ -151,7 +153,7 @@
     return [each.name for each in victims()]
 
 
-def not_once(runs: Iterable[Run], sent: dict[str, Sent], answers: Iterable[tuple[str, str]]) -> int:
+def not_once(runs: Iterable[Run], sent: dict[str, SentRequest], answers: Iterable[tuple[str, str]]) -> int:
     """How many of the victims' answered requests did not run exactly once."""
     counts = Counter(run.id for run in runs)
     names = {name for name, _ in answers if sent[name].tenant in SHARES}
@@ -173,7 +175,7 @@
     ports = Ports.free(each.host for each in machines)
     with tempfile.TemporaryDirectory(prefix="plumline-flood-") as name:
         directory = Path(name)
-        async with surroundings(ENGINES, 1.0, SHAPE) as (engines, store, platform):
+        async with simulated_services(ENGINES, 1.0, SHAPE) as (engines, store, platform):
             processes = [Process(each, directory) for each in machines]
             try:
                 for each in processes:
@@ -185,21 +187,23 @@
                     raise UnavailableError(f"the configuration was answered {verdict.status}")
                 edge = processes[1:]
                 await asyncio.gather(
-                    *(ready(each, f"{each.machine.host}:{ports.readiness}") for each in edge)
+                    *(wait_until_ready(each, f"{each.machine.host}:{ports.readiness}") for each in edge)
                 )
-                fronts = [f"{each.machine.host}:{ports.front}" for each in edge]
-                outcome = await play(fronts, engines, seconds, times, seed)
+                router_addresses = [f"{each.machine.host}:{ports.front}" for each in edge]
+                outcome = await play(router_addresses, engines, seconds, times, seed)
             finally:
                 ends = await asyncio.gather(*(each.stop() for each in processes))
         outcome.exits = {each.machine.name: end for each, end in zip(processes, ends, strict=True)}
         return outcome
 
 
-async def play(fronts: list[str], engines: list[Engine], seconds: float, times: float, seed: int) -> Outcome:
+async def play(
+    router_addresses: list[str], engines: list[Engine], seconds: float, times: float, seed: int
+) -> Outcome:
     """A calm beginning, which isn't counted, then the flood."""
-    before = Clients(fronts, [*victims(), flooder(1.0)], seed, time.monotonic)
+    before = Clients(router_addresses, [*victims(), flooder(1.0)], seed, time.monotonic)
     await before.run(CALM_S)
-    clients = Clients(fronts, [*victims(), flooder(times)], seed + 1, time.monotonic)
+    clients = Clients(router_addresses, [*victims(), flooder(times)], seed + 1, time.monotonic)
     await clients.run(seconds)
     clients.sent |= before.sent
     clients.answers += before.answers
--- a/plumline/lab/judge.py
+++ b/plumline/lab/judge.py
@@ -1,16 +1,16 @@
-"""Which rules a run of the lab has broken, by what endpoints saw and what clients got. No I/O."""
+"""Checks the rules of a lab run against the records of endpoints and clients. No I/O."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass
 
-from plumline.lab.clients import Clients, Sent
+from plumline.lab.clients import Clients, SentRequest
 from plumline.lab.engine import Engine, Order, Run
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A broken rule, with the request (or holder) that broke it."""
+    """A violation of a rule by a request or a lease holder `id`."""
 
     rule: str
     id: str
@@ -19,19 +19,19 @@
 
 def judge(
     runs: Iterable[Run],
-    sent: Mapping[str, Sent],
+    sent: Mapping[str, SentRequest],
     answers: Iterable[tuple[str, str]] = (),
     isolated: Iterable[str] = (),
 ) -> list[Breach]:
-    """UNASKED, TWICE, STALE and WALL by the endpoints' runs, MIXED by the answers that clients got."""
+    """Checks UNASKED, TWICE, STALE and WALL against the endpoints' runs, MIXED against the responses."""
     found: list[Breach] = []
     by_id: dict[str, list[Run]] = defaultdict(list)
-    walled = set(isolated)
+    isolated_tenants = set(isolated)
     for run in runs:
         by_id[run.id].append(run)
-        found.extend(_judge_run(run, sent.get(run.id), walled))
+        found.extend(_judge_run(run, sent.get(run.id), isolated_tenants))
     for name, each in by_id.items():
-        if len(each) > 1 and name in sent and not sent[name].repeatable:
+        if len(each) > 1 and name in sent and not sent[name].idempotent:
             found.append(Breach("TWICE", name, f"{len(each)} runs"))
     for name, seal in answers:
         if seal not in {run.seal for run in by_id.get(name, [])}:
@@ -39,25 +39,28 @@
     return found
 
 
-def _judge_run(run: Run, asked: Sent | None, walled: set[str]) -> Iterator[Breach]:
-    if asked is None:
+def _judge_run(run: Run, request: SentRequest | None, isolated_tenants: set[str]) -> Iterator[Breach]:
+    if request is None:
         yield Breach("UNASKED", run.id, "no client sent it")
-    elif (run.method, run.target, run.body_hash) != (asked.method, asked.target, asked.body_hash):
+    elif (run.method, run.target, run.body_hash) != (request.method, request.target, request.body_hash):
         yield Breach("UNASKED", run.id, f"changed on its way: {run.method} {run.target}")
-    elif run.tenant != asked.tenant:
-        yield Breach("UNASKED", run.id, f"tenant {run.tenant!r}, not {asked.tenant!r}")
+    elif run.tenant != request.tenant:
+        yield Breach("UNASKED", run.id, f"tenant {run.tenant!r}, not {request.tenant!r}")
     if run.api_key_sent:
         yield Breach("UNASKED", run.id, "the key was passed on")
     for tenant, version in run.reused:
         if version != run.version:
             yield Breach("STALE", run.id, f"memory of version {version} under {run.version}")
-        if tenant != run.tenant and walled & {tenant, run.tenant}:
+        if tenant != run.tenant and isolated_tenants & {tenant, run.tenant}:
             yield Breach("WALL", run.id, f"memory of {tenant!r} for {run.tenant!r}")
 
 
 def judge_orders(orders: Iterable[Order], lease_s: float) -> list[Breach]:
-    """ONE: two holders under a fence, a fence after a higher one (unless turned away by it), or holders
-    taking turns within `lease_s`. `orders`: one endpoint's, as they came."""
+    """Checks rule ONE on the orders that one endpoint received, in order of arrival.
+
+    Violations: two holders with the same fence number; a lower fence number after a higher one, unless
+    rejected with 412; a change of holder within `lease_s` seconds.
+    """
     found: list[Breach] = []
     holders: dict[int, str] = {}
     last: Order | None = None
@@ -75,10 +78,10 @@
 
 
 def judge_all(
-    engines: Iterable[Engine], clients: Clients, lease_s: float, walled: Iterable[str]
+    engines: Iterable[Engine], clients: Clients, lease_s: float, isolated_tenants: Iterable[str]
 ) -> list[Breach]:
-    """All of the above for a whole run."""
+    """Applies `judge` and `judge_orders` to a complete run."""
     known = list(engines)
     runs = [run for engine in known for run in engine.runs]
-    found = judge(runs, clients.sent, clients.answers, walled)
+    found = judge(runs, clients.sent, clients.answers, isolated_tenants)
     return found + [breach for engine in known for breach in judge_orders(engine.orders, lease_s)]
--- a/plumline/lab/local.py
+++ b/plumline/lab/local.py
@@ -1,4 +1,4 @@
-"""The one-machine run: real registrars and routers on loopback addresses, the stand-ins around them."""
+"""Runs real registrars and routers on loopback addresses, with simulated services around them."""
 
 import asyncio
 import os
@@ -16,15 +16,15 @@
 
 from plumline.errors import UnavailableError
 from plumline.lab import CallError, fetch
-from plumline.lab.clients import Class, Clients, Tally
+from plumline.lab.clients import Clients, RequestClass, Tally
 from plumline.lab.engine import Engine, Shape
 from plumline.lab.judge import Breach, judge_all
 from plumline.lab.operator import Operator
 from plumline.lab.platform import Platform
 from plumline.lab.store import CacheStore
 
-READY_S = 20.0
-LOST_STATUS = 255  # what asyncio reports of a child that something else has reaped
+READY_TIMEOUT_S = 20.0
+UNKNOWN_EXIT_STATUS = 255  # asyncio reports it for a child that other code has reaped
 GRACE_S = 8.0
 INTERNAL_PORTS = 16
 BOUNDS: dict[str, Any] = {
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """The same on every machine, as they are in service."""
+    """Port numbers; the same on every machine, as in production."""
 
     front: int
     readiness: int
@@ -80,7 +80,7 @@
 
     @staticmethod
     def free(hosts: Iterable[str]) -> "Ports":
-        """A range that is free at all of `hosts`. Errors: NotStartedError."""
+        """Returns a range of ports free on all `hosts`. Errors: NotStartedError."""
         known = list(hosts)
         for _ in range(50):
             base = random.randrange(20_000, 32_000)
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One process: its role, its address, its zone."""
+    """Role, name, address and zone of one process."""
 
     role: str
     name: str
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a run came to. `exits`: exit status by process; `ready_s` from the start to all routers ready."""
+    """Results of a run. `exits`: exit status by process; `ready_s`: start until all routers are ready."""
 
     tallies: dict[str, Tally]
     breaches: list[Breach]
@@ -122,13 +122,13 @@
 
     @property
     def good(self) -> bool:
-        """No rule broken, something served, all ended in order."""
+        """Whether no rule was broken, requests were served and all processes exited with status 0."""
         served = sum(tally.outcomes["in-time"] for tally in self.tallies.values())
         return served > 0 and not self.breaches and self.read_back and not any(self.exits.values())
 
 
 def toml_text(table: Mapping[str, Any]) -> str:
-    """A settings file's text: plain values and lists first, then the tables, one level deep."""
+    """Returns the text of a settings file: plain values and lists first, then tables, one level deep."""
     lines = [
         f"{name} = {_toml_value(value)}" for name, value in table.items() if not isinstance(value, Mapping)
     ]
@@ -149,7 +149,7 @@
 
 
 def machines_for(routers: int, registrars: int) -> list[Machine]:
-    """Registrars at 127.0.1.N, routers at 127.0.2.N, over two zones in turn."""
+    """Returns registrars at 127.0.1.N and routers at 127.0.2.N, alternating between two zones."""
     zones = ("zone-a", "zone-b")
     core = [
         Machine("registrar", f"core-{n}", f"127.0.1.{n}", zones[(n - 1) % 2])
@@ -162,7 +162,7 @@
 def settings_for(
     machine: Machine, machines: list[Machine], ports: Ports, platform: str, directory: Path
 ) -> dict[str, Any]:
-    """The settings of one process, as a table for `toml_text`. `platform`: its "ip:port"."""
+    """Returns the settings of one process for `toml_text`. `platform`: its "ip:port"."""
     core = [each for each in machines if each.role == "registrar"]
     router = machine.role == "router"
     return {
@@ -192,7 +192,7 @@
 
 
 def listen_addresses(machine: Machine, ports: Ports) -> dict[str, str]:
-    """Where the machine's role is called from outside."""
+    """Returns the external listen addresses of the machine's role."""
     if machine.role == "router":
         return {
             "FrontHttp": f"{machine.host}:{ports.front}",
@@ -202,13 +202,18 @@
 
 
 def configuration_for(version: int, store: str, slots: int = 4) -> dict[str, Any]:
-    """A configuration with a resumable and a plain streaming route, one service, a store, two tenants."""
+    """Returns a configuration: a resumable and a plain streaming route, a service, a store, two tenants."""
     route = {"Host": "lab.example", "Kind": "streaming", "TimeoutMs": 6000, "TargetLatencyMs": 600}
     route |= {"Service": "service", "PublicAccess": False, "StickySessions": True, "gap_aim_ms": 500}
     engine = {"CapacitySlots": slots, "CacheTokenCapacity": 50_000, "CacheTokenBytes": 100_000}
     engine |= {"LinkSpeedMbps": 100_000.0, "stride": 4, "ConcurrencyLimit": 12, "Models": [{"Name": "model"}]}
     service = {"Name": "service", "HealthPath": "/health", "ConnectionLimit": 64, "Protocol": "h1"}
-    kept = {"Name": "store", "CacheStoreAddress": store, "Zone": "zone-a", "CacheTokenCapacity": 1_000_000}
+    store_service = {
+        "Name": "store",
+        "CacheStoreAddress": store,
+        "Zone": "zone-a",
+        "CacheTokenCapacity": 1_000_000,
+    }
     return {
         "Version": version,
         "Routes": [
@@ -225,7 +230,7 @@
         ],
         "Services": [
             service | {"TransportSecurity": False, "Engine": engine},
-            kept | {"LinkSpeedMbps": 100_000.0, "ConcurrencyLimit": 12},
+            store_service | {"LinkSpeedMbps": 100_000.0, "ConcurrencyLimit": 12},
         ],
         "Limits": {
             "HeaderLimitBytes": 16384,
@@ -240,39 +245,41 @@
     }
 
 
-def classes_for(rate: float) -> list[Class]:
-    """Requests of both routes and both tenants, `rate` a second in all."""
-    host, part = "lab.example", rate / 3
+def classes_for(rate: float) -> list[RequestClass]:
+    """Returns classes for both routes and both tenants, `rate` requests/s in total."""
+    host, class_rate = "lab.example", rate / 3
     return [
-        Class("chat-open", host, "/chat/", part, resumable=True, key="key-open", tenant="open"),
-        Class("chat-walled", host, "/chat/", part, resumable=True, key="key-walled", tenant="walled"),
-        Class("once-open", host, "/once/", part, key="key-open", tenant="open"),
+        RequestClass("chat-open", host, "/chat/", class_rate, resumable=True, key="key-open", tenant="open"),
+        RequestClass(
+            "chat-walled", host, "/chat/", class_rate, resumable=True, key="key-walled", tenant="walled"
+        ),
+        RequestClass("once-open", host, "/once/", class_rate, key="key-open", tenant="open"),
     ]
 
 
 def exit_status(child: asyncio.subprocess.Process) -> int | None:
-    """The status with which the child has ended; None while it runs.
+    """Returns the exit status of the child; None while it runs.
 
-    `Popen.send_signal` polls first. A child that ended just then is reaped by it, and asyncio's watcher comes
-    too late and reports LOST_STATUS: Popen then has the true one.
+    `Popen.send_signal` polls first and may reap the child. asyncio's watcher then reports
+    UNKNOWN_EXIT_STATUS, and only Popen has the real status.
     """
-    if child.returncode != LOST_STATUS:
+    if child.returncode != UNKNOWN_EXIT_STATUS:
         return child.returncode
     popen = child._transport.get_extra_info("subprocess")  # type: ignore[attr-defined]
     return child.returncode if popen.returncode is None else popen.returncode
 
 
 class Process:
-    """A child process of the run; its output goes to a file beside its settings."""
+    """A child process of the run; its output goes to a file next to its settings."""
 
     def __init__(self, machine: Machine, directory: Path, sources: Path | None = None) -> None:
-        """`sources`: a checkout whose release it runs from its next start on; None: that of this process."""
+        """`sources`: checkout to run from the next start on; None: the code of this process."""
         self.machine, self.directory, self.sources = machine, directory, sources
         self.child: asyncio.subprocess.Process | None = None
 
     @property
     def log(self) -> Path:
-        """The file that its output goes to."""
+        """Path of its output file."""
         return self.directory / f"{self.machine.name}.log"
 
     async def start(self, settings: Mapping[str, Any]) -> None:
@@ -284,7 +291,7 @@
         environment = os.environ | {"PLUMLINE_BOOT": str(path)}
         working_directory = None
         if self.sources is not None:
-            # `-m` puts the working directory before PYTHONPATH, so it must be no checkout.
+            # `-m` puts the working directory before PYTHONPATH, so it must not be a checkout.
             environment["PYTHONPATH"], working_directory = str(self.sources), self.directory
         with self.log.open("ab") as out:
             self.child = await asyncio.create_subprocess_exec(
@@ -296,13 +303,13 @@
             )
 
     def check(self) -> None:
-        """Errors: NotStartedError, with the end of its output, if it has ended."""
+        """Checks that it runs. Errors: NotStartedError with the end of its output if it has exited."""
         if self.child and self.child.returncode is not None:
             tail = self.log.read_text(errors="replace")[-2000:]
             raise NotStartedError(f"{self.machine.name} ended with {self.child.returncode}:\n{tail}")
 
     async def stop(self) -> int:
-        """SIGTERM, and SIGKILL after the grace period; the exit status."""
+        """Sends SIGTERM, and SIGKILL after the grace period; returns the exit status."""
         if self.child is None:
             return 0
         if self.child.returncode is None:
@@ -314,9 +321,9 @@
             return await self.child.wait()
 
 
-async def ready(process: Process, address: str, patience: float = READY_S) -> None:
-    """Asks `GET /readiness` until it is 200. Errors: NotStartedError."""
-    deadline = time.monotonic() + patience
+async def wait_until_ready(process: Process, address: str, timeout_s: float = READY_TIMEOUT_S) -> None:
+    """Polls `GET /readiness` until it returns 200. Errors: NotStartedError."""
+    deadline = time.monotonic() + timeout_s
     while time.monotonic() < deadline:
         process.check()
         try:
@@ -325,22 +332,22 @@
         except CallError:
             pass
         await asyncio.sleep(0.1)
-    raise NotStartedError(f"{process.machine.name} was not ready within {patience} s")
+    raise NotStartedError(f"{process.machine.name} was not ready within {timeout_s} s")
 
 
 @asynccontextmanager
-async def surroundings(
+async def simulated_services(
     engines: int, speed: float, shape: Shape | None = None
 ) -> AsyncIterator[tuple[list[Engine], CacheStore, Platform]]:
-    """The stand-ins, listening; stopped at the end."""
+    """Runs the simulated endpoints, cache store and platform within the context."""
     async with AsyncExitStack() as stack:
         store, platform = CacheStore(), Platform()
         await store.server.start()
         stack.push_async_callback(store.server.stop)
         await platform.server.start()
         stack.push_async_callback(platform.server.stop)
-        like = shape or Shape()
-        found = [Engine(replace(like, zone=("zone-a", "zone-b")[n % 2]), speed) for n in range(engines)]
+        base_shape = shape or Shape()
+        found = [Engine(replace(base_shape, zone=("zone-a", "zone-b")[n % 2]), speed) for n in range(engines)]
         for engine in found:
             await engine.start()
             stack.push_async_callback(engine.stop)
@@ -357,12 +364,12 @@
     speed: float = 1.0,
     seed: int = 1,
 ) -> Result:
-    """The whole run: `rate` requests a second for `seconds`. Errors: NotStartedError, UnavailableError."""
+    """Runs `rate` requests/s for `seconds` seconds. Errors: NotStartedError, UnavailableError."""
     machines = machines_for(routers, registrars)
     ports = Ports.free(each.host for each in machines)
     with tempfile.TemporaryDirectory(prefix="plumline-lab-") as name:
         directory = Path(name)
-        async with surroundings(engines, speed) as (found, store, platform):
+        async with simulated_services(engines, speed) as (found, store, platform):
             processes = [Process(each, directory) for each in machines]
             exits: dict[str, int] = {}
             try:
@@ -370,7 +377,7 @@
                 for each in processes:
                     address = platform.server.address
                     await each.start(settings_for(each.machine, machines, ports, address, directory))
-                result = await _play(processes, ports, found, store, seconds, rate, seed, began)
+                result = await _run_traffic(processes, ports, found, store, seconds, rate, seed, began)
             finally:
                 ends = await asyncio.gather(*(each.stop() for each in processes))
                 exits = {each.machine.name: end for each, end in zip(processes, ends, strict=True)}
@@ -378,7 +385,7 @@
         return result
 
 
-async def _play(
+async def _run_traffic(
     processes: list[Process],
     ports: Ports,
     engines: list[Engine],
@@ -393,14 +400,14 @@
     operator = Operator([f"{each.machine.host}:{ports.control}" for each in core])
     document = configuration_for(1, store.server.address)
     try:
-        verdict = await operator.replace(document, 0)
+        reply = await operator.replace(document, 0)
     finally:
         for each in processes:
             each.check()
-    if not verdict.taken:
-        raise UnavailableError(f"the configuration was answered {verdict.status}: {verdict.body[:300]!r}")
+    if not reply.taken:
+        raise UnavailableError(f"the configuration was answered {reply.status}: {reply.body[:300]!r}")
     acknowledged = time.monotonic() - began
-    await asyncio.gather(*(ready(each, f"{each.machine.host}:{ports.readiness}") for each in edge))
+    await asyncio.gather(*(wait_until_ready(each, f"{each.machine.host}:{ports.readiness}") for each in edge))
     ready_s = time.monotonic() - began
     clients = Clients([f"{each.machine.host}:{ports.front}" for each in edge], classes_for(rate), seed)
     await clients.run(seconds)
@@ -413,7 +420,7 @@
 
 
 def table(result: Result) -> str:
-    """The result as plain text, one line a class."""
+    """Formats the result as text, one line per class."""
     names = sorted({name for tally in result.tallies.values() for name in tally.outcomes})
     heads = ["class", *names, "p50 ms", "p95 ms"]
     rows = [
--- a/plumline/lab/platform.py
+++ b/plumline/lab/platform.py
@@ -1,4 +1,4 @@
-"""The platform's list of endpoints: `GET /instances`, lagging, in pages, at a limited rate."""
+"""Simulated platform: lists endpoints by `GET /instances`, with a lag, in pages, at a limited rate."""
 
 import time
 from collections import deque
@@ -8,12 +8,15 @@
 from plumline.lab import Call, Clock, Server
 
 Entry = dict[str, Any]  # one of `Instances`
-Source = Callable[[], Mapping[str, Any]]  # an endpoint's entry as it is now
+Source = Callable[[], Mapping[str, Any]]  # returns an endpoint's current entry
 
 
 class Platform:
-    """`lag_ms`: how old the list is; `rate`: calls in a second from all callers, 429 beyond them;
-    `crashed_s`: how long a crashed endpoint stays listed. Times are of `clock`, in seconds."""
+    """The platform's instance list.
+
+    `lag_ms`: age of the list; `rate`: calls per second from all callers, 429 beyond; `crashed_s`: seconds
+    that a crashed endpoint stays listed. Times are in seconds of `clock`.
+    """
 
     def __init__(
         self,
@@ -28,37 +31,37 @@
         self.server = Server(self._handle)
         self._sources: dict[str, Source] = {}
         self._states: dict[str, str] = {}
-        self._crashed: dict[str, float] = {}  # id -> when it leaves the list
-        self._last: dict[str, Entry] = {}  # id -> its entry, as last seen
+        self._crashed: dict[str, float] = {}  # id -> time at which it leaves the list
+        self._last: dict[str, Entry] = {}  # id -> latest entry
         self._history: deque[tuple[float, list[Entry]]] = deque([(float("-inf"), [])])
         self._calls: deque[float] = deque()
 
     def add(self, source: Source) -> None:
-        """Lists an endpoint (by its `entry` method)."""
+        """Adds an endpoint; `source` is its `entry` method."""
         name = source()["Identifier"]
         self._sources[name], self._states[name] = source, "ready"
         self.refresh()
 
     def drain(self, name: str) -> None:
-        """It is to end: stays listed, as `draining`."""
+        """Marks an endpoint as `draining`; it stays listed."""
         self._states[name] = "draining"
         self.refresh()
 
     def end(self, name: str) -> None:
-        """It ended as planned: gone at once."""
+        """Removes an endpoint immediately, as after a planned end."""
         self._sources.pop(name, None)
         self._states.pop(name, None)
         self.refresh()
 
     def crash(self, name: str) -> None:
-        """It died: stays listed for `crashed_s` as it was last seen."""
+        """Marks an endpoint as crashed: its latest entry stays listed for `crashed_s`."""
         self._crashed[name] = self.clock() + self.crashed_s
         self.refresh()
 
     def refresh(self) -> None:
-        """Notes the list as it is now; also called before each answer."""
+        """Records the current list; also called before each response."""
         now = self.clock()
-        for name in [name for name, until in self._crashed.items() if until <= now]:
+        for name in [name for name, removed_at in self._crashed.items() if removed_at <= now]:
             del self._crashed[name]
             self._sources.pop(name, None)
             self._states.pop(name, None)
@@ -73,7 +76,7 @@
             self._history.popleft()
 
     def listed(self) -> list[Entry]:
-        """The list as it is shown now."""
+        """Returns the list that callers see, `lag_ms` old."""
         self.refresh()
         return self._history[0][1]
 
--- a/plumline/lab/soak/clients.py
+++ b/plumline/lab/soak/clients.py
@@ -11,7 +11,7 @@
 import h11
 
 from plumline.lab import CallError, fetch
-from plumline.lab.clients import Sent
+from plumline.lab.clients import SentRequest
 from plumline.lab.engine import body_hash
 from plumline.lab.soak.judge import RequestRecord
 
@@ -158,7 +158,7 @@
     def __init__(self, front: Front, rng: random.Random, route_timeout_s: float) -> None:
         self.front, self.rng, self.route_timeout_s = front, rng, route_timeout_s
         self.records: list[RequestRecord] = []
-        self.sent: dict[str, Sent] = {}
+        self.sent: dict[str, SentRequest] = {}
         self.outcomes: Counter[str] = Counter()
 
     async def run(self, until: float) -> None:
@@ -203,7 +203,7 @@
             ("Remaining-Milliseconds", str(int(patience_s * 1000))),
         ]
         resumable = path.startswith("/chat/")
-        self.sent[name] = Sent(name, "POST", path, body_hash(body), "open", resumable, "model")
+        self.sent[name] = SentRequest(name, "POST", path, body_hash(body), "open", resumable, "model")
         limit_s = min(patience_s, self.route_timeout_s)
         record = RequestRecord(name, connection.target, limit_s, time.monotonic())
         delay_s = rng.uniform(*SLOW_S) if rng.random() < SLOW_SHARE else 0.0
--- a/plumline/lab/soak/runner.py
+++ b/plumline/lab/soak/runner.py
@@ -23,9 +23,9 @@
     Process,
     configuration_for,
     machines_for,
-    ready,
     settings_for,
-    surroundings,
+    simulated_services,
+    wait_until_ready,
 )
 from plumline.lab.operator import Operator
 from plumline.lab.platform import Platform
@@ -105,7 +105,9 @@
         shape = Shape(slots=self.slots, queue=self.slots, connection_limit=4096, tokens_per_event=50)
         shape = replace(shape, slowdown_per_request=0.02, cache_tokens=20_000_000)
         async with AsyncExitStack() as stack:
-            engines, store, platform = await stack.enter_async_context(surroundings(ENGINES, 1.0, shape))
+            engines, store, platform = await stack.enter_async_context(
+                simulated_services(ENGINES, 1.0, shape)
+            )
             self.engines, self.platform, self.shape = engines, platform, shape
             self.document = soak_configuration(store.server.address, shape)
             stack.push_async_callback(self._stop_all)
@@ -127,7 +129,7 @@
             raise UnavailableError(f"the configuration was answered {verdict.status}: {verdict.body[:300]!r}")
         for each in self._of_role("router"):
             process = self.supervisors[each.name].process
-            await ready(process, f"{each.host}:{self.ports.readiness}", READY_S)
+            await wait_until_ready(process, f"{each.host}:{self.ports.readiness}", READY_S)
 
     def _process(self, machine: Machine) -> Process:
         return Process(machine, self.directory)
--- a/tests/lab_stand.py
+++ b/tests/lab_stand.py
@@ -1,4 +1,4 @@
-"""The lab's stand-ins for tests of them: started and stopped, asked, and what a client sent."""
+"""Helpers for tests of the lab's simulated services."""
 
 import asyncio
 import json
@@ -7,18 +7,18 @@
 from typing import Any
 
 from plumline.lab import Server, fetch
-from plumline.lab.clients import Sent
+from plumline.lab.clients import SentRequest
 from plumline.lab.engine import Engine, body_hash
 
-PATIENCE = 20.0  # s; only a failing test waits so long
+TIMEOUT_S = 20.0  # s; only a failing test takes that long
 SPEED = 1000.0
 BODY = b"prompt"
 PARTS = "aa:100,bb:50"
 
 
-def play(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
+def run_async(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
     def run() -> None:
-        asyncio.run(asyncio.wait_for(test(), PATIENCE))
+        asyncio.run(asyncio.wait_for(test(), TIMEOUT_S))
 
     run.__name__, run.__doc__ = test.__name__, test.__doc__
     return run
@@ -37,18 +37,18 @@
 
 
 async def ask(engine: Engine, name: str = "a1", **extra: str) -> tuple[int, dict[str, str], bytes]:
-    """A request; `extra` are headers, with _ for -."""
+    """Sends a request; `extra`: headers, with _ in place of -."""
     given = {"Attempt-Id": name, "Token-Counts": "150,16", "Prompt-Prefix": PARTS}
     given |= {key.replace("_", "-"): value for key, value in extra.items()}
-    return await fetch(engine.server.address, "POST", "/chat/1?x=2", list(given.items()), BODY, PATIENCE)
+    return await fetch(engine.server.address, "POST", "/chat/1?x=2", list(given.items()), BODY, TIMEOUT_S)
 
 
 async def order(engine: Engine, **fields: Any) -> int:  # noqa: ANN401
     body = {"Operation": "Version", "Model": "model", "Version": 2, "Method": "waiting"}
     body |= {"Holder": "n1", "FenceNumber": 5} | fields
-    plain = json.dumps({key: value for key, value in body.items() if value is not None}).encode()
-    return (await fetch(engine.server.address, "POST", "/order", body=plain))[0]
+    data = json.dumps({key: value for key, value in body.items() if value is not None}).encode()
+    return (await fetch(engine.server.address, "POST", "/order", body=data))[0]
 
 
-def sent(name: str = "a1", tenant: str = "", repeatable: bool = False) -> Sent:
-    return Sent(name, "POST", "/chat/1?x=2", body_hash(BODY), tenant, repeatable, "model")
+def sent(name: str = "a1", tenant: str = "", idempotent: bool = False) -> SentRequest:
+    return SentRequest(name, "POST", "/chat/1?x=2", body_hash(BODY), tenant, idempotent, "model")
--- a/tests/test_lab_engine.py
+++ b/tests/test_lab_engine.py
@@ -6,17 +6,17 @@
 
 import pytest
 
-from plumline.lab import CallError, GarbledAnswerError, fetch
-from plumline.lab.clients import whole_stream
+from plumline.lab import CallError, MalformedResponseError, fetch
+from plumline.lab.clients import is_complete_stream
 from plumline.lab.engine import Engine, Fault, Shape, body_hash
 from plumline.lab.judge import judge
 from plumline.lab.store import CachedBlock, CacheStore, PrefixCache
-from tests.lab_stand import BODY, SPEED, ask, order, play, sent, serving
+from tests.lab_stand import BODY, SPEED, ask, order, run_async, sent, serving
 
 # --- engine
 
 
-@play
+@run_async
 async def test_an_engine_streams_a_complete_response_and_records_the_run() -> None:
     engine = Engine(speed=SPEED)
     async with serving(engine):
@@ -25,7 +25,7 @@
         )
         assert (status, headers["attempt-id"], headers["versions"]) == (200, "a1", "1")
         assert headers["content-type"] == "text/event-stream"
-        assert whole_stream(body, body_hash(BODY))
+        assert is_complete_stream(body, body_hash(BODY))
         assert body.count(b"id: ") == 4  # 16 tokens, four an event
         (run,) = engine.runs
         assert (run.id, run.tenant, run.version, run.salt) == ("a1", "t", 1, "s")
@@ -33,7 +33,7 @@
         assert judge(engine.runs, {"a1": sent(tenant="t")}, [("a1", run.seal)]) == []
 
 
-@play
+@run_async
 async def test_another_instance_or_version_is_misdirected_and_not_run() -> None:
     engine = Engine(speed=SPEED)
     async with serving(engine):
@@ -47,7 +47,7 @@
         assert engine.runs == []
 
 
-@play
+@run_async
 async def test_a_full_engine_rejects_requests_and_admits_queued_ones_later() -> None:
     engine = Engine(Shape(slots=1, queue=1), SPEED)
     async with serving(engine), asyncio.TaskGroup() as group:
@@ -65,7 +65,7 @@
         assert [run.id for run in engine.runs] == ["a1", "a2"]
 
 
-@play
+@run_async
 async def test_a_preempted_stream_completes_after_the_more_urgent_request() -> None:
     engine = Engine(Shape(slots=1, queue=2), SPEED)
     async with serving(engine), asyncio.TaskGroup() as group:
@@ -74,13 +74,13 @@
             await engine.wait_until(lambda: len(engine.runs) == 1)
             fast = group.create_task(ask(engine, "fast", Priority="0"))
             await engine.wait_until(lambda: len(engine.runs) == 2)
-        assert whole_stream((await fast)[2], body_hash(BODY))
-        assert whole_stream((await slow)[2], body_hash(BODY))
+        assert is_complete_stream((await fast)[2], body_hash(BODY))
+        assert is_complete_stream((await slow)[2], body_hash(BODY))
         assert engine.counts["preempted"] == 1
         assert len(engine.runs) == 2
 
 
-@play
+@run_async
 async def test_a_request_larger_than_the_cache_is_rejected_as_if_full() -> None:
     engine = Engine(Shape(cache_tokens=100), SPEED)
     async with serving(engine):
@@ -88,7 +88,7 @@
         assert engine.runs == []
 
 
-@play
+@run_async
 async def test_a_closed_connection_cancels_its_request() -> None:
     engine = Engine(speed=SPEED)
     async with serving(engine):
@@ -99,7 +99,7 @@
         await engine.wait_until(lambda: engine.running == [])
 
 
-@play
+@run_async
 async def test_a_stream_is_resumed_after_the_last_event() -> None:
     engine = Engine(speed=SPEED)
     async with serving(engine):
@@ -116,11 +116,11 @@
         (Fault.RESET_BEFORE, CallError, 0),
         (Fault.RESET_AFTER, CallError, 1),
         (Fault.CUT, CallError, 1),
-        (Fault.SURPLUS, GarbledAnswerError, 1),
+        (Fault.SURPLUS, MalformedResponseError, 1),
     ],
 )
 def test_faults_that_break_the_response(fault: Fault, error: type[CallError], runs: int) -> None:
-    @play
+    @run_async
     async def test() -> None:
         engine = Engine(speed=SPEED)
         async with serving(engine):
@@ -134,7 +134,7 @@
     test()
 
 
-@play
+@run_async
 async def test_faults_with_a_complete_response() -> None:
     engine = Engine(speed=SPEED)
     async with serving(engine):
@@ -151,7 +151,7 @@
         assert (await ask(engine))[1]["connection"] == "close"
 
 
-@play
+@run_async
 async def test_connections_beyond_the_limit_are_reset() -> None:
     engine = Engine(Shape(connection_limit=1), SPEED)
     async with serving(engine), asyncio.TaskGroup() as group:
@@ -167,7 +167,7 @@
 # --- orders
 
 
-@play
+@run_async
 async def test_orders_are_validated() -> None:
     engine = Engine(speed=SPEED)
     async with serving(engine):
@@ -186,7 +186,7 @@
         assert (engine.models["model"], engine.sequence, engine.fence) == (2, 0, 0)
 
 
-@play
+@run_async
 async def test_waiting_method_finishes_runs_and_rejects_other_requests() -> None:
     engine = Engine(Shape(slots=1), SPEED)
     engine.latest_versions["model"] = 2
@@ -206,7 +206,7 @@
         assert (await ask(engine, "a4", Expect_Version="2"))[1]["versions"] == "2"
 
 
-@play
+@run_async
 async def test_cutover_method_resets_streams_and_keep_method_continues_them() -> None:
     engine = Engine(speed=SPEED)
     engine.latest_versions["model"] = 3
@@ -218,7 +218,7 @@
             await engine.wait_until(lambda: engine.updating_model is None)
         body = (await continued)[2]
         assert body.startswith(b"versions: 2\nid: 1\n")
-        assert whole_stream(body, body_hash(BODY))
+        assert is_complete_stream(body, body_hash(BODY))
         engine.pause_streams()
         cut = asyncio.ensure_future(ask(engine, "a2"))
         await engine.wait_until(lambda: len(engine.runs) == 2)
@@ -246,7 +246,7 @@
     assert (cache.cached_tokens, dict(cache.blocks)) == (0, {})
 
 
-@play
+@run_async
 async def test_cached_blocks_are_not_prefilled_again_under_the_same_salt() -> None:
     engine = Engine(speed=SPEED)
     engine.latest_versions["model"] = 2
@@ -263,7 +263,7 @@
         assert engine.runs[-1].prefilled_tokens == 150
 
 
-@play
+@run_async
 async def test_events_start_after_a_token_and_a_waiting_call_returns_new_events() -> None:
     # In real time: the event must end the call before its wait expires.
     engine = Engine(Shape(event_poll_limit=1))
@@ -294,7 +294,7 @@
         assert (response["Epoch"] != epoch, response["Lost"], response["NextToken"]) == (True, True, 0)
 
 
-@play
+@run_async
 async def test_blocks_pass_through_the_store_with_the_version_that_produced_them() -> None:
     store, one, two = CacheStore(), Engine(speed=SPEED), Engine(speed=SPEED)
     two.models["model"] = two.latest_versions["model"] = 2
--- a/tests/test_lab_judge.py
+++ b/tests/test_lab_judge.py
@@ -1,14 +1,14 @@
-"""The lab's clients and its judge: what they ask again, and which rule they find broken."""
+"""The lab's clients and judge: which requests are retried, and which broken rules are found."""
 
 from dataclasses import replace
 from typing import Any
 
 import pytest
 
-from plumline.lab.clients import Class, Clients, whole_stream
+from plumline.lab.clients import Clients, RequestClass, is_complete_stream
 from plumline.lab.engine import Engine, Fault, Order, Run, body_hash
 from plumline.lab.judge import judge, judge_orders
-from tests.lab_stand import BODY, SPEED, play, sent, serving
+from tests.lab_stand import BODY, SPEED, run_async, sent, serving
 
 # --- the judge
 
@@ -31,7 +31,7 @@
     [
         ([run_of("a1")], []),
         ([run_of("a1"), run_of("a1")], ["TWICE"]),
-        ([run_of("a2"), run_of("a2")], []),  # may be repeated
+        ([run_of("a2"), run_of("a2")], []),  # idempotent
         ([run_of("b1")], ["UNASKED"]),
         ([run_of("a1", target="/other")], ["UNASKED"]),
         ([run_of("a1", body_hash="0")], ["UNASKED"]),
@@ -42,12 +42,12 @@
         ([run_of("a1", reused=(("u", 1),))], []),  # neither is isolated
     ],
 )
-def test_the_judge_names_the_rule(runs: list[Run], rules: list[str]) -> None:
-    known = {"a1": sent("a1"), "a2": sent("a2", repeatable=True)}
+def test_the_judge_reports_the_broken_rule(runs: list[Run], rules: list[str]) -> None:
+    known = {"a1": sent("a1"), "a2": sent("a2", idempotent=True)}
     assert [breach.rule for breach in judge(runs, known, isolated=["t"])] == rules
 
 
-def test_the_judge_finds_answers_of_no_run() -> None:
+def test_the_judge_finds_responses_without_a_run() -> None:
     known = {"a1": sent("a1")}
     assert [breach.rule for breach in judge([run_of("a1")], known, [("a1", "other")])] == ["MIXED"]
 
@@ -69,8 +69,8 @@
 # --- clients
 
 
-ONCE = Class("once", "h", "/once/", 10)
-CHAT = Class("chat", "h", "/chat/", 10, resumable=True)
+ONCE = RequestClass("once", "h", "/once/", 10)
+CHAT = RequestClass("chat", "h", "/chat/", 10, resumable=True)
 
 
 @pytest.mark.parametrize(
@@ -87,17 +87,17 @@
         (ONCE, Fault.SURPLUS, "garbled", 1),
     ],
 )
-def test_a_client_tries_again_only_where_it_may(
-    kind: Class, fault: Fault | None, outcome: str, tries: int
+def test_a_client_retries_only_where_it_may(
+    kind: RequestClass, fault: Fault | None, outcome: str, tries: int
 ) -> None:
-    @play
+    @run_async
     async def test() -> None:
         engine = Engine(speed=SPEED)
         if fault:
             engine.inject(fault)
         async with serving(engine):
             clients = Clients([engine.server.address], [kind])
-            assert await clients.ask(kind) == outcome
+            assert await clients.send_request(kind) == outcome
             assert len(clients.sent) == tries
             assert judge(engine.runs, clients.sent, clients.answers) == []
             assert len(clients.tallies[kind.name].first_ms) == (outcome == "in-time")
@@ -105,15 +105,15 @@
     test()
 
 
-@pytest.mark.parametrize("limits", [{"gap_ms": 0}, {"objective_ms": 0}])
-def test_an_answer_with_a_late_start_or_a_long_pause_is_late(limits: dict[str, float]) -> None:
-    @play
+@pytest.mark.parametrize("limits", [{"max_gap_ms": 0}, {"objective_ms": 0}])
+def test_a_response_with_a_late_start_or_a_long_gap_is_late(limits: dict[str, float]) -> None:
+    @run_async
     async def test() -> None:
         engine = Engine(speed=SPEED)
         kind = replace(CHAT, **limits)
-        engine.shape.token_ms = 1000  # a ms of real time between events, so that none come together
+        engine.shape.token_ms = 1000  # 1 ms of real time between events, so that no two arrive together
         async with serving(engine):
-            assert await Clients([engine.server.address], [kind]).ask(kind) == "late"
+            assert await Clients([engine.server.address], [kind]).send_request(kind) == "late"
 
     test()
 
@@ -125,9 +125,9 @@
     assert 1800 < len(plan) < 2200
 
 
-def test_a_stream_that_misses_or_repeats_a_piece_is_not_whole() -> None:
-    pieces = [f"id: {n}\ndata: d.{n}/3\n\n" for n in (1, 2, 3)]
-    assert whole_stream("".join(pieces).encode(), "d")
-    for wrong in (pieces[:2], pieces[1:], [pieces[0], *pieces], [pieces[1], pieces[0], pieces[2]], []):
-        assert not whole_stream("".join(wrong).encode(), "d")
-    assert not whole_stream("".join(pieces).encode(), "e")
+def test_a_stream_with_a_missing_or_repeated_event_is_incomplete() -> None:
+    events = [f"id: {n}\ndata: d.{n}/3\n\n" for n in (1, 2, 3)]
+    assert is_complete_stream("".join(events).encode(), "d")
+    for wrong in (events[:2], events[1:], [events[0], *events], [events[1], events[0], events[2]], []):
+        assert not is_complete_stream("".join(wrong).encode(), "d")
+    assert not is_complete_stream("".join(events).encode(), "e")
--- a/tests/test_lab_operator.py
+++ b/tests/test_lab_operator.py
@@ -1,4 +1,4 @@
-"""The lab's platform and its operator by themselves."""
+"""The simulated platform and operator."""
 
 import json
 from typing import Any
@@ -9,13 +9,13 @@
 from plumline.lab import Call, CallError, Server, fetch
 from plumline.lab.operator import Operator
 from plumline.lab.platform import Platform
-from tests.lab_stand import play, serving
+from tests.lab_stand import run_async, serving
 
 # --- platform
 
 
-class Hand:
-    """A clock that is set by hand."""
+class ManualClock:
+    """A clock that the test advances."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -24,15 +24,15 @@
         return self.now
 
 
-def listing(names: list[str], clock: Hand, **more: Any) -> Platform:  # noqa: ANN401
+def listing(names: list[str], clock: ManualClock, **more: Any) -> Platform:  # noqa: ANN401
     platform = Platform(clock=clock, **more)
     for number, name in enumerate(names):
         platform.add(lambda name=name, zone=f"z{number % 2}": {"Identifier": name, "Zone": zone})
     return platform
 
 
-def test_the_list_lags_drains_and_keeps_the_crashed() -> None:
-    clock = Hand()
+def test_the_list_lags_and_shows_draining_and_crashed_endpoints() -> None:
+    clock = ManualClock()
     platform = listing(["a", "b", "c"], clock, lag_ms=300, crashed_s=5)
     assert platform.listed() == []
     clock.now += 0.3
@@ -49,9 +49,9 @@
     assert [entry["Identifier"] for entry in platform.listed()] == ["c"]
 
 
-@play
+@run_async
 async def test_the_list_comes_in_pages_by_zone_at_a_limited_rate() -> None:
-    clock = Hand()
+    clock = ManualClock()
     platform = listing(["a", "b", "c"], clock, lag_ms=0, page=2, rate=3)
 
     async def ask_list(query: str) -> tuple[int, list[str], str | None]:
@@ -75,7 +75,7 @@
 
 
 class Scripted(Server):
-    """Answers in turn with the given (status, headers); None resets. The last one stays."""
+    """Responds with each (status, headers) in turn, None resets the connection; repeats the last one."""
 
     def __init__(self, *script: tuple[int, list[tuple[str, str]]] | None) -> None:
         super().__init__(self._handle)
@@ -89,23 +89,23 @@
         call.answer(step[0], b"{}", step[1])
 
 
-async def at_once(_seconds: float) -> None:
-    """The operator's pause, skipped."""
+async def no_sleep(_seconds: float) -> None:
+    """Replaces the operator's sleep; returns immediately."""
 
 
-@play
-async def test_the_operator_moves_on_until_a_clear_answer() -> None:
+@run_async
+async def test_the_operator_tries_other_addresses_until_a_definite_response() -> None:
     one = Scripted(None, (429, []))
     two = Scripted((503, []), (200, []))
     async with serving(one, two):
-        verdict = await Operator([one.address, two.address], pause=at_once).replace({"Version": 3}, 2)
-        assert (verdict.taken, verdict.tries) == (True, 4)
+        verdict = await Operator([one.address, two.address], sleep=no_sleep).replace({"Version": 3}, 2)
+        assert (verdict.taken, verdict.attempts) == (True, 4)
         assert {each for server in (one, two) for each in server.calls} == {
             ("/Configuration.Replace", "2", b'{"Version": 3}')
         }
 
 
-@play
+@run_async
 async def test_the_operator_follows_two_redirects() -> None:
     last = Scripted((200, []))
     async with serving(last):
@@ -113,32 +113,32 @@
         async with serving(middle):
             first = Scripted((307, [("Location", f"http://{middle.address}/a")]))
             async with serving(first):
-                assert (await Operator([first.address], pause=at_once).version_put("m", 2)).tries == 1
+                assert (await Operator([first.address], sleep=no_sleep).version_put("m", 2)).attempts == 1
                 assert last.calls[0][0] == "/b"
                 over = Scripted((307, [("Location", f"http://{first.address}/c")]), (200, []))
                 async with serving(over):
-                    assert (await Operator([over.address], pause=at_once).version_put("m", 2)).tries == 2
+                    assert (await Operator([over.address], sleep=no_sleep).version_put("m", 2)).attempts == 2
 
 
-@pytest.mark.parametrize(("status", "tries"), [(400, 1), (409, 1), (412, 1), (413, 1), (422, 1), (404, 3)])
-def test_the_operator_stops_at_a_refusal(status: int, tries: int) -> None:
-    @play
+@pytest.mark.parametrize(("status", "attempts"), [(400, 1), (409, 1), (412, 1), (413, 1), (422, 1), (404, 3)])
+def test_the_operator_stops_at_a_refusal(status: int, attempts: int) -> None:
+    @run_async
     async def test() -> None:
         server = Scripted((status, []))
         async with serving(server):
-            verdict = await Operator([server.address], pause=at_once).amend({}, 0)
-            assert (verdict.status, verdict.tries) == (status, tries)
+            verdict = await Operator([server.address], sleep=no_sleep).amend({}, 0)
+            assert (verdict.status, verdict.attempts) == (status, attempts)
 
     test()
 
 
-@play
-async def test_the_operator_gives_up_when_its_patience_ends() -> None:
-    server, clock = Scripted((503, [])), Hand()
+@run_async
+async def test_the_operator_gives_up_after_its_timeout() -> None:
+    server, clock = Scripted((503, [])), ManualClock()
 
-    async def pause(seconds: float) -> None:
+    async def sleep(seconds: float) -> None:
         clock.now += seconds
 
     async with serving(server):
         with pytest.raises(UnavailableError):
-            await Operator([server.address], patience=5, pause=pause, clock=clock).read()
+            await Operator([server.address], timeout_s=5, sleep=sleep, clock=clock).read()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from plumline.lab.local import LOST_STATUS, exit_status
+from plumline.lab.local import UNKNOWN_EXIT_STATUS, exit_status
 from plumline.lab.soak.faults import Fault, FaultPeriod, draw_faults
 from plumline.lab.soak.judge import Evidence, RequestRecord, Shutdown, is_lost, judge_lost
 from plumline.lab.soak.plan import Action, draw_plan
@@ -161,6 +161,6 @@
             time.sleep(0.001)
         await child.wait()
         assert exit_status(child) == 3
-        assert child.returncode in (3, LOST_STATUS)
+        assert child.returncode in (3, UNKNOWN_EXIT_STATUS)
 
     asyncio.run(work())
