--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -306,7 +306,7 @@
     sent = {name: SimpleNamespace(tenant=tenant) for name, tenant in (("a", "library"), ("b", "flooder"))}
     run: Any = SimpleNamespace(id="a")
     answers = [("a", "seal"), ("b", "seal")]
-    assert [flood.not_once([run] * n, sent, answers) for n in range(3)] == [1, 0, 1]  # type: ignore[arg-type]
+    assert [flood.count_not_run_once([run] * n, sent, answers) for n in range(3)] == [1, 0, 1]  # type: ignore[arg-type]
 
 
 def test_an_engine_that_reads_in_turn_reads_the_most_urgent_first() -> None:
@@ -320,16 +320,16 @@
             await self.gates[-1].wait()
 
     async def work() -> None:
-        engine = Engine(Shape(in_turn=True))
+        engine = Engine(Shape(serial_prefill=True))
         engine.pace = pace = ManualPace()
         order: list[int] = []
 
         async def read(priority: int) -> None:
-            await engine.read(priority, 100)
+            await engine.prefill(priority, 100)
             order.append(priority)
 
         tasks = [asyncio.create_task(read(each)) for each in (7, 9, 3, 5)]
-        while len(engine.readers) < 3:
+        while len(engine.prefill_queue) < 3:
             await asyncio.sleep(0)
         tasks[3].cancel()  # its client has disconnected
         for n in range(3):
@@ -337,7 +337,7 @@
                 await asyncio.sleep(0)
             pace.gates[n].set()
         await asyncio.gather(*tasks, return_exceptions=True)
-        assert order == [7, 3, 9] and not engine.reading
+        assert order == [7, 3, 9] and not engine.prefilling
 
     run_with_timeout(work())
 
