--- a/plumline/registrar/service_load.py
+++ b/plumline/registrar/service_load.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterable
 from typing import Any
 
-from plumline.routing.reserved_quota import summed
+from plumline.routing.reserved_quota import sum_demand_reports
 
 #: By service: ms of endpoints' time a second for short and for long requests; then, where shares are
-#: reserved, what the tenants ask for (routing.shares.Told).
+#: reserved, what the tenants ask for (routing.reserved_quota.DemandReport).
 ServiceLoads = dict[str, list[Any]]
 
 ROUNDED_DIGITS = 1  # of ms a second
@@ -34,6 +34,6 @@
             if demand:
                 demands.setdefault(service, []).append(demand[0])
     for service, reported in demands.items():
-        if (demand := summed(reported)) is not None:
+        if (demand := sum_demand_reports(reported)) is not None:
             totals[service].append(demand)
     return totals
--- a/plumline/router/admission.py
+++ b/plumline/router/admission.py
@@ -8,7 +8,7 @@
 from plumline.router.relay import Headers, request_headers, value_of
 from plumline.router.router_state import RouterState
 from plumline.routing.prefix_homes import OUTPUT_WEIGHT, is_long
-from plumline.routing.reserved_quota import Standing, priority
+from plumline.routing.reserved_quota import QuotaStatus, priority
 from plumline.wire.exchange import Exchange
 from plumline.wire.http import decimal
 
@@ -46,7 +46,7 @@
     forwarded_headers: Headers  # sent with every attempt
     deadline: float  # monotonic s at which the client or the route gives up
     prompt: Prompt
-    standing: Standing  # of the tenant against its reserved share
+    quota_status: QuotaStatus  # of the tenant against its reserved share
     priority: int
 
     @property
@@ -99,9 +99,9 @@
     shortest_target_ms = router.shortest_latency_targets.get(service, route.latency_target_ms)
     prompt = read_prompt(exchange.headers, shortest_target_ms, read_rate)
     cost_ms = prompt.tokens / read_rate, prompt.output_ms
-    standing = router.shares.ask(now, service, owner_of(tenant), cost_ms, fleet.routers)
-    if standing.refused:
-        return Denial(429, "over-share", standing.wait)
+    quota_status = router.quotas.check(now, service, owner_of(tenant), cost_ms, fleet.routers)
+    if quota_status.refused:
+        return Denial(429, "over-share", quota_status.retry_after_s)
     return Request(
         exchange=exchange,
         id=request_id,
@@ -114,9 +114,9 @@
         forwarded_headers=forwarded_headers(exchange.headers, tenant),
         deadline=deadline,
         prompt=prompt,
-        standing=standing,
+        quota_status=quota_status,
         # Short prompts go before long ones: they delay long ones little, but would be delayed much.
-        priority=priority(priority_rank(route, tenant), prompt.long, MAX_PRIORITY_RANK, standing),
+        priority=priority(priority_rank(route, tenant), prompt.long, MAX_PRIORITY_RANK, quota_status),
     )
 
 
--- a/plumline/router/attempt.py
+++ b/plumline/router/attempt.py
@@ -49,7 +49,9 @@
     if not prompt.long:
         load.unread += picked.candidate.missing
     read_ms = expected_ms(without_load(picked.candidate))
-    router.shares.sent(request.service, request.owner, prompt.tokens / picked.candidate.read_rate, read_ms)
+    router.quotas.record_send(
+        request.service, request.owner, prompt.tokens / picked.candidate.read_rate, read_ms
+    )
     if homes := router.prefix_homes.get(request.service):
         homes.work.add(router.clock(), read_ms + prompt.output_ms, prompt.long)
     attempt = Attempt(selection, picked, load, call)
@@ -360,7 +362,7 @@
         if status < 500 and status not in NOT_RUN_STATUSES:
             return None if not progress.response_started else Proof.NOT_RUN
         self.count("turned-away")
-        router.shares.ended(request.service, True)
+        router.quotas.record_outcome(request.service, True)
         wait_s = parse_retry_after(value_of(headers, b"retry-after"))
         router.outcomes.refused(self.call, now, wait_s)
         progress.retry_after_s = (
@@ -453,7 +455,9 @@
         took_ms = (now - self.sent_at) * 1000
         excess_ms = took_ms - expected_ms(self.candidate)
         self.load.first_piece(now, excess_ms)
-        self.router.shares.ended(self.request.service, excess_ms > self.request.route.latency_target_ms / 2)
+        self.router.quotas.record_outcome(
+            self.request.service, excess_ms > self.request.route.latency_target_ms / 2
+        )
         if self.request.prompt.long:
             report_if_late(self.router, self.request, self.candidate, now, took_ms)
 
--- a/plumline/router/request_handler.py
+++ b/plumline/router/request_handler.py
@@ -11,7 +11,7 @@
 from plumline.router.router_state import RouterState
 from plumline.router.selection import EndpointChoice, Selection
 from plumline.routing.mechanisms import MECHANISMS
-from plumline.routing.reserved_quota import CALM
+from plumline.routing.reserved_quota import NOT_IN_SURGE
 from plumline.wire.exchange import Exchange
 
 #: Share of the latency target that a request may wait, in total, while other prompts with its shared part are
@@ -34,7 +34,7 @@
         self.router, self.exchange = router, exchange
         self.id = value_of(exchange.headers, b"attempt-id")
         self.progress = Progress()
-        self.standing = CALM
+        self.quota_status = NOT_IN_SURGE
         self.timer: asyncio.TimerHandle | None = None
         self.reading_wait_began_at: float | None = None  # monotonic s
         self.finished = False  # the final answer was sent, or none will be
@@ -53,7 +53,7 @@
             if isinstance(admitted, Denial):
                 self.answer(admitted.status, admitted.name, admitted.retry_after_s)
                 return
-            self.standing = admitted.standing
+            self.quota_status = admitted.quota_status
             exchange.on_gone = self.on_client_gone
             progress.client_left = exchange.gone
             left = admitted.deadline - self.router.clock()
@@ -186,7 +186,7 @@
             self.count("cut")
             self.exchange.abort()
         elif progress.quota_exceeded and not progress.may_have_run:
-            self.answer(429, "over-share", self.standing.wait)
+            self.answer(429, "over-share", self.quota_status.retry_after_s)
         elif not progress.may_have_run:
             least, most = RETRY_AFTER_RANGE_S
             self.answer(503, "refused", min(max(progress.retry_after_s, least), most))
--- a/plumline/router/router_state.py
+++ b/plumline/router/router_state.py
@@ -26,7 +26,7 @@
 from plumline.routing.outcomes import Outcomes, store_key
 from plumline.routing.prefix_homes import PrefixHomes
 from plumline.routing.read_rates import ServiceReadRates
-from plumline.routing.reserved_quota import Shares
+from plumline.routing.reserved_quota import ReservedQuotas
 from plumline.routing.rollout_evidence import RolloutEvidence
 from plumline.routing.rollout_report import AnswerTally, ServiceReport
 from plumline.routing.version_gate import VersionGate
@@ -96,7 +96,7 @@
         self.publish_prompt_event: Callable[[list[Any]], None] = lambda _: None
         self.stores: dict[str, StoreStatus] = {}  # by name, as the core reports them
         self.versions = NamedVersions(self.named_versions, bounds.version_apply_ms / 1000)
-        self.shares = Shares(self.log_surge)
+        self.quotas = ReservedQuotas(self.log_surge)
         self.version_gate = VersionGate(clock)
         self.rollout_evidence = RolloutEvidence()
         self.shortest_latency_targets: dict[str, float] = {}  # ms, by service
@@ -139,7 +139,7 @@
         """Applies a new configuration."""
         table = self.fleet.table
         self.versions.look(self.clock())
-        self.shares.set_reserved(table.reserved_shares if table else {})
+        self.quotas.set_reserved(table.reserved_shares if table else {})
         self.shortest_latency_targets = table.shortest_latency_targets() if table else {}
         self.update_version_traffic()
         self.update_usable_endpoints()
@@ -195,7 +195,7 @@
             ]
             self.prefix_homes.setdefault(service, PrefixHomes()).set_endpoints(usable)
             counts[service] = len(usable)
-        self.shares.set_endpoints(counts)
+        self.quotas.set_endpoints(counts)
         self.prefix_homes = {
             name: each for name, each in self.prefix_homes.items() if name in self.endpoints_by_service
         }
@@ -221,7 +221,7 @@
         found: dict[str, list[Any]] = {}
         for name, each in self.prefix_homes.items():
             found[name] = [round(rate, 1) for rate in each.work.rates(now)]
-            if (demand := self.shares.demand(now, name)) is not None:
+            if (demand := self.quotas.demand_report(now, name)) is not None:
                 found[name].append(demand)
         return found
 
@@ -229,7 +229,7 @@
         """Applies the whole fleet's work by service."""
         for name, (_, _, *demand) in work.items():
             if demand:
-                self.shares.take(self.clock(), name, demand[0])
+                self.quotas.set_fleet_report(self.clock(), name, demand[0])
 
     def log_surge(self, service: str, on: bool, times: float) -> None:
         """Logs the start or the end of a service's surge; `times`: demand as a multiple of its capacity."""
--- a/plumline/router/selection.py
+++ b/plumline/router/selection.py
@@ -312,7 +312,7 @@
         at the cheapest endpoint."""
         request = self.request
         rejected = (
-            request.standing.over
+            request.quota_status.over_quota
             and expected_ms(best) > request.route.latency_target_ms
             and not self.progress.attempts
         )
--- a/plumline/routing/reserved_quota.py
+++ b/plumline/routing/reserved_quota.py
@@ -98,7 +98,7 @@
     return False
 
 
-def summed(reports: Iterable[Any], most: int = MAX_SUMMED_TENANTS) -> DemandReport | None:
+def sum_demand_reports(reports: Iterable[Any], most: int = MAX_SUMMED_TENANTS) -> DemandReport | None:
     """The sum of the routers' reports, without those that are malformed; None if no report is valid."""
     sums: dict[str, float] = {}
     rest, others, found = 0.0, 0, False
@@ -162,33 +162,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class QuotaStatus:
     """How a request relates to its tenant's quota."""
 
     surge: float = 0.0  # demand on its service divided by the capacity; 0 if the capacity isn't exceeded
-    surging: bool = False  # its tenant's demand is above its ceiling
-    over: bool = False  # and its bucket is empty
-    wait: float = 0.0  # seconds until the bucket has tokens again, if it is empty
+    above_ceiling: bool = False  # its tenant's demand is above its ceiling
+    over_quota: bool = False  # and its bucket is empty
+    retry_after_s: float = 0.0  # seconds until the bucket has tokens again, if it is empty
 
     @property
     def refused(self) -> bool:
         """Whether it is refused at once: over its share, and the surge reaches REFUSAL_SURGE."""
-        return self.over and self.surge >= REFUSAL_SURGE
+        return self.over_quota and self.surge >= REFUSAL_SURGE
 
 
-CALM = Standing()
+NOT_IN_SURGE = QuotaStatus()
 
 
-def priority(rank: int, long: bool, max_rank: int, standing: Standing) -> int:
+def priority(rank: int, long: bool, max_rank: int, quota_status: QuotaStatus) -> int:
     """The priority at the endpoint, 0 first.
 
     In a surge, requests of tenants within their ceiling come first, then what other tenants may use, then
     what is over their share; within each of these, short requests before long ones, then by rank.
     """
-    if not standing.surge:
+    if not quota_status.surge:
         return rank + (max_rank + 1) * long
-    if standing.surging:
-        return 2 * SURGE_RANKS + 2 * standing.over + long
+    if quota_status.above_ceiling:
+        return 2 * SURGE_RANKS + 2 * quota_status.over_quota + long
     return min(rank, SURGE_RANKS - 1) + SURGE_RANKS * long
 
 
@@ -264,7 +264,7 @@
         return self.capacity * self.capacity_factor
 
 
-class Shares:
+class ReservedQuotas:
     """The quotas of all services at one router.
 
     `on_surge(service, whether a surge is on, demand divided by capacity)` is called when one begins and ends.
@@ -291,13 +291,15 @@
         for name, count in usable.items():
             self.services[name].capacity = count * 1000.0 * TARGET_UTILIZATION
 
-    def ask(self, now: float, service: str, tenant: str, ms: tuple[float, float], routers: int) -> Standing:
-        """Counts a new request and returns its standing.
+    def check(
+        self, now: float, service: str, tenant: str, ms: tuple[float, float], routers: int
+    ) -> QuotaStatus:
+        """Counts a new request and returns how it relates to its tenant's quota.
 
         `ms`: of reading its whole prompt, and of all its other work.
         """
         if not self.reserved or (quota := self.services.get(service)) is None:
-            return CALM
+            return NOT_IN_SURGE
         account = quota.accounts.get(tenant)
         if account is None:
             account = quota.accounts[tenant] = Account()
@@ -307,21 +309,21 @@
             quota.divide(now, self.reserved, routers)
             self.report_surge(now, service, quota)
         if not quota.surge:
-            return CALM
+            return NOT_IN_SURGE
         ceiling = max(self.reserved.get(tenant, 0.0) * quota.capacity * quota.capacity_factor, quota.level)
         demand = quota.fleet_demand(tenant, own, routers, self.reserved)
         if demand <= ceiling:
-            return Standing(quota.surge)
+            return QuotaStatus(quota.surge)
         wait = account.spend(now, work, ceiling * min(own / demand, 1.0))
-        return Standing(quota.surge, True, wait > 0, max(wait, MIN_RETRY_AFTER_S) if wait else 0.0)
+        return QuotaStatus(quota.surge, True, wait > 0, max(wait, MIN_RETRY_AFTER_S) if wait else 0.0)
 
-    def sent(self, service: str, tenant: str, prompt_ms: float, read_ms: float) -> None:
+    def record_send(self, service: str, tenant: str, prompt_ms: float, read_ms: float) -> None:
         """Counts a request sent to an endpoint that has to read `read_ms` of its `prompt_ms`."""
         if self.reserved and prompt_ms and (quota := self.services.get(service)):
             if account := quota.accounts.get(tenant):
                 account.read_ratio += (min(read_ms / prompt_ms, 1.0) - account.read_ratio) * READ_RATIO_WEIGHT
 
-    def ended(self, service: str, strained: bool) -> None:
+    def record_outcome(self, service: str, strained: bool) -> None:
         """Counts a send whose first piece has come, or that an endpoint refused as full.
 
         `strained`: it was refused, or its first piece was late.
@@ -338,7 +340,7 @@
             self.surging_services.discard(service)
             self.on_surge(service, False, 0.0)
 
-    def demand(self, now: float, service: str) -> DemandReport | None:
+    def demand_report(self, now: float, service: str) -> DemandReport | None:
         """This router's report for its heartbeats; None where nothing is reserved."""
         if not self.reserved or (quota := self.services.get(service)) is None:
             return None
@@ -351,7 +353,7 @@
             {name: rate for name, rate in rates.items() if rate >= 0.1}, MAX_REPORTED_TENANTS
         )
 
-    def take(self, now: float, service: str, report: Any) -> None:  # noqa: ANN401
+    def set_fleet_report(self, now: float, service: str, report: Any) -> None:  # noqa: ANN401
         """Stores the fleet's report from a registrar's heartbeat."""
         quota = self.services.get(service)
         if quota is not None and self.reserved and is_demand_report(report):
--- a/tests/test_reserved_quota.py
+++ b/tests/test_reserved_quota.py
@@ -11,15 +11,15 @@
 
 from plumline.routing import reserved_quota
 from plumline.routing.reserved_quota import (
-    CALM,
+    NOT_IN_SURGE,
     Account,
-    Shares,
-    Standing,
+    QuotaStatus,
+    ReservedQuotas,
     demand_report,
     is_demand_report,
     max_min_allocation,
     priority,
-    summed,
+    sum_demand_reports,
 )
 
 ASKED = st.dictionaries(st.sampled_from("abcdefgh"), st.floats(0, 5000), max_size=8)
@@ -95,11 +95,11 @@
 
 
 def test_priorities_in_a_surge_order_by_share_then_length_then_rank() -> None:
-    without_surge = [priority(rank, long, 4, CALM) for long in (False, True) for rank in range(5)]
+    without_surge = [priority(rank, long, 4, NOT_IN_SURGE) for long in (False, True) for rank in range(5)]
     assert without_surge == list(range(10))
     tiers = [
         [
-            priority(rank, long, 4, Standing(1.5, surging, over, 0.3 * over))
+            priority(rank, long, 4, QuotaStatus(1.5, surging, over, 0.3 * over))
             for long in (False, True)
             for rank in range(5)
         ]
@@ -154,9 +154,9 @@
 def test_reports_of_routers_are_summed_and_malformed_ones_are_ignored() -> None:
     reports = [[{"a": 10.0, "b": 1}, 5.0, 2], [{"a": 20.5}, 1.0, 7]]
     malformed = ["x", [{"a": "1"}, 0, 0], [{"a": math.nan}, 0, 0], [{"a": -1.0}, 0, 0]]
-    assert summed([*malformed, *reports]) == [{"a": 30.5, "b": 1.0}, 6.0, 7]
-    assert summed(["x", None, [{}, -1.0, 0], [{}, 0, True]]) is None
-    many = summed([[{f"{router}-{n}": 1.0 for n in range(16)}, 0.0, 0] for router in range(10)])
+    assert sum_demand_reports([*malformed, *reports]) == [{"a": 30.5, "b": 1.0}, 6.0, 7]
+    assert sum_demand_reports(["x", None, [{}, -1.0, 0], [{}, 0, True]]) is None
+    many = sum_demand_reports([[{f"{router}-{n}": 1.0 for n in range(16)}, 0.0, 0] for router in range(10)])
     assert many is not None and is_demand_report(many)
     assert len(many[0]) == reserved_quota.MAX_SUMMED_TENANTS and many[1:] == [96.0, 96]
 
@@ -171,7 +171,7 @@
         self, count: int, reserved: dict[str, float], reporting: bool = True, endpoints: int = 2
     ) -> None:
         self.now, self.reporting, self.reported_at = 1000.0, reporting, 0.0
-        self.each = [Shares() for _ in range(count)]
+        self.each = [ReservedQuotas() for _ in range(count)]
         for each in self.each:
             each.set_endpoints({"s": endpoints})
             each.set_reserved(reserved)
@@ -181,16 +181,16 @@
         self.over_share: dict[str, float] = Counter()  # ms of requests that were sent although over the share
         self.chance = random.Random(5)
 
-    def ask(self, router: int, tenant: str, ms: float) -> Standing:
+    def ask(self, router: int, tenant: str, ms: float) -> QuotaStatus:
         each = self.each[router]
-        found = each.ask(self.now, "s", tenant, (ms, 0.0), len(self.each))
+        found = each.check(self.now, "s", tenant, (ms, 0.0), len(self.each))
         if found.refused:
             self.refused[tenant] += 1
-        elif found.over:
+        elif found.over_quota:
             self.over_share[tenant] += ms
         else:
             self.admitted[tenant] += ms
-            each.sent("s", tenant, ms, ms)
+            each.record_send("s", tenant, ms, ms)
         return found
 
     def run(self, seconds: float, rates: dict[str, float], ms: float, to: Callable[[], int]) -> None:
@@ -204,9 +204,9 @@
             self.ask(to(), tenant, ms)
             if self.reporting and self.now - self.reported_at >= 1.0:
                 self.reported_at = self.now
-                demand = summed(each.demand(self.now, "s") for each in self.each)
+                demand = sum_demand_reports(each.demand_report(self.now, "s") for each in self.each)
                 for each in self.each:
-                    each.take(self.now, "s", demand)
+                    each.set_fleet_report(self.now, "s", demand)
 
     def anywhere(self) -> int:
         return self.chance.randrange(len(self.each))
@@ -220,7 +220,7 @@
     fleet = Routers(3, RESERVED)
     for _ in range(2000):
         fleet.now += 0.08
-        assert fleet.ask(fleet.anywhere(), fleet.chance.choice("abc"), 30.0) is CALM
+        assert fleet.ask(fleet.anywhere(), fleet.chance.choice("abc"), 30.0) is NOT_IN_SURGE
 
 
 @pytest.mark.parametrize("reporting", [True, False], ids=["told", "untold"])
@@ -277,7 +277,7 @@
     for _ in range(50):
         fleet.now += 0.02
         found.append(fleet.ask(0, "other", 200.0))
-    waits = {each.wait for each in found if each.refused}
+    waits = {each.retry_after_s for each in found if each.refused}
     assert waits and all(
         reserved_quota.MIN_RETRY_AFTER_S <= each <= reserved_quota.MAX_RETRY_AFTER_S for each in waits
     )
@@ -288,18 +288,18 @@
     each = fleet.each[0]
     for _ in range(400):  # 2,500 ms of prompts a second, of which a tenth is read
         fleet.now += 0.02
-        standing = each.ask(fleet.now, "s", "other", (50.0, 0.0), 1)
-        each.sent("s", "other", 50.0, 5.0)
-    assert standing is CALM
-    demand = each.demand(fleet.now, "s")
+        standing = each.check(fleet.now, "s", "other", (50.0, 0.0), 1)
+        each.record_send("s", "other", 50.0, 5.0)
+    assert standing is NOT_IN_SURGE
+    demand = each.demand_report(fleet.now, "s")
     assert demand is not None and demand[0]["other"] == pytest.approx(250, rel=0.1)
 
 
 def test_nothing_is_counted_without_reserved_shares() -> None:
     fleet = Routers(1, {})
     for _ in range(500):
-        assert fleet.ask(0, "other", 100.0) is CALM
-    assert fleet.each[0].demand(fleet.now, "s") is None and not fleet.each[0].services["s"].accounts
+        assert fleet.ask(0, "other", 100.0) is NOT_IN_SURGE
+    assert fleet.each[0].demand_report(fleet.now, "s") is None and not fleet.each[0].services["s"].accounts
 
 
 def test_counting_ends_when_no_share_is_reserved_any_more() -> None:
@@ -309,7 +309,7 @@
         fleet.ask(0, "other", 100.0)
     assert fleet.refused["other"]
     fleet.each[0].set_reserved({})
-    assert fleet.ask(0, "other", 100.0) is CALM
+    assert fleet.ask(0, "other", 100.0) is NOT_IN_SURGE
     assert not fleet.each[0].services["s"].accounts
 
 
@@ -318,16 +318,16 @@
     each = fleet.each[0]
     for n in range(300):
         fleet.ask(0, f"t{n}", 1.0)
-    each.take(fleet.now, "s", [{"far": 99999.0}, 0.0, 0])
+    each.set_fleet_report(fleet.now, "s", [{"far": 99999.0}, 0.0, 0])
     fleet.now += reserved_quota.TENANT_IDLE_S + 1
-    assert fleet.ask(0, "new", 1.0) is CALM
+    assert fleet.ask(0, "new", 1.0) is NOT_IN_SURGE
     assert set(each.services["s"].accounts) == {"new"} and each.services["s"].fleet_report is None
 
 
 def test_many_small_tenants_reported_as_one_sum_are_not_taken_for_one() -> None:
     fleet = Routers(1, RESERVED)
     each = fleet.each[0]
-    each.take(fleet.now, "s", [{"flood": 3000.0}, 800.0, 40])  # 20 ms a second each
+    each.set_fleet_report(fleet.now, "s", [{"flood": 3000.0}, 800.0, 40])  # 20 ms a second each
     fleet.ask(0, "small", 20.0)
     assert each.services["s"].level == pytest.approx(fleet.capacity - 800.0, rel=0.05)
 
@@ -350,7 +350,7 @@
     for _ in range(round(seconds * 20)):
         fleet.now += 0.05
         fleet.ask(0, "other", 20.0)
-        fleet.each[0].ended("s", strain)
+        fleet.each[0].record_outcome("s", strain)
 
 
 def test_late_or_full_endpoints_lower_the_assumed_capacity_until_they_recover() -> None:
@@ -375,14 +375,14 @@
     for n in range(400):
         fleet.now += 0.05
         fleet.ask(0, "other", 20.0)
-        fleet.each[0].ended("s", n % 20 == 0)
+        fleet.each[0].record_outcome("s", n % 20 == 0)
     assert fleet.each[0].services["s"].capacity_factor == 1.0
-    fleet.each[0].ended("unknown", True)
+    fleet.each[0].record_outcome("unknown", True)
 
 
 def test_an_unknown_service_and_one_without_endpoints_limit_nothing() -> None:
     fleet = Routers(1, RESERVED, endpoints=0)
     for _ in range(100):
-        assert fleet.ask(0, "other", 500.0) is CALM
-        assert fleet.each[0].ask(fleet.now, "unknown", "other", (500.0, 0.0), 1) is CALM
-    fleet.each[0].take(fleet.now, "unknown", [{}, 0.0, 0])
+        assert fleet.ask(0, "other", 500.0) is NOT_IN_SURGE
+        assert fleet.each[0].check(fleet.now, "unknown", "other", (500.0, 0.0), 1) is NOT_IN_SURGE
+    fleet.each[0].set_fleet_report(fleet.now, "unknown", [{}, 0.0, 0])
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -17,7 +17,7 @@
 from plumline.lab.engine import Engine, Shape
 from plumline.registrar.publisher import FeedPublisher, Subscriber
 from plumline.routing.read_rates import START_TOKENS_PER_MS
-from plumline.routing.reserved_quota import CALM, Standing
+from plumline.routing.reserved_quota import NOT_IN_SURGE, QuotaStatus
 from tests.dispatch_world import (
     MODEL,
     REFUSAL,
@@ -228,8 +228,8 @@
     async def work() -> None:
         router, clock, peers = await start_with_tenants(TENANTS, 1)
         router.dispatcher.load("e0").unread = waits_ms * START_TOKENS_PER_MS
-        shares = router.dispatcher.shares
-        shares.ask = lambda *given: Standing(1.1, True, True, 0.4)  # type: ignore[method-assign]
+        quotas = router.dispatcher.quotas
+        quotas.check = lambda *given: QuotaStatus(1.1, True, True, 0.4)  # type: ignore[method-assign]
         got, headers = await send_request(router, clock, "key-o", 1000)
         assert got == status
         if status == 200:
@@ -258,7 +258,7 @@
         router.fleet.table = RouteTable(with_tenants(*PLAIN) | {"Version": 2})
         router.fleet.tell("configuration")
         assert (await send_request(router, clock, "key-o", 2000))[0] == 200
-        assert router.dispatcher.shares.ask(clock(), "s", "other", (9e9, 0.0), 1) is CALM
+        assert router.dispatcher.quotas.check(clock(), "s", "other", (9e9, 0.0), 1) is NOT_IN_SURGE
 
     run_with_timeout(work())
 
@@ -270,7 +270,7 @@
         router.fleet.take_roster([overloaded.entry()])
         for _ in range(10):
             assert (await send_request(router, clock, "key-l", 1000))[0] == 503
-        assert router.dispatcher.shares.services["s"].strain > 0
+        assert router.dispatcher.quotas.services["s"].strain > 0
 
     run_with_timeout(work())
 
