--- a/plumline/prefix_cache/events.py
+++ b/plumline/prefix_cache/events.py
@@ -21,8 +21,8 @@
     endpoint: str
     salt: str
     parts: list[PrefixBlock]
-    missing: float  # tokens that the endpoint has to read
-    saves: str  # address of the store that it is saved to; empty: to none
+    uncached_tokens: float  # tokens that the endpoint has to read
+    save_store: str  # address of the store that it is saved to; empty: to none
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,10 +47,10 @@
     changes: list[Sequence[Any]]
 
 
-News = Placed | Read | Done | Stored
+CacheEvent = Placed | Read | Done | Stored
 
 
-def news_from(event: object) -> News:
+def decode_event(event: object) -> CacheEvent:
     """Decodes an event from plain values. Raises ValueError, TypeError if it is malformed or unknown."""
     match event:
         case [
@@ -59,11 +59,11 @@
             str(endpoint),
             str(salt),
             list(parts),
-            float(missing),
-            str(saves),
+            float(uncached_tokens),
+            str(save_store),
         ]:
             named = [(str(name), int(tokens)) for name, tokens in parts]
-            return Placed(number, endpoint, salt, named, missing, saves)
+            return Placed(number, endpoint, salt, named, uncached_tokens, save_store)
         case ["read", int(number)]:
             return Read(number)
         case ["done", int(number)]:
--- a/plumline/prefix_cache/index.py
+++ b/plumline/prefix_cache/index.py
@@ -25,7 +25,7 @@
 MAX_READ_PARTS = 50_000  # parts remembered as read at any endpoint
 #: Tokens from which on routers get events of a stored part; smaller ones are read as fast as they are moved,
 #: and count as held.
-TOLD_PART = 512
+MIN_EVENT_PART_TOKENS = 512
 CACHE_BLOCK_TOKENS = 16  # a part may be cached up to its last full block only
 
 
@@ -36,8 +36,8 @@
     endpoint: str
     salt: str
     parts: list[PrefixBlock]
-    missing: float  # tokens that the endpoint has to read
-    saves: str  # address of the store that it is saved to; empty: to none
+    uncached_tokens: float  # tokens that the endpoint has to read
+    save_store: str  # address of the store that it is saved to; empty: to none
     at: float
     queued: bool = False  # another prompt was still unread there when it was placed
 
@@ -78,7 +78,7 @@
         self.parts.clear()
         self.pending_saves.clear()
 
-    def changed(self, epoch: int, changes: Iterable[Sequence[Any]]) -> None:
+    def apply_events(self, epoch: int, changes: Iterable[Sequence[Any]]) -> None:
         """Applies events, [sign, salt, part, tokens held now] each. Raises ValueError, TypeError."""
         if epoch != self.epoch:
             self.clear()
@@ -91,19 +91,19 @@
             else:
                 self.parts.pop(key, None)
 
-    def held(self, salt: str, parts: Iterable[PrefixBlock]) -> int:
+    def held_tokens(self, salt: str, parts: Iterable[PrefixBlock]) -> int:
         """Tokens at the prompt's start that the store holds.
 
-        Parts below TOLD_PART, which have no events, count as held.
+        Parts below MIN_EVENT_PART_TOKENS, which have no events, count as held.
         """
-        return leading_tokens(parts, lambda part: part[1] < TOLD_PART or self.holds(salt, part))
+        return leading_tokens(parts, lambda part: part[1] < MIN_EVENT_PART_TOKENS or self.holds(salt, part))
 
     def holds(self, salt: str, part: PrefixBlock) -> bool:
         """Whether its events show that it holds the part, up to the last full block."""
         name, tokens = part
         return self.parts.get((salt, name), 0) >= tokens - CACHE_BLOCK_TOKENS
 
-    def lacks(self, now: float, salt: str, parts: Sequence[PrefixBlock]) -> bool:
+    def is_missing_any(self, now: float, salt: str, parts: Sequence[PrefixBlock]) -> bool:
         """Whether any of the parts is neither held nor being saved."""
         while self.pending_saves:
             key, until = next(iter(self.pending_saves.items()))
@@ -111,7 +111,9 @@
                 break
             del self.pending_saves[key]
         return any(
-            part[1] >= TOLD_PART and (salt, part[0]) not in self.pending_saves and not self.holds(salt, part)
+            part[1] >= MIN_EVENT_PART_TOKENS
+            and (salt, part[0]) not in self.pending_saves
+            and not self.holds(salt, part)
             for part in parts
         )
 
@@ -137,7 +139,7 @@
         self.capacity_of, self.on_reading = capacity_of, on_reading
         self.unread_placements: dict[PromptId, Placement] = {}  # not yet read, oldest first
         self.unread_tokens: dict[str, float] = {}  # endpoint -> tokens that those have to read there
-        self.keeps: dict[str, EndpointCache] = {}
+        self.endpoint_caches: dict[str, EndpointCache] = {}
         self.resident_tokens: dict[str, float] = {}  # endpoint -> tokens of the prompts in `streams`
         self.streams: dict[PromptId, Placement] = {}  # prompts whose stream has not ended, oldest first
         self.stores: dict[str, StoreContents] = {}  # by address, "ip:port"
@@ -147,28 +149,28 @@
 
     # Events.
 
-    def placed(self, prompt_id: PromptId, placement: Placement) -> None:
+    def add_placement(self, prompt_id: PromptId, placement: Placement) -> None:
         """A prompt was sent to an endpoint, which has to read what it doesn't cache."""
-        self.done(prompt_id)
+        self.remove_stream(prompt_id)
         self.unread_placements[prompt_id] = self.streams[prompt_id] = placement
         key = placement.endpoint
         placement.queued = key in self.unread_tokens
-        self.unread_tokens[key] = self.unread_tokens.get(key, 0.0) + placement.missing
+        self.unread_tokens[key] = self.unread_tokens.get(key, 0.0) + placement.uncached_tokens
         self.parts_being_read.update((placement.salt, name) for name, _ in placement.parts)
         self.resident_tokens[key] = self.resident_tokens.get(key, 0.0) + size_of(placement.parts)
-        if placement.saves:
-            self.store(placement.saves).sent(placement.at, placement.salt, placement.parts)
+        if placement.save_store:
+            self.store(placement.save_store).sent(placement.at, placement.salt, placement.parts)
 
-    def read(self, prompt_id: PromptId, now: float) -> None:
+    def mark_read(self, prompt_id: PromptId, now: float) -> None:
         """The prompt's first piece has come: the endpoint now caches all its parts."""
         if (placement := self.finish_reading(prompt_id)) is None:
             return
         if not placement.queued:
-            self.on_reading(placement.endpoint, placement.missing, (now - placement.at) * 1000)
-        cache = self.keeps.get(placement.endpoint)
+            self.on_reading(placement.endpoint, placement.uncached_tokens, (now - placement.at) * 1000)
+        cache = self.endpoint_caches.get(placement.endpoint)
         if cache is None:
             capacity = self.capacity_of(placement.endpoint) or math.inf
-            cache = self.keeps[placement.endpoint] = EndpointCache(capacity * CACHE_MEMORY_SHARE)
+            cache = self.endpoint_caches[placement.endpoint] = EndpointCache(capacity * CACHE_MEMORY_SHARE)
         cache.add(placement.salt, placement.parts)
         for name, _ in placement.parts:
             self.read_parts[placement.salt, name] = None
@@ -176,7 +178,7 @@
         while len(self.read_parts) > MAX_READ_PARTS:
             self.read_parts.popitem(last=False)
 
-    def done(self, prompt_id: PromptId) -> None:
+    def remove_stream(self, prompt_id: PromptId) -> None:
         """The prompt's stream has ended or will never begin: its memory is free."""
         self.finish_reading(prompt_id)
         if (placement := self.streams.pop(prompt_id, None)) is not None:
@@ -186,14 +188,14 @@
         """Removes the prompt from the unread ones: it was read, or never will be."""
         placement = self.unread_placements.pop(prompt_id, None)
         if placement is not None:
-            subtract(self.unread_tokens, placement.endpoint, placement.missing)
+            subtract(self.unread_tokens, placement.endpoint, placement.uncached_tokens)
             for name, _ in placement.parts:
                 self.parts_being_read[placement.salt, name] -= 1
                 if not self.parts_being_read[placement.salt, name]:
                     del self.parts_being_read[placement.salt, name]
         return placement
 
-    def age(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Drops prompts and streams whose end event did not come in time."""
         while self.unread_placements:
             prompt_id, oldest = next(iter(self.unread_placements.items()))
@@ -204,19 +206,19 @@
             prompt_id, oldest = next(iter(self.streams.items()))
             if now - oldest.at < STREAM_TIMEOUT_S:
                 break
-            self.done(prompt_id)
+            self.remove_stream(prompt_id)
 
     def set_endpoints(self, ids: Iterable[str]) -> None:
         """Drops what is known of endpoints that are not listed any more."""
         known = set(ids)
-        for key in [key for key in self.keeps if key not in known]:
-            del self.keeps[key]
+        for key in [key for key in self.endpoint_caches if key not in known]:
+            del self.endpoint_caches[key]
         for prompt_id in [s for s, each in self.streams.items() if each.endpoint not in known]:
-            self.done(prompt_id)
+            self.remove_stream(prompt_id)
 
     def clear_endpoint(self, endpoint: str) -> None:
         """Drops the cached parts of an endpoint that has other weights or has restarted."""
-        self.keeps.pop(endpoint, None)
+        self.endpoint_caches.pop(endpoint, None)
 
     def store(self, address: str) -> StoreContents:
         """What is known of the store at the address, "ip:port"."""
@@ -233,16 +235,16 @@
         """Tokens of placed prompts that the endpoint has yet to read."""
         return self.unread_tokens.get(endpoint, 0.0)
 
-    def kept(self, endpoint: str, salt: str, parts: Sequence[PrefixBlock]) -> int:
+    def cached_tokens(self, endpoint: str, salt: str, parts: Sequence[PrefixBlock]) -> int:
         """Tokens at the prompt's start that the endpoint likely caches."""
-        cache = self.keeps.get(endpoint)
+        cache = self.endpoint_caches.get(endpoint)
         return cache.cached_tokens(salt, parts) if cache else 0
 
-    def occupied(self, endpoint: str) -> float:
+    def occupied_tokens(self, endpoint: str) -> float:
         """Tokens of the endpoint's memory that placed prompts use, read or not, until their streams end."""
         return self.resident_tokens.get(endpoint, 0.0)
 
-    def read_before(self, salt: str, parts: Iterable[PrefixBlock]) -> int:
+    def read_or_reading_tokens(self, salt: str, parts: Iterable[PrefixBlock]) -> int:
         """Tokens at the prompt's start that an endpoint has read or is reading: a second reading is waste."""
 
         def is_read(part: PrefixBlock) -> bool:
@@ -255,9 +257,9 @@
         """Whether a prompt with this part is being read at any endpoint."""
         return (salt, part[0]) in self.parts_being_read
 
-    def coming(self, endpoint: str, salt: str, parts: Sequence[PrefixBlock]) -> int:
+    def cached_or_reading_tokens(self, endpoint: str, salt: str, parts: Sequence[PrefixBlock]) -> int:
         """Tokens at the prompt's start that the endpoint caches or is reading for another request."""
-        longest = self.kept(endpoint, salt, parts)
+        longest = self.cached_tokens(endpoint, salt, parts)
         for each in self.unread_placements.values():
             if each.endpoint == endpoint and each.salt == salt:
                 longest = max(longest, common_tokens(each.parts, parts))
--- a/plumline/registrar/singleton_environments.py
+++ b/plumline/registrar/singleton_environments.py
@@ -14,7 +14,7 @@
 from plumline.coordination.log import Change
 from plumline.counters import Counters
 from plumline.errors import PlumlineError
-from plumline.prefix_cache.index import TOLD_PART
+from plumline.prefix_cache.index import MIN_EVENT_PART_TOKENS
 from plumline.registrar.cache_store_events import StoreEvents
 from plumline.registrar.cache_stores import StoreStatuses
 from plumline.registrar.peer_messages import PromptEvents
@@ -109,7 +109,7 @@
         changes = [
             change.to_wire()
             for change in events.changes
-            if change.cached_tokens >= TOLD_PART or change.sign == "-"
+            if change.cached_tokens >= MIN_EVENT_PART_TOKENS or change.sign == "-"
         ]
         host, port = address
         # Without changes one message goes out as well: the epoch may be another.
--- a/plumline/router/attempt.py
+++ b/plumline/router/attempt.py
@@ -104,14 +104,14 @@
         self.unread = 0.0
         if self.placement_number and self.body_started and not self.reading_reported:
             self.reading_reported = True
-            self.router.index.read((self.router.node, self.placement_number), self.router.clock())
+            self.router.index.mark_read((self.router.node, self.placement_number), self.router.clock())
             self.router.publish_prompt_event(["read", self.placement_number])
 
     def on_end(self) -> None:
         """Releases the load and withdraws the placement, as nothing of the request runs any more."""
         self.release_unread_load()
         if self.placement_number:
-            self.router.index.done((self.router.node, self.placement_number))
+            self.router.index.remove_stream((self.router.node, self.placement_number))
             self.router.publish_prompt_event(["done", self.placement_number])
             self.placement_number = 0
 
@@ -151,7 +151,7 @@
         count_rereading(router, self.salt.text, prompt.parts[:-1], self.candidate)
         now = router.clock()
         placement = Placement(self.endpoint.id, self.salt.text, prompt.parts, missing, self.save_address, now)
-        router.index.placed((router.node, self.placement_number), placement)
+        router.index.add_placement((router.node, self.placement_number), placement)
         parts = [list(each) for each in prompt.parts]
         router.publish_prompt_event(
             [
@@ -280,7 +280,9 @@
         shared = self.request.prompt.parts[:-1]
         if self.salt is None or not shared:
             return False
-        return self.router.index.store(self.store_address).lacks(self.router.clock(), self.salt.text, shared)
+        return self.router.index.store(self.store_address).is_missing_any(
+            self.router.clock(), self.salt.text, shared
+        )
 
     def on_broken_connection(self) -> Proof:
         """The connection has ended before the answer was complete."""
--- a/plumline/router/choice_report.py
+++ b/plumline/router/choice_report.py
@@ -18,7 +18,7 @@
     if not (tokens := round(chosen.again)):
         return
     index = router.index
-    if any(index.kept(endpoint, salt, shared) for endpoint in index.keeps):
+    if any(index.cached_tokens(endpoint, salt, shared) for endpoint in index.endpoint_caches):
         name = "reread-tokens.kept-elsewhere"
     elif any(index.is_being_read(salt, part) for part in shared):
         name = "reread-tokens.being-read-elsewhere"
--- a/plumline/router/router_state.py
+++ b/plumline/router/router_state.py
@@ -14,7 +14,7 @@
 from plumline.coordination.retry_budget import RetryBudget
 from plumline.counters import Counters
 from plumline.prefix_cache.blocks import PrefixBlock
-from plumline.prefix_cache.events import Done, Placed, Read, Stored, news_from
+from plumline.prefix_cache.events import Done, Placed, Read, Stored, decode_event
 from plumline.prefix_cache.index import Placement, PrefixCacheIndex
 from plumline.router.drain import DrainDeadlines
 from plumline.router.relay import Headers, value_of
@@ -257,19 +257,24 @@
         Raises ValueError or TypeError for malformed events."""
         now = self.clock()
         for event in events:
-            match news_from(event):
+            match decode_event(event):
                 case Placed() as placed:
                     if placed.endpoint in self.fleet.endpoints:
                         placement = Placement(
-                            placed.endpoint, placed.salt, placed.parts, placed.missing, placed.saves, now
+                            placed.endpoint,
+                            placed.salt,
+                            placed.parts,
+                            placed.uncached_tokens,
+                            placed.save_store,
+                            now,
                         )
-                        self.index.placed((node, placed.number), placement)
+                        self.index.add_placement((node, placed.number), placement)
                 case Read(number):
-                    self.index.read((node, number), now)
+                    self.index.mark_read((node, number), now)
                 case Done(number):
-                    self.index.done((node, number))
+                    self.index.remove_stream((node, number))
                 case Stored(epoch, changes):
-                    self.index.store(node).changed(epoch, changes)
+                    self.index.store(node).apply_events(epoch, changes)
 
     def may_accept_revoked_keys(self) -> bool:
         """Whether this router may have missed the revocation of a key. With `RevocationClosed`, a router that
--- a/plumline/router/selection.py
+++ b/plumline/router/selection.py
@@ -97,7 +97,7 @@
         router = self.router
         listed = router.endpoints_by_service.get(self.request.service, ())
         endpoints = [each for each in listed if each.id in allowed]
-        router.index.age(now)
+        router.index.expire(now)
         context = self.build_context(now)
         wait = math.inf
         choices: dict[str, EndpointChoice] = {}
@@ -155,7 +155,7 @@
             return False
         if not self.service or not self.service.cache_token_capacity:
             return False
-        occupied = self.router.index.occupied(endpoint.id)
+        occupied = self.router.index.occupied_tokens(endpoint.id)
         full = (
             bool(occupied)
             and prompt.tokens > self.service.cache_token_capacity * MEMORY_FILL_SHARE - occupied
@@ -224,7 +224,7 @@
         if salt is None or not prompt.parts:
             return 0
         if prompt.long:
-            return router.index.coming(endpoint.id, salt.text, prompt.parts)
+            return router.index.cached_or_reading_tokens(endpoint.id, salt.text, prompt.parts)
         return router.affinity.kept(salt.text, prompt.parts, endpoint.id, now)
 
     def best_fetch_to(
@@ -251,7 +251,7 @@
         """Tokens of shared parts that would be read although they have been read before."""
         if salt is None or not self.request.prompt.long:
             return 0.0
-        return max(self.router.index.read_before(salt.text, self.shared) - spared, 0.0)
+        return max(self.router.index.read_or_reading_tokens(salt.text, self.shared) - spared, 0.0)
 
     def known_holders(self, salt: Salt, service: Service, context: ChoiceContext) -> list[Holder]:
         """The endpoints and the cache store known to hold a prefix of this prompt's shared parts."""
@@ -260,7 +260,7 @@
         holders = context.holders[salt.text] = []
         if self.request.prompt.long:
             for each in self.router.endpoints_by_service.get(self.request.service, ()):
-                if held := self.router.index.kept(each.id, salt.text, self.shared):
+                if held := self.router.index.cached_tokens(each.id, salt.text, self.shared):
                     holders.append(Holder(each.address, each.zone, held, service.link_speed_mbps))
         store = context.store
         if (
@@ -277,7 +277,7 @@
         """Tokens at the prompt's start that the store holds. It reports only those of long prompts; for short
         ones, prompts sent before stand in."""
         if self.request.prompt.long:
-            return self.router.index.store(address_text(store)).held(salt.text, self.shared)
+            return self.router.index.store(address_text(store)).held_tokens(salt.text, self.shared)
         return self.router.affinity.seen(salt.text, self.shared)
 
     def add_away_costs(self, candidates: list[Candidate], context: ChoiceContext) -> None:
@@ -304,7 +304,7 @@
             return False
         if not index.is_being_read(salt.text, self.shared[-1]):
             return False
-        available = index.kept(picked.endpoint.id, salt.text, self.shared) + picked.candidate.movable
+        available = index.cached_tokens(picked.endpoint.id, salt.text, self.shared) + picked.candidate.movable
         return self.shared_tokens - available >= TRACKED_TOKENS
 
     def is_over_share(self, best: Candidate) -> bool:
--- a/tests/test_prefix_cache_events.py
+++ b/tests/test_prefix_cache_events.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from plumline.prefix_cache.events import Done, Placed, Read, Stored, news_from
+from plumline.prefix_cache.events import Done, Placed, Read, Stored, decode_event
 
 
 def test_each_kind_of_event_is_decoded() -> None:
     event = ["placed", 3, "e1", "v1w0", [["system", 800], ["own", 30]], 30.0, "10.9.9.9:1"]
-    assert news_from(event) == Placed(3, "e1", "v1w0", [("system", 800), ("own", 30)], 30.0, "10.9.9.9:1")
-    assert news_from(["read", 3]) == Read(3)
-    assert news_from(["done", 3]) == Done(3)
-    assert news_from(["stored", 7, [["+", "v1w0", "system", 800]]]) == Stored(
+    assert decode_event(event) == Placed(3, "e1", "v1w0", [("system", 800), ("own", 30)], 30.0, "10.9.9.9:1")
+    assert decode_event(["read", 3]) == Read(3)
+    assert decode_event(["done", 3]) == Done(3)
+    assert decode_event(["stored", 7, [["+", "v1w0", "system", 800]]]) == Stored(
         7, [["+", "v1w0", "system", 800]]
     )
 
@@ -30,4 +30,4 @@
 )
 def test_malformed_and_unknown_events_are_rejected(event: object) -> None:
     with pytest.raises(ValueError):
-        news_from(event)
+        decode_event(event)
--- a/tests/test_prefix_cache_index.py
+++ b/tests/test_prefix_cache_index.py
@@ -31,71 +31,71 @@
 
 def test_a_prompt_is_backlog_until_it_is_read_and_cached_from_then_on() -> None:
     index = PrefixCacheIndex(lambda _: 100_000)
-    index.placed(("r1", 1), placed())
+    index.add_placement(("r1", 1), placed())
     assert index.backlog("e1") == 5100
-    assert index.kept("e1", "s", PARTS) == 0
-    assert index.coming("e1", "s", [*PARTS[:2], ("another", 9)]) == 4800
-    index.read(("r1", 1), 1.0)
+    assert index.cached_tokens("e1", "s", PARTS) == 0
+    assert index.cached_or_reading_tokens("e1", "s", [*PARTS[:2], ("another", 9)]) == 4800
+    index.mark_read(("r1", 1), 1.0)
     assert index.backlog("e1") == 0
-    assert index.kept("e1", "s", [*PARTS[:2], ("another", 9)]) == 4800
-    assert index.kept("e1", "another salt", PARTS) == 0
-    assert index.kept("e2", "s", PARTS) == 0
-    assert index.read_before("s", PARTS) == 5100
-    assert index.read_before("s", [("system", 800), ("unread", 9)]) == 800
+    assert index.cached_tokens("e1", "s", [*PARTS[:2], ("another", 9)]) == 4800
+    assert index.cached_tokens("e1", "another salt", PARTS) == 0
+    assert index.cached_tokens("e2", "s", PARTS) == 0
+    assert index.read_or_reading_tokens("s", PARTS) == 5100
+    assert index.read_or_reading_tokens("s", [("system", 800), ("unread", 9)]) == 800
     # The prompt uses memory until its stream has ended.
-    assert index.occupied("e1") == 5100
-    index.done(("r1", 1))
-    assert index.occupied("e1") == 0
+    assert index.occupied_tokens("e1") == 5100
+    index.remove_stream(("r1", 1))
+    assert index.occupied_tokens("e1") == 0
 
 
 def test_the_contents_of_a_store_follow_its_events() -> None:
     store = PrefixCacheIndex(lambda _: 0.0).store(STORE)
     shared = PARTS[:2]
-    assert store.lacks(0.0, "s", shared)
+    assert store.is_missing_any(0.0, "s", shared)
     store.sent(0.0, "s", shared)
-    assert not store.lacks(1.0, "s", shared)
-    assert store.held("s", shared) == 0
+    assert not store.is_missing_any(1.0, "s", shared)
+    assert store.held_tokens("s", shared) == 0
     # Parts that the store does not confirm are sent again after a while.
-    assert store.lacks(SAVE_TIMEOUT_S, "s", shared)
-    store.changed(7, [["+", "s", "system", 800], ["+", "s", "subject", 3984]])
-    assert not store.lacks(9.0, "s", shared)
-    assert store.held("s", [*PARTS]) == 4800 + 300  # small parts count as held
-    assert store.held("other", shared) == 0
-    store.changed(7, [["-", "s", "subject", 128]])
-    assert store.held("s", shared) == 800
-    assert store.lacks(9.0, "s", shared)
-    store.changed(8, [["+", "s", "subject", 4000]])  # another epoch: the store has restarted
-    assert store.held("s", shared) == 0
+    assert store.is_missing_any(SAVE_TIMEOUT_S, "s", shared)
+    store.apply_events(7, [["+", "s", "system", 800], ["+", "s", "subject", 3984]])
+    assert not store.is_missing_any(9.0, "s", shared)
+    assert store.held_tokens("s", [*PARTS]) == 4800 + 300  # small parts count as held
+    assert store.held_tokens("other", shared) == 0
+    store.apply_events(7, [["-", "s", "subject", 128]])
+    assert store.held_tokens("s", shared) == 800
+    assert store.is_missing_any(9.0, "s", shared)
+    store.apply_events(8, [["+", "s", "subject", 4000]])  # another epoch: the store has restarted
+    assert store.held_tokens("s", shared) == 0
     store.clear()
-    assert store.held("s", shared[1:]) == 0
+    assert store.held_tokens("s", shared[1:]) == 0
 
 
 def test_a_prompt_that_ended_unread_is_neither_backlog_nor_cached() -> None:
     index = PrefixCacheIndex(lambda _: 0.0)
-    index.placed(("r1", 1), placed())
-    index.done(("r1", 1))
-    index.read(("r1", 1), 1.0)
-    assert (index.backlog("e1"), index.kept("e1", "s", PARTS)) == (0, 0)
+    index.add_placement(("r1", 1), placed())
+    index.remove_stream(("r1", 1))
+    index.mark_read(("r1", 1), 1.0)
+    assert (index.backlog("e1"), index.cached_tokens("e1", "s", PARTS)) == (0, 0)
     # A prompt without an end event expires; a repeated placed event changes nothing.
-    index.placed(("r2", 7), placed(at=5.0))
-    index.placed(("r2", 7), placed(at=5.0))
-    index.age(5.0 + READING_TIMEOUT_S / 2)
+    index.add_placement(("r2", 7), placed(at=5.0))
+    index.add_placement(("r2", 7), placed(at=5.0))
+    index.expire(5.0 + READING_TIMEOUT_S / 2)
     assert index.backlog("e1") == 5100
-    index.age(5.0 + READING_TIMEOUT_S)
-    assert (index.backlog("e1"), index.occupied("e1")) == (0, 5100)
-    index.age(5.0 + STREAM_TIMEOUT_S)
-    assert index.occupied("e1") == 0
+    index.expire(5.0 + READING_TIMEOUT_S)
+    assert (index.backlog("e1"), index.occupied_tokens("e1")) == (0, 5100)
+    index.expire(5.0 + STREAM_TIMEOUT_S)
+    assert index.occupied_tokens("e1") == 0
 
 
 def test_the_cache_of_an_endpoint_that_left_or_has_other_weights_is_dropped() -> None:
     index = PrefixCacheIndex(lambda _: 0.0)
     for number, endpoint in enumerate(("e1", "e2", "e3")):
-        index.placed(("r", number), placed(endpoint))
-        index.read(("r", number), 1.0)
-    index.placed(("r", 9), placed("e1"))
+        index.add_placement(("r", number), placed(endpoint))
+        index.mark_read(("r", number), 1.0)
+    index.add_placement(("r", 9), placed("e1"))
     index.clear_endpoint("e2")
     index.set_endpoints(["e2", "e3"])
-    assert [index.kept(each, "s", PARTS) for each in ("e1", "e2", "e3")] == [0, 0, 5100]
+    assert [index.cached_tokens(each, "s", PARTS) for each in ("e1", "e2", "e3")] == [0, 0, 5100]
     assert index.backlog("e1") == 0
 
 
@@ -124,10 +124,11 @@
 def test_cached_parts_leave_a_share_of_the_memory_to_running_requests() -> None:
     index = PrefixCacheIndex(lambda _: 1000.0)
     for number in range(20):
-        index.placed(("r", number), placed("e", [(f"p{number}", 100)]))
-        index.read(("r", number), 1.0)
+        index.add_placement(("r", number), placed("e", [(f"p{number}", 100)]))
+        index.mark_read(("r", number), 1.0)
     assert (
-        sum(index.kept("e", "s", [(f"p{number}", 100)]) for number in range(20)) == 1000 * CACHE_MEMORY_SHARE
+        sum(index.cached_tokens("e", "s", [(f"p{number}", 100)]) for number in range(20))
+        == 1000 * CACHE_MEMORY_SHARE
     )
 
 
@@ -206,23 +207,26 @@
     """Guards against reading the part at a second endpoint without the cost of reading it again."""
     index = PrefixCacheIndex(lambda _: 100_000)
     shared = PARTS[:2]
-    index.placed(("r1", 1), placed())
-    index.placed(("r2", 1), placed("e2"))
-    assert index.read_before("s", shared) == 4800 and index.read_before("another salt", shared) == 0
-    index.done(("r1", 1))
-    assert index.read_before("s", shared) == 4800
-    index.done(("r2", 1))
-    assert index.read_before("s", shared) == 0 and not index.parts_being_read
+    index.add_placement(("r1", 1), placed())
+    index.add_placement(("r2", 1), placed("e2"))
+    assert (
+        index.read_or_reading_tokens("s", shared) == 4800
+        and index.read_or_reading_tokens("another salt", shared) == 0
+    )
+    index.remove_stream(("r1", 1))
+    assert index.read_or_reading_tokens("s", shared) == 4800
+    index.remove_stream(("r2", 1))
+    assert index.read_or_reading_tokens("s", shared) == 0 and not index.parts_being_read
 
 
 def test_only_prompts_that_were_not_queued_are_observed_as_readings() -> None:
     readings: list[tuple[str, float, float]] = []
     index = PrefixCacheIndex(lambda _: 100_000, lambda *reading: readings.append(reading))
-    index.placed(("r1", 1), placed(at=1.0))
-    index.placed(("r2", 1), placed(at=1.1))
-    index.placed(("r2", 2), placed("e2", at=1.1))
+    index.add_placement(("r1", 1), placed(at=1.0))
+    index.add_placement(("r2", 1), placed(at=1.1))
+    index.add_placement(("r2", 2), placed("e2", at=1.1))
     for prompt_id, now in ((("r2", 1), 1.2), (("r1", 1), 1.3), (("r2", 2), 1.35)):
-        index.read(prompt_id, now)
+        index.mark_read(prompt_id, now)
     assert [(endpoint, tokens, round(ms)) for endpoint, tokens, ms in readings] == [
         ("e1", 5100.0, 300),
         ("e2", 5100.0, 250),
