--- a/plumline/router/attempt.py
+++ b/plumline/router/attempt.py
@@ -28,7 +28,7 @@
     UpstreamUnsentError,
     idle_time,
 )
-from plumline.routing.endpoint_load import Load
+from plumline.routing.endpoint_load import EndpointLoad
 from plumline.routing.endpoint_scoring import Candidate, expected_ms
 from plumline.routing.mechanisms import MECHANISMS
 from plumline.routing.outcomes import Call
@@ -47,7 +47,7 @@
     call = router.outcomes.begin(endpoint.id, router.clock())
     load.running += 1
     if not prompt.long:
-        load.unread += picked.candidate.missing
+        load.unread_tokens += picked.candidate.uncached_tokens
     read_ms = expected_ms(without_load(picked.candidate))
     router.quotas.record_send(
         request.service, request.owner, prompt.tokens / picked.candidate.read_rate, read_ms
@@ -61,7 +61,7 @@
         load.running -= 1
         attempt.count_for_rollout()
         attempt.on_end()
-        router.outcomes.nothing(call)  # no effect if the outcome was recorded before
+        router.outcomes.inconclusive(call)  # no effect if the outcome was recorded before
         if progress.connection:
             router.pool.drop(endpoint.id, progress.connection)
             progress.connection = None
@@ -69,7 +69,7 @@
 
 def without_load(candidate: Candidate) -> Candidate:
     """The candidate as if its endpoint were idle: only the request's own reading costs time."""
-    return replace(candidate, unread=0.0, running=0, excess_ms=0.0)
+    return replace(candidate, unread_tokens=0.0, running=0, excess_ms=0.0)
 
 
 class Outcome(Enum):
@@ -84,12 +84,12 @@
 class Attempt:
     """One attempt at one endpoint."""
 
-    def __init__(self, selection: Selection, picked: EndpointChoice, load: Load, call: Call) -> None:
+    def __init__(self, selection: Selection, picked: EndpointChoice, load: EndpointLoad, call: Call) -> None:
         self.selection, self.router = selection, selection.router
         self.request, self.progress = selection.request, selection.progress
         self.endpoint, self.salt, self.candidate = picked.endpoint, picked.salt, picked.candidate
         self.load, self.call = load, call
-        self.unread = 0.0 if self.request.prompt.long else picked.candidate.missing
+        self.unread_tokens = 0.0 if self.request.prompt.long else picked.candidate.uncached_tokens
         self.placement_number = 0  # of the placement that the other routers know; 0: none was announced
         self.store_address = ""  # of the store that may hold a long prompt's parts
         self.save_address = ""  # the same, if the parts are to be saved there
@@ -100,8 +100,8 @@
 
     def release_unread_load(self) -> None:
         """Releases the unread load: the prompt has been read, or never will be."""
-        self.load.unread = max(self.load.unread - self.unread, 0.0)
-        self.unread = 0.0
+        self.load.unread_tokens = max(self.load.unread_tokens - self.unread_tokens, 0.0)
+        self.unread_tokens = 0.0
         if self.placement_number and self.body_started and not self.reading_reported:
             self.reading_reported = True
             self.router.index.mark_read((self.router.node, self.placement_number), self.router.clock())
@@ -147,10 +147,12 @@
             if MECHANISMS.store_saves and self.should_save():
                 self.save_address = self.store_address
         self.placement_number = next(router.placement_numbers)
-        missing = float(self.candidate.missing - self.candidate.movable)
+        uncached_tokens = float(self.candidate.uncached_tokens - self.candidate.fetchable_tokens)
         count_rereading(router, self.salt.text, prompt.parts[:-1], self.candidate)
         now = router.clock()
-        placement = Placement(self.endpoint.id, self.salt.text, prompt.parts, missing, self.save_address, now)
+        placement = Placement(
+            self.endpoint.id, self.salt.text, prompt.parts, uncached_tokens, self.save_address, now
+        )
         router.index.add_placement((router.node, self.placement_number), placement)
         parts = [list(each) for each in prompt.parts]
         router.publish_prompt_event(
@@ -160,7 +162,7 @@
                 self.endpoint.id,
                 self.salt.text,
                 parts,
-                missing,
+                uncached_tokens,
                 self.save_address,
             ]
         )
@@ -244,7 +246,7 @@
         progress.retry_granted = False
         progress.attempted.add(self.endpoint.id)
         if self.salt:
-            router.affinity.sent(self.salt.text, request.prompt.parts, self.endpoint.id, self.sent_at)
+            router.affinity.record_send(self.salt.text, request.prompt.parts, self.endpoint.id, self.sent_at)
         return True
 
     def headers(self, remaining_ms: int) -> Headers:
@@ -368,7 +370,7 @@
         wait_s = parse_retry_after(value_of(headers, b"retry-after"))
         router.outcomes.refused(self.call, now, wait_s)
         progress.retry_after_s = (
-            max(wait_s, router.outcomes.ready_in(key, now)) if wait_s else RETRY_AFTER_RANGE_S[0]
+            max(wait_s, router.outcomes.ready_in_s(key, now)) if wait_s else RETRY_AFTER_RANGE_S[0]
         )
         return Proof.NOT_RUN
 
@@ -456,7 +458,7 @@
         now = self.router.clock()
         took_ms = (now - self.sent_at) * 1000
         excess_ms = took_ms - expected_ms(self.candidate)
-        self.load.first_piece(now, excess_ms)
+        self.load.record_first_piece(now, excess_ms)
         self.router.quotas.record_outcome(
             self.request.service, excess_ms > self.request.route.latency_target_ms / 2
         )
--- a/plumline/router/choice_report.py
+++ b/plumline/router/choice_report.py
@@ -15,7 +15,7 @@
 
 def count_rereading(router: RouterState, salt: str, shared: Sequence[PrefixBlock], chosen: Candidate) -> None:
     """Counts, by reason, the tokens of shared parts that will be read although they have been read before."""
-    if not (tokens := round(chosen.again)):
+    if not (tokens := round(chosen.reread_tokens)):
         return
     index = router.index
     if any(index.cached_tokens(endpoint, salt, shared) for endpoint in index.endpoint_caches):
@@ -46,13 +46,13 @@
         took_ms=round(took_ms),
         expected_ms=round(expected_ms(chosen)),
         tokens=request.prompt.tokens,
-        missing=round(chosen.missing),
-        movable=round(chosen.movable),
-        moved_ms=round(chosen.moved_ms),
-        unread=round(chosen.unread),
+        missing=round(chosen.uncached_tokens),
+        movable=round(chosen.fetchable_tokens),
+        moved_ms=round(chosen.fetch_ms),
+        unread=round(chosen.unread_tokens),
         running=chosen.running,
         excess_ms=round(chosen.excess_ms),
-        again=round(chosen.again),
+        again=round(chosen.reread_tokens),
         read_rate=round(chosen.read_rate, 1),
     )
     log.info(line)
--- a/plumline/router/router_state.py
+++ b/plumline/router/router_state.py
@@ -19,8 +19,8 @@
 from plumline.router.drain import DrainDeadlines
 from plumline.router.relay import Headers, value_of
 from plumline.router.upstream import ConnectionPool
-from plumline.routing.cache_salt import NamedVersions
-from plumline.routing.endpoint_load import Affinity, Load
+from plumline.routing.cache_salt import AcknowledgedVersions
+from plumline.routing.endpoint_load import Affinity, EndpointLoad
 from plumline.routing.fleet import Address, Endpoint, Fleet
 from plumline.routing.fleet_state import StoreStatus
 from plumline.routing.outcomes import Outcomes, store_key
@@ -95,7 +95,7 @@
         #: Publishes to the other routers that a prompt was placed, read or done; set by the process.
         self.publish_prompt_event: Callable[[list[Any]], None] = lambda _: None
         self.stores: dict[str, StoreStatus] = {}  # by name, as the core reports them
-        self.versions = NamedVersions(self.named_versions, bounds.version_apply_ms / 1000)
+        self.versions = AcknowledgedVersions(self.acknowledged_versions, bounds.version_apply_ms / 1000)
         self.quotas = ReservedQuotas(self.log_surge)
         self.version_gate = VersionGate(clock)
         self.rollout_evidence = RolloutEvidence()
@@ -104,7 +104,7 @@
         self.prefix_homes: dict[str, PrefixHomes] = {}  # by service
         # By endpoint id:
         self.models: dict[str, dict[str, int]] = {}  # versions of the weights, as listed
-        self.loads: dict[str, Load] = {}
+        self.loads: dict[str, EndpointLoad] = {}
         self.reported_versions: dict[str, dict[str, int]] = {}  # {model: version}, from its answers
         self.backoff_until: dict[str, float] = {}  # monotonic s
         self.replaced: set[str] = set()  # those whose address is now used by another incarnation
@@ -116,8 +116,8 @@
         self.on_fleet_change("endpoints")
         fleet.watchers.append(self.on_fleet_change)
 
-    def named_versions(self) -> dict[str, int] | None:
-        """The named version of each model's weights; None while no configuration is known."""
+    def acknowledged_versions(self) -> dict[str, int] | None:
+        """The newest acknowledged version of each model's weights; None while no configuration is known."""
         return self.fleet.state.weight_versions if self.fleet.state else None
 
     def on_fleet_change(self, topic: str) -> None:
@@ -138,7 +138,7 @@
     def on_configuration(self) -> None:
         """Applies a new configuration."""
         table = self.fleet.table
-        self.versions.look(self.clock())
+        self.versions.update(self.clock())
         self.quotas.set_reserved(table.reserved_shares if table else {})
         self.shortest_latency_targets = table.shortest_latency_targets() if table else {}
         self.update_version_traffic()
@@ -158,7 +158,7 @@
         self.update_version_traffic()
         self.update_usable_endpoints()
         self.pool.close_expired(now, listed)
-        self.outcomes.age(listed, now)
+        self.outcomes.expire(listed, now)
         self.replaced &= listed.keys()
         for known in (self.loads, self.reported_versions, self.backoff_until):
             for key in [key for key in known if key not in listed]:
@@ -282,9 +282,9 @@
         bounds, stale_s = self.bounds, self.clock() - self.fleet.fresh_at
         return bounds.revocation_closed and stale_s > bounds.revocation_ms / 1000 * REVOCATION_SHARE
 
-    def load(self, key: str) -> Load:
+    def load(self, key: str) -> EndpointLoad:
         """This router's load on the endpoint with this id."""
-        return self.loads.get(key) or self.loads.setdefault(key, Load())
+        return self.loads.get(key) or self.loads.setdefault(key, EndpointLoad())
 
     def version_at(self, endpoint: Endpoint, model: str) -> int | None:
         """The newest version of the model's weights that the endpoint is known to have."""
@@ -296,9 +296,9 @@
         """Records the version of the weights that an answer reports."""
         reported = value_of(headers, b"versions")
         if model and reported and reported.isdigit() and len(reported) < 10:
-            # Only up to the named version: an endpoint recorded with a wrong one could not be used.
+            # Only up to the acknowledged version: an endpoint recorded with a wrong one could not be used.
             known = self.version_at(endpoint, model) or 0
-            if known < int(reported) <= self.fleet.named_version(model):
+            if known < int(reported) <= self.fleet.acknowledged_version(model):
                 self.reported_versions.setdefault(endpoint.id, {})[model] = int(reported)
 
     def store_for(self, parts: list[PrefixBlock]) -> Service | None:
--- a/plumline/router/selection.py
+++ b/plumline/router/selection.py
@@ -14,7 +14,7 @@
 from plumline.routing.fleet import Address, Endpoint
 from plumline.routing.mechanisms import MECHANISMS
 from plumline.routing.prefix_fetch import Fetch, Holder, best_fetch, may_gain
-from plumline.routing.prefix_homes import AWAY_SHARE, SHORT_AWAY_SHARE
+from plumline.routing.prefix_homes import OFF_HOME_COST_SHARE, SHORT_OFF_HOME_COST_SHARE
 from plumline.routing.read_rates import ServiceReadRates
 
 MIN_CONNECTIONS_PER_ENDPOINT = 2  # allowed to each router, however many share the endpoint's limit
@@ -58,7 +58,7 @@
         request, however often an endpoint is selected for it."""
         traffic = self.router.version_gate.traffic(self.request.service)
         usable = traffic.in_use() if traffic else frozenset()
-        self.router.outcomes.asked(usable, max(len(usable), 1), now)
+        self.router.outcomes.record_request(usable, max(len(usable), 1), now)
 
     def select_endpoint(self, now: float) -> tuple[EndpointChoice | None, float]:
         """The endpoint to send to. If there is none: seconds until one may be ready, infinite if waiting does
@@ -102,13 +102,13 @@
         wait = math.inf
         choices: dict[str, EndpointChoice] = {}
         for endpoint in endpoints:
-            if (ready_s := self.ready_in(endpoint, context)) > 0:
+            if (ready_s := self.ready_in_s(endpoint, context)) > 0:
                 wait = min(wait, ready_s)
             elif not self.memory_is_full(endpoint):
                 salt = self.salt_at(endpoint, context)
                 choices[endpoint.id] = EndpointChoice(endpoint, salt, self.candidate(endpoint, salt, context))
         candidates = [each.candidate for each in choices.values()]
-        self.add_away_costs(candidates, context)
+        self.add_off_home_costs(candidates, context)
         best = choose(candidates, router.rng)
         if best is None:
             return None, wait
@@ -132,7 +132,7 @@
 
     # Eligibility.
 
-    def ready_in(self, endpoint: Endpoint, context: ChoiceContext) -> float:
+    def ready_in_s(self, endpoint: Endpoint, context: ChoiceContext) -> float:
         """Seconds until the endpoint may be sent the request; 0: now, infinite: waiting does not help."""
         router, key, model = self.router, endpoint.id, self.request.prompt.model
         if endpoint.draining or endpoint.moving or key in self.progress.attempted or key in router.replaced:
@@ -141,9 +141,9 @@
             return shunned_until - context.now
         if model:
             version = router.version_at(endpoint, model) or 1
-            if not router.versions.usable(model, version, context.now):
+            if not router.versions.is_usable(model, version, context.now):
                 return math.inf
-        if (ready_s := router.outcomes.ready_in(key, context.now)) > 0:
+        if (ready_s := router.outcomes.ready_in_s(key, context.now)) > 0:
             return ready_s
         return 0.0 if router.pool.has_capacity(key, context.max_connections, context.now) else math.inf
 
@@ -195,7 +195,7 @@
 
     def candidate(self, endpoint: Endpoint, salt: Salt | None, context: ChoiceContext) -> Candidate:
         """The endpoint's scoring input for this request, without the cost of leaving the prompt's home, which
-        `add_away_costs` sets."""
+        `add_off_home_costs` sets."""
         router, prompt = self.router, self.request.prompt
         load = router.load(endpoint.id)
         read_rate = context.rates.of(endpoint.id)
@@ -203,19 +203,19 @@
         fetch = self.best_fetch_to(endpoint, salt, cached, read_rate, context)
         return Candidate(
             id=endpoint.id,
-            unread=load.unread + router.index.backlog(endpoint.id),
+            unread_tokens=load.unread_tokens + router.index.backlog(endpoint.id),
             running=load.running,
             slots=endpoint.slots,
-            missing=max(prompt.tokens - cached, 0),
-            movable=fetch.tokens if fetch else 0.0,
-            moved_ms=fetch.ms if fetch else 0.0,
-            excess_ms=load.excess(context.now),
+            uncached_tokens=max(prompt.tokens - cached, 0),
+            fetchable_tokens=fetch.tokens if fetch else 0.0,
+            fetch_ms=fetch.ms if fetch else 0.0,
+            excess_ms=load.excess_at(context.now),
             same_zone=endpoint.zone == router.zone,
             connected=router.pool.has_idle(endpoint.id, context.now),
             read_rate=read_rate,
             reading_ms=context.reading_ms,
             source=fetch.source if fetch else None,
-            again=self.tokens_read_again(salt, cached + (fetch.tokens if fetch else 0)),
+            reread_tokens=self.tokens_read_again(salt, cached + (fetch.tokens if fetch else 0)),
         )
 
     def cached_tokens_at(self, endpoint: Endpoint, salt: Salt | None, now: float) -> int:
@@ -225,7 +225,7 @@
             return 0
         if prompt.long:
             return router.index.cached_or_reading_tokens(endpoint.id, salt.text, prompt.parts)
-        return router.affinity.kept(salt.text, prompt.parts, endpoint.id, now)
+        return router.affinity.cached_tokens(salt.text, prompt.parts, endpoint.id, now)
 
     def best_fetch_to(
         self, endpoint: Endpoint, salt: Salt | None, cached: int, read_rate: float, context: ChoiceContext
@@ -278,18 +278,18 @@
         ones, prompts sent before stand in."""
         if self.request.prompt.long:
             return self.router.index.store(address_text(store)).held_tokens(salt.text, self.shared)
-        return self.router.affinity.seen(salt.text, self.shared)
+        return self.router.affinity.sent_tokens(salt.text, self.shared)
 
-    def add_away_costs(self, candidates: list[Candidate], context: ChoiceContext) -> None:
+    def add_off_home_costs(self, candidates: list[Candidate], context: ChoiceContext) -> None:
         """Adds the cost of sending the request to an endpoint other than the home of its shared parts."""
         prompt = self.request.prompt
         homes = self.router.prefix_homes.get(self.request.service)
         home = homes.home(prompt.parts) if homes and prompt.model else None
         if home is None:
             return
-        away_ms = context.reading_ms * (AWAY_SHARE if prompt.long else SHORT_AWAY_SHARE)
+        off_home_ms = context.reading_ms * (OFF_HOME_COST_SHARE if prompt.long else SHORT_OFF_HOME_COST_SHARE)
         for each in candidates:
-            each.away_ms = away_ms if each.id != home else 0.0
+            each.off_home_ms = off_home_ms if each.id != home else 0.0
 
     # Whether to send the request now.
 
@@ -304,7 +304,10 @@
             return False
         if not index.is_being_read(salt.text, self.shared[-1]):
             return False
-        available = index.cached_tokens(picked.endpoint.id, salt.text, self.shared) + picked.candidate.movable
+        available = (
+            index.cached_tokens(picked.endpoint.id, salt.text, self.shared)
+            + picked.candidate.fetchable_tokens
+        )
         return self.shared_tokens - available >= TRACKED_TOKENS
 
     def is_over_share(self, best: Candidate) -> bool:
--- a/plumline/routing/cache_salt.py
+++ b/plumline/routing/cache_salt.py
@@ -44,25 +44,27 @@
     return tenant.name
 
 
-class NamedVersions:
-    """When the versions of each model were named, as seen by this router. Times are steady seconds.
+class AcknowledgedVersions:
+    """When the versions of each model were acknowledged to the operator, as seen by this router.
 
-    The versions in the first snapshot may have been named long before: they count as named long ago.
+    The versions in the first snapshot may be long acknowledged: they count as acknowledged long ago.
+    Times are steady seconds.
     """
 
     def __init__(self, versions: Callable[[], dict[str, int] | None], version_apply_s: float) -> None:
-        """`versions()`: the named version by model; None while no configuration is known."""
+        """`versions()`: the newest acknowledged version by model; None while no configuration is known."""
         self.versions, self.grace_s = versions, version_apply_s * OLDER_VERSION_SHARE
-        self.named_since: dict[str, list[tuple[int, float]]] = {}  # model -> (version, since), ascending
+        #: Model -> (version, since), ascending.
+        self.acknowledged_since: dict[str, list[tuple[int, float]]] = {}
         self.initialized = False
 
-    def look(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Records the versions that are new in the current configuration."""
         current = self.versions()
         if current is None:
             return
         for model, version in current.items():
-            known = self.named_since.setdefault(model, [])
+            known = self.acknowledged_since.setdefault(model, [])
             if version > (known[-1][0] if known else 1):
                 known.append((version, now if self.initialized else -math.inf))
                 # Of the versions whose grace time is over, only the newest is needed.
@@ -70,9 +72,9 @@
                     del known[0]
         self.initialized = True
 
-    def usable(self, model: str, version: int, now: float) -> bool:
+    def is_usable(self, model: str, version: int, now: float) -> bool:
         """Whether an endpoint with this version of the weights may still get requests for the model."""
-        for newer, since in self.named_since.get(model, ()):
+        for newer, since in self.acknowledged_since.get(model, ()):
             if newer > version:
                 return now - since < self.grace_s
         return True
--- a/plumline/routing/endpoint_load.py
+++ b/plumline/routing/endpoint_load.py
@@ -16,23 +16,23 @@
 
 
 @dataclass(slots=True)
-class Load:
+class EndpointLoad:
     """This router's load at one endpoint, and how much later than expected its answers recently began."""
 
     running: int = 0  # requests
-    unread: float = 0.0  # tokens of short prompts that the endpoint has yet to read
+    unread_tokens: float = 0.0  # tokens of short prompts that the endpoint has yet to read
     excess_ms: float = 0.0
     seen_at: float = 0.0
 
-    def excess(self, now: float) -> float:
+    def excess_at(self, now: float) -> float:
         """The observed excess after its decay until now, in ms."""
         if not self.excess_ms or not MECHANISMS.observed_excess:
             return 0.0
         return self.excess_ms * math.exp(-max(now - self.seen_at, 0.0) / EXCESS_TIME_CONSTANT_S)
 
-    def first_piece(self, now: float, excess_ms: float) -> None:
+    def record_first_piece(self, now: float, excess_ms: float) -> None:
         """Records a first piece that came this much later than expected."""
-        remaining = self.excess(now)
+        remaining = self.excess_at(now)
         self.excess_ms = remaining + (max(excess_ms, 0.0) - remaining) * EXCESS_WEIGHT
         self.seen_at = now
 
@@ -47,7 +47,7 @@
         self.max_parts = max_parts
         self.parts: OrderedDict[tuple[str, str], dict[str, float]] = OrderedDict()
 
-    def sent(self, salt: str, parts: Sequence[PrefixBlock], endpoint: str, now: float) -> None:
+    def record_send(self, salt: str, parts: Sequence[PrefixBlock], endpoint: str, now: float) -> None:
         """A prompt with the parts was sent to the endpoint."""
         for name, _ in parts:
             endpoints = self.parts.setdefault((salt, name), {})
@@ -59,15 +59,15 @@
         while len(self.parts) > self.max_parts:
             self.parts.popitem(last=False)
 
-    def kept(self, salt: str, parts: Sequence[PrefixBlock], endpoint: str, now: float) -> int:
+    def cached_tokens(self, salt: str, parts: Sequence[PrefixBlock], endpoint: str, now: float) -> int:
         """Tokens at the prompt's start that `endpoint` likely caches."""
 
-        def is_kept(part: PrefixBlock) -> bool:
+        def is_cached(part: PrefixBlock) -> bool:
             sent_at = self.parts.get((salt, part[0]), {}).get(endpoint)
             return sent_at is not None and now - sent_at <= PART_TTL_S
 
-        return leading_tokens(parts, is_kept)
+        return leading_tokens(parts, is_cached)
 
-    def seen(self, salt: str, parts: Sequence[PrefixBlock]) -> int:
+    def sent_tokens(self, salt: str, parts: Sequence[PrefixBlock]) -> int:
         """Tokens at the prompt's start sent to any endpoint under this salt: the store likely holds them."""
         return leading_tokens(parts, lambda part: (salt, part[0]) in self.parts)
--- a/plumline/routing/endpoint_scoring.py
+++ b/plumline/routing/endpoint_scoring.py
@@ -21,29 +21,29 @@
     """One endpoint with the figures that its cost for a request is computed from."""
 
     id: str
-    unread: float = 0.0  # prompt tokens that were sent there and haven't been read
+    unread_tokens: float = 0.0  # prompt tokens that were sent there and haven't been read
     running: int = 0  # this router's requests there
     slots: int = 1  # concurrent requests
-    missing: float = 0.0  # tokens of this prompt that it doesn't cache
-    movable: float = 0.0  # those of them that `source` holds
-    moved_ms: float = 0.0  # time to move those
+    uncached_tokens: float = 0.0  # tokens of this prompt that it doesn't cache
+    fetchable_tokens: float = 0.0  # those of them that `source` holds
+    fetch_ms: float = 0.0  # time to move those
     excess_ms: float = 0.0  # recently observed beyond the expected time
     same_zone: bool = True
     connected: bool = True
-    away_ms: float = 0.0  # cost where this is not the home of the shared parts
-    again: float = 0.0  # tokens of shared parts that it would read though an endpoint has read them
+    off_home_ms: float = 0.0  # cost where this is not the home of the shared parts
+    reread_tokens: float = 0.0  # tokens of shared parts that it would read though an endpoint has read them
     read_rate: float = START_TOKENS_PER_MS  # tokens a ms that it reads
     reading_ms: float = START_READING_MS  # of a typical long prompt of its service
-    source: Address | None = None  # where the movable tokens are fetched from
+    source: Address | None = None  # where the fetchable tokens are fetched from
 
 
 def expected_ms(candidate: Candidate) -> float:
     """The expected time in ms until the first piece, without tie-breaks."""
     each = candidate
-    moved = min(each.moved_ms, each.movable / each.read_rate)
-    read = (each.missing - each.movable) / each.read_rate + moved
+    moved = min(each.fetch_ms, each.fetchable_tokens / each.read_rate)
+    read = (each.uncached_tokens - each.fetchable_tokens) / each.read_rate + moved
     beyond_slots = max(each.running + 1 - each.slots, 0)
-    ahead_ms = (each.unread + each.running * RUNNING_REQUEST_TOKENS) / each.read_rate
+    ahead_ms = (each.unread_tokens + each.running * RUNNING_REQUEST_TOKENS) / each.read_rate
     wait = ahead_ms + beyond_slots * each.reading_ms * SLOT_WAIT_SHARE
     return read + wait + each.excess_ms
 
@@ -52,8 +52,8 @@
     """The expected time with the costs of reading again and away from home, and the tie-breakers; in ms."""
     away = OTHER_ZONE_MS * (not candidate.same_zone)
     new = NEW_CONNECTION_MS * (not candidate.connected)
-    again = candidate.again * REREAD_MS_PER_TOKEN * MECHANISMS.reread_cost
-    return expected_ms(candidate) + candidate.away_ms + again + away + new
+    again = candidate.reread_tokens * REREAD_MS_PER_TOKEN * MECHANISMS.reread_cost
+    return expected_ms(candidate) + candidate.off_home_ms + again + away + new
 
 
 def choose(candidates: Sequence[Candidate], rng: random.Random) -> Candidate | None:
--- a/plumline/routing/fleet.py
+++ b/plumline/routing/fleet.py
@@ -84,7 +84,7 @@
         #: Called with "configuration", "endpoints", "stores", "grants" or "members".
         self.watchers: list[Callable[[str], None]] = []
 
-    def named_version(self, model: str) -> int:
+    def acknowledged_version(self, model: str) -> int:
         """The newest version of the model's weights that was acknowledged to the operator; 1 if none was."""
         return self.state.weight_versions.get(model, 1) if self.state else 1
 
--- a/plumline/routing/outcomes.py
+++ b/plumline/routing/outcomes.py
@@ -13,7 +13,7 @@
 from plumline.routing.mechanisms import MECHANISMS
 
 IDLE_TIMEOUT_S = 60.0  # after which an unused and unlisted destination is dropped
-LEAST_AIM_US = 300_000  # the initial estimate of how long a call may take
+INITIAL_CALL_TIME_US = 300_000  # the initial estimate of how long a call may take
 
 
 def microseconds(seconds: float) -> int:
@@ -42,13 +42,13 @@
         self,
         routers: Callable[[], int],
         rng: random.Random,
-        least_aim: Callable[[], int] = lambda: LEAST_AIM_US,
+        initial_call_time_us: Callable[[], int] = lambda: INITIAL_CALL_TIME_US,
     ) -> None:
-        """`routers()`: routers in the fleet. `least_aim()`: microseconds.
+        """`routers()`: routers in the fleet. `initial_call_time_us()`: the first estimate.
 
         Both are called when a destination's breaker is made.
         """
-        self.routers, self.rng, self.least_aim = routers, rng, least_aim
+        self.routers, self.rng, self.initial_call_time_us = routers, rng, initial_call_time_us
         self.breakers: dict[str, Breaker] = {}
         self.last_used: dict[str, float] = {}
 
@@ -56,12 +56,12 @@
         """The destination's breaker, made at its first use."""
         breaker = self.breakers.get(key)
         if breaker is None:
-            settings = PlainSettings(max(self.least_aim(), 1), fleet_size=max(self.routers(), 1))
+            settings = PlainSettings(max(self.initial_call_time_us(), 1), fleet_size=max(self.routers(), 1))
             breaker = self.breakers[key] = Breaker(settings, self.rng, key)
         self.last_used[key] = now
         return breaker
 
-    def ready_in(self, key: str, now: float) -> float:
+    def ready_in_s(self, key: str, now: float) -> float:
         """Seconds until the next call may be sent; infinite while a trial call is in progress."""
         breaker = self.breakers.get(key)
         if breaker is None or not MECHANISMS.breaker:
@@ -74,7 +74,7 @@
         breaker = self.breakers.get(key)
         return breaker is not None and breaker.failures >= FAILURE_THRESHOLD
 
-    def asked(self, keys: Iterable[str], routes: int, now: float) -> None:
+    def record_request(self, keys: Iterable[str], routes: int, now: float) -> None:
         """Records a request that could be sent to any of these `routes` endpoints."""
         at = microseconds(now)
         for key in keys:
@@ -120,12 +120,12 @@
                 call.breaker.told_wait(at + microseconds(wait))
             call.breaker.refused(at, call, microseconds(wait))
 
-    def nothing(self, call: Call) -> None:
+    def inconclusive(self, call: Call) -> None:
         """Settles a call that shows nothing about the destination; a trial is then still to be made."""
         if self.settle(call) and call.breaker.trial is call:
             call.breaker.trial = None
 
-    def age(self, listed: Iterable[str], now: float) -> None:
+    def expire(self, listed: Iterable[str], now: float) -> None:
         """Drops unlisted destinations without a call in progress that were idle for IDLE_TIMEOUT_S."""
         present = set(listed)
         for key, at in list(self.last_used.items()):
--- a/plumline/routing/prefix_homes.py
+++ b/plumline/routing/prefix_homes.py
@@ -22,8 +22,8 @@
 WORK_TIME_CONSTANT_S = 10.0  # of the exponential decay of measured work
 MIN_RATE_SPAN_S = 0.5  # a burst right after the first request is not yet a rate
 # Costs, as shares of the reading time of a typical long prompt of the service:
-AWAY_SHARE = 0.1  # of reading away from home: the part is fetched, or read twice
-SHORT_AWAY_SHARE = 0.025  # the same for a short request
+OFF_HOME_COST_SHARE = 0.1  # of reading away from home: the part is fetched, or read twice
+SHORT_OFF_HOME_COST_SHARE = 0.025  # the same for a short request
 
 Rates = tuple[float, float]  # ms of endpoints' time a second: for short requests, for long ones
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -266,7 +266,7 @@
         router = await start_router(document(), old, new)
         now = 100.0
         router.dispatcher.clock = lambda: now + asyncio.get_running_loop().time()
-        router.dispatcher.versions.look(0.0)
+        router.dispatcher.versions.update(0.0)
         router.fleet.state = ReplicatedConfiguration(weight_versions={"m": 2})
         router.fleet.tell("configuration")
         router.fleet.take_roster([old.entry(), new.entry(models={"m": 2})])
@@ -354,7 +354,7 @@
             document(Kind="streaming", TargetLatencyMs=20_000, TimeoutMs=30_000), *peers
         )
         calls: list[int] = []
-        router.dispatcher.outcomes.asked = lambda keys, routes, now: calls.append(routes)  # type: ignore[method-assign]
+        router.dispatcher.outcomes.record_request = lambda keys, routes, now: calls.append(routes)  # type: ignore[method-assign]
         one = asyncio.ensure_future(router.ask(**as_keywords(LONG)))
         while not any(each.heads for each in peers):
             await asyncio.sleep(0)
--- a/tests/test_endpoint_scoring.py
+++ b/tests/test_endpoint_scoring.py
@@ -9,24 +9,24 @@
 from plumline.prefix_cache.blocks import parse_parts, prompt_tokens
 from plumline.router.relay import EventJoiner, answer_headers, is_framed, request_headers
 from plumline.router.upstream import idle_time
-from plumline.routing.cache_salt import NamedVersions, salt_for
-from plumline.routing.endpoint_load import Affinity, Load
+from plumline.routing.cache_salt import AcknowledgedVersions, salt_for
+from plumline.routing.endpoint_load import Affinity, EndpointLoad
 from plumline.routing.endpoint_scoring import Candidate, choose, cost, expected_ms
 from plumline.routing.outcomes import Outcomes
 
 
 def test_a_cached_prompt_outweighs_some_load_but_not_any_load() -> None:
-    cached = Candidate("keeps", missing=3_720, unread=3_000, running=2, slots=24)
-    empty = Candidate("empty", missing=17_020, slots=24)
+    cached = Candidate("keeps", uncached_tokens=3_720, unread_tokens=3_000, running=2, slots=24)
+    empty = Candidate("empty", uncached_tokens=17_020, slots=24)
     assert choose([empty, cached], random.Random(1)) is cached
-    cached.unread = 40_000
+    cached.unread_tokens = 40_000
     assert choose([empty, cached], random.Random(1)) is empty
 
 
 def test_tokens_in_a_store_cost_the_lesser_of_moving_and_reading_them() -> None:
-    moved = Candidate("a", missing=6_120, movable=6_120, moved_ms=45)
+    moved = Candidate("a", uncached_tokens=6_120, fetchable_tokens=6_120, fetch_ms=45)
     assert expected_ms(moved) == 45
-    moved.moved_ms, moved.read_rate = 1e9, 61.2
+    moved.fetch_ms, moved.read_rate = 1e9, 61.2
     assert math.isclose(expected_ms(moved), 100)
 
 
@@ -36,7 +36,7 @@
     assert {choose([far, near], random.Random(seed)).id for seed in range(9)} == {"near"}
     near.running = 3
     assert cost(near) > cost(far)
-    near.running, near.away_ms = 0, 60.0
+    near.running, near.off_home_ms = 0, 60.0
     assert choose([far, near], random.Random(1)) is far
 
 
@@ -54,30 +54,34 @@
 
 def test_older_weights_are_usable_for_a_grace_time_after_the_first_newer_version_is_named() -> None:
     current: dict[str, int] | None = None
-    named = NamedVersions(lambda: current, version_apply_s=10.0)
-    named.look(0.0)
+    named = AcknowledgedVersions(lambda: current, version_apply_s=10.0)
+    named.update(0.0)
     current = {"m": 2}
-    named.look(1.0)
-    assert not named.usable("m", 1, 1.0)  # when version 2 was named is not known
-    assert named.usable("m", 2, 1.0)
+    named.update(1.0)
+    assert not named.is_usable("m", 1, 1.0)  # when version 2 was named is not known
+    assert named.is_usable("m", 2, 1.0)
     current = {"m": 3}
-    named.look(5.0)
-    assert named.usable("m", 2, 10.9) and not named.usable("m", 2, 11.0)
+    named.update(5.0)
+    assert named.is_usable("m", 2, 10.9) and not named.is_usable("m", 2, 11.0)
     current = {"m": 5}
-    named.look(9.0)
-    assert not named.usable("m", 2, 11.0) and named.usable("m", 3, 14.9) and not named.usable("m", 3, 15.0)
-    assert not named.usable("m", 1, 9.0) and named.usable("other", 1, 99.0)
+    named.update(9.0)
+    assert (
+        not named.is_usable("m", 2, 11.0)
+        and named.is_usable("m", 3, 14.9)
+        and not named.is_usable("m", 3, 15.0)
+    )
+    assert not named.is_usable("m", 1, 9.0) and named.is_usable("other", 1, 99.0)
 
 
 def test_a_part_counts_as_cached_only_if_all_before_it_are() -> None:
     affinity = Affinity(max_parts=3)
-    affinity.sent("s", [("a", 800), ("b", 400)], "e1", 0.0)
+    affinity.record_send("s", [("a", 800), ("b", 400)], "e1", 0.0)
     parts = [("a", 800), ("b", 400), ("c", 9)]
-    assert affinity.kept("s", parts, "e1", 1.0) == 1200 == affinity.seen("s", parts)
-    assert affinity.kept("s", [("c", 9), *parts], "e1", 1.0) == 0
-    assert affinity.kept("t", parts, "e1", 1.0) == affinity.kept("s", parts, "e2", 1.0) == 0
-    affinity.sent("s", [("x", 1), ("y", 1)], "e1", 2.0)
-    assert affinity.kept("s", parts, "e1", 2.0) == 0 and len(affinity.parts) == 3
+    assert affinity.cached_tokens("s", parts, "e1", 1.0) == 1200 == affinity.sent_tokens("s", parts)
+    assert affinity.cached_tokens("s", [("c", 9), *parts], "e1", 1.0) == 0
+    assert affinity.cached_tokens("t", parts, "e1", 1.0) == affinity.cached_tokens("s", parts, "e2", 1.0) == 0
+    affinity.record_send("s", [("x", 1), ("y", 1)], "e1", 2.0)
+    assert affinity.cached_tokens("s", parts, "e1", 2.0) == 0 and len(affinity.parts) == 3
 
 
 def test_part_lists_are_parsed_up_to_the_first_malformed_item() -> None:
@@ -86,9 +90,9 @@
 
 
 def test_the_observed_excess_decays() -> None:
-    load = Load()
-    load.first_piece(10.0, 100.0)
-    assert load.excess(10.0) == 20.0 > load.excess(13.0) > load.excess(20.0)
+    load = EndpointLoad()
+    load.record_first_piece(10.0, 100.0)
+    assert load.excess_at(10.0) == 20.0 > load.excess_at(13.0) > load.excess_at(20.0)
 
 
 def test_internal_and_hop_by_hop_headers_are_not_forwarded() -> None:
@@ -160,11 +164,11 @@
     health = outcomes()
     for at in range(3):
         health.failed(health.begin("e", float(at)), float(at))
-    assert health.is_open("e") and math.isclose(health.ready_in("e", 2.5), 1.5, abs_tol=0.01)
+    assert health.is_open("e") and math.isclose(health.ready_in_s("e", 2.5), 1.5, abs_tol=0.01)
     trial = health.begin("e", 4.1)
-    assert health.ready_in("e", 4.2) == math.inf
-    health.nothing(trial)  # the client disconnected: the trial is still to be made
-    assert health.ready_in("e", 4.2) == 0
+    assert health.ready_in_s("e", 4.2) == math.inf
+    health.inconclusive(trial)  # the client disconnected: the trial is still to be made
+    assert health.ready_in_s("e", 4.2) == 0
     health.served(health.begin("e", 4.3), 4.4)
     assert not health.is_open("e")
 
@@ -175,9 +179,9 @@
     health.refused(call, 1.02, 0.0)
     health.failed(call, 1.02)
     assert not health.is_open("e") and health.breakers["e"].failures == 0
-    assert 0.07 < health.ready_in("e", 1.02) < 0.09  # the first step of the gap, counted from the send
+    assert 0.07 < health.ready_in_s("e", 1.02) < 0.09  # the first step of the gap, counted from the send
     health.refused(health.begin("e", 1.11), 1.12, 0.5)
-    assert health.ready_in("e", 1.12) >= 0.499
+    assert health.ready_in_s("e", 1.12) >= 0.499
     assert health.breakers["e"].out == 0
 
 
@@ -185,8 +189,8 @@
     health = outcomes()
     call = health.begin("gone", 0.0)
     health.begin("listed", 0.0)
-    health.age(["listed"], 100.0)
+    health.expire(["listed"], 100.0)
     assert set(health.breakers) == {"gone", "listed"}
-    health.nothing(call)
-    health.age(["listed"], 100.0)
+    health.inconclusive(call)
+    health.expire(["listed"], 100.0)
     assert set(health.breakers) == {"listed"}
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -227,7 +227,7 @@
 ) -> None:
     async def work() -> None:
         router, clock, peers = await start_with_tenants(TENANTS, 1)
-        router.dispatcher.load("e0").unread = waits_ms * START_TOKENS_PER_MS
+        router.dispatcher.load("e0").unread_tokens = waits_ms * START_TOKENS_PER_MS
         quotas = router.dispatcher.quotas
         quotas.check = lambda *given: QuotaStatus(1.1, True, True, 0.4)  # type: ignore[method-assign]
         got, headers = await send_request(router, clock, "key-o", 1000)
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -110,7 +110,7 @@
     link.send(["entry", 6, ["weights", {"Model": "m", "Version": 9}]])
     link.send(["topic", "roster", [1, 1], []])
     await soon(wait_until(lambda: "roster" in feed_subscriber.soft_state.values))
-    assert (fleet.place, fleet.state.version, fleet.named_version("m")) == (6, 3, 2)
+    assert (fleet.place, fleet.state.version, fleet.acknowledged_version("m")) == (6, 3, 2)
     # After a gap the missing entries are requested again.
     link.send(["entry", 9, ["weights", {"Model": "m", "Version": 4}]])
     assert await soon(registrar.received.get()) == ["follow", 0]
--- a/tests/test_wire_properties.py
+++ b/tests/test_wire_properties.py
@@ -104,7 +104,7 @@
     Guard(Progress, "may_send", "return not self.may_have_run or route.idempotent", "return True"),
     Guard(Progress, "may_send", "self.attempts >= route.attempt_limit or ", ""),
     Guard(Attempt, "send_on", "progress.retry_granted = False", "pass"),
-    Guard(Selection, "ready_in", "key in self.progress.attempted or ", ""),
+    Guard(Selection, "ready_in_s", "key in self.progress.attempted or ", ""),
     # Whole answers only.
     Guard(Attempt, "receive", 'return self.discard_answer("unsealed")', "pass"),
     Guard(Attempt, "relay", "if needs_end and not ends_event(tail):", "if False:"),
