--- a/plumline/lab/differential/system.py
+++ b/plumline/lab/differential/system.py
@@ -162,7 +162,7 @@
 
     async def reach(self, index: int) -> None:
         """Until it has the entry of this number."""
-        await wait_until(lambda: self.fleet.place >= index, f"entry {index} at {self.name}")
+        await wait_until(lambda: self.fleet.applied_index >= index, f"entry {index} at {self.name}")
 
     def set_reading(self, reading: bool) -> None:
         """Whether it reads what comes on its connection."""
--- a/plumline/registrar/service_rollout/evidence.py
+++ b/plumline/registrar/service_rollout/evidence.py
@@ -160,7 +160,7 @@
     def take(self, report: RolloutReport) -> None:
         """Adds a router's report."""
         for service, each in report.services.items():
-            self.reports_of(service, each.target).add_report(report.node, report.life, each)
+            self.reports_of(service, each.target).add_report(report.node, report.incarnation, each)
 
     def reports_of(self, service: str, target: str) -> RolloutReports:
         """The reports on a roll-out; empty at first, and if the service has a new target."""
--- a/plumline/router/attempt.py
+++ b/plumline/router/attempt.py
@@ -174,7 +174,12 @@
     def is_choice_valid(self) -> bool:
         """Whether the endpoint still accepts requests, with the same salt, after a wait for a connection."""
         listed = self.router.fleet.endpoints.get(self.endpoint.id)
-        if listed is None or listed.draining or listed.moving or not self.router.version_gate.may_use(listed):
+        if (
+            listed is None
+            or listed.draining
+            or listed.updating
+            or not self.router.version_gate.may_use(listed)
+        ):
             return False
         return self.salt is None or self.selection.is_salt_valid(self.salt, listed)
 
--- a/plumline/router/router_state.py
+++ b/plumline/router/router_state.py
@@ -191,7 +191,7 @@
             traffic = self.version_gate.traffic(service)
             homes = traffic.homes() if traffic else frozenset()
             usable = [
-                each.id for each in endpoints if each.id in homes and not (each.draining or each.moving)
+                each.id for each in endpoints if each.id in homes and not (each.draining or each.updating)
             ]
             self.prefix_homes.setdefault(service, PrefixHomes()).set_endpoints(usable)
             counts[service] = len(usable)
@@ -279,7 +279,7 @@
     def may_accept_revoked_keys(self) -> bool:
         """Whether this router may have missed the revocation of a key. With `RevocationClosed`, a router that
         has been out of date for too long accepts no keys."""
-        bounds, stale_s = self.bounds, self.clock() - self.fleet.fresh_at
+        bounds, stale_s = self.bounds, self.clock() - self.fleet.last_fresh_at
         return bounds.revocation_closed and stale_s > bounds.revocation_ms / 1000 * REVOCATION_SHARE
 
     def load(self, key: str) -> EndpointLoad:
--- a/plumline/router/selection.py
+++ b/plumline/router/selection.py
@@ -13,7 +13,7 @@
 from plumline.routing.endpoint_scoring import Candidate, choose, expected_ms
 from plumline.routing.fleet import Address, Endpoint
 from plumline.routing.mechanisms import MECHANISMS
-from plumline.routing.prefix_fetch import Fetch, Holder, best_fetch, may_gain
+from plumline.routing.prefix_fetch import Fetch, PrefixHolder, best_fetch, can_save_time
 from plumline.routing.prefix_homes import OFF_HOME_COST_SHARE, SHORT_OFF_HOME_COST_SHARE
 from plumline.routing.read_rates import ServiceReadRates
 
@@ -41,7 +41,7 @@
     rates: ServiceReadRates
     reading_ms: float  # of a typical long prompt of the service
     salts: dict[int, Salt] = field(default_factory=dict)  # by version of the weights
-    holders: dict[str, list[Holder]] = field(default_factory=dict)  # by salt
+    holders: dict[str, list[PrefixHolder]] = field(default_factory=dict)  # by salt
 
 
 class Selection:
@@ -135,7 +135,7 @@
     def ready_in_s(self, endpoint: Endpoint, context: ChoiceContext) -> float:
         """Seconds until the endpoint may be sent the request; 0: now, infinite: waiting does not help."""
         router, key, model = self.router, endpoint.id, self.request.prompt.model
-        if endpoint.draining or endpoint.moving or key in self.progress.attempted or key in router.replaced:
+        if endpoint.draining or endpoint.updating or key in self.progress.attempted or key in router.replaced:
             return math.inf
         if (shunned_until := router.backoff_until.get(key, 0.0)) > context.now:
             return shunned_until - context.now
@@ -234,7 +234,7 @@
         service = self.service
         if not MECHANISMS.prefix_fetch:
             return None
-        if salt is None or service is None or not may_gain(self.shared_tokens - cached, read_rate):
+        if salt is None or service is None or not can_save_time(self.shared_tokens - cached, read_rate):
             return None
         return best_fetch(
             self.known_holders(salt, service, context),
@@ -253,7 +253,7 @@
             return 0.0
         return max(self.router.index.read_or_reading_tokens(salt.text, self.shared) - spared, 0.0)
 
-    def known_holders(self, salt: Salt, service: Service, context: ChoiceContext) -> list[Holder]:
+    def known_holders(self, salt: Salt, service: Service, context: ChoiceContext) -> list[PrefixHolder]:
         """The endpoints and the cache store known to hold a prefix of this prompt's shared parts."""
         if (holders := context.holders.get(salt.text)) is not None:
             return holders
@@ -261,7 +261,7 @@
         if self.request.prompt.long:
             for each in self.router.endpoints_by_service.get(self.request.service, ()):
                 if held := self.router.index.cached_tokens(each.id, salt.text, self.shared):
-                    holders.append(Holder(each.address, each.zone, held, service.link_speed_mbps))
+                    holders.append(PrefixHolder(each.address, each.zone, held, service.link_speed_mbps))
         store = context.store
         if (
             store
@@ -269,7 +269,7 @@
             and (held := self.tokens_in_store(store.cache_store_address, salt))
         ):
             holders.append(
-                Holder(store.cache_store_address, store.cache_store_zone, held, store.link_speed_mbps)
+                PrefixHolder(store.cache_store_address, store.cache_store_zone, held, store.link_speed_mbps)
             )
         return holders
 
--- a/plumline/router/subscriber.py
+++ b/plumline/router/subscriber.py
@@ -139,7 +139,7 @@
         """The configuration counts as fresh if a source is current and no reported entry is overdue."""
         self.fleet.fresh = bool(self._current_sources()) and self.lag.duration_s(now) <= LAG_TIMEOUT_S
         if self.fleet.fresh:
-            self.fleet.fresh_at = now
+            self.fleet.last_fresh_at = now
 
     def _replace_source(self, source: FeedSource, now: float, reason: str) -> None:
         self.counters.add(f"feed.left.{reason}")
@@ -289,7 +289,7 @@
             self.registrars = {str(address): str(zone) for address, zone in registrars}
             if router_count != self.fleet.routers:
                 self.fleet.routers = router_count
-                self.fleet.tell("members")
+                self.fleet.notify("members")
         self._update_freshness(now)
         if self.primary is None:
             self._choose_primary(now)
@@ -320,8 +320,8 @@
                 logs.event("configuration", version=state.version, place=index, routes=table.route_count)
             )
         # Set together, as requests combine values from the state and from its table.
-        self.fleet.state, self.fleet.table, self.fleet.place = state, table, index
-        self.fleet.tell("configuration")
+        self.fleet.state, self.fleet.table, self.fleet.applied_index = state, table, index
+        self.fleet.notify("configuration")
 
     def _route_table(self, document: Document, change: list[Any] | None) -> RouteTable:
         """Builds the document's route table; after an amendment only its changes are rebuilt."""
@@ -334,13 +334,13 @@
         if not self.soft_state.update(name, version, payload):
             return
         if name == "roster":
-            self.fleet.take_roster(payload)
+            self.fleet.set_roster(payload)
         elif name == "marks":
-            self.fleet.take_marks(payload)
+            self.fleet.set_marks(payload)
         elif name == "stores":
-            self.fleet.take_stores(payload)
+            self.fleet.set_stores(payload)
         elif name == "grants":
-            self.fleet.take_grants(payload)
+            self.fleet.set_grants(payload)
 
     # To the registrars.
 
--- a/plumline/routing/fleet.py
+++ b/plumline/routing/fleet.py
@@ -26,7 +26,7 @@
     draining: bool = False
     cold_ms: float = 0.0
     models: dict[str, int] = field(default_factory=dict)  # model -> version of its weights
-    moving: bool = False
+    updating: bool = False
     version: str = ""  # of its software
 
 
@@ -56,7 +56,7 @@
             draining=listed.draining,
             cold_ms=listed.cold_ms,
             models=models,
-            moving=state.updating,
+            updating=state.updating,
             version=listed.version,
         )
     return found
@@ -70,7 +70,7 @@
     """
 
     def __init__(self) -> None:
-        self.place = 0  # number of the newest chain entry applied
+        self.applied_index = 0  # number of the newest chain entry applied
         self.state: Any = None
         self.table: Any = None
         self.roster: list[dict[str, Any]] = []
@@ -79,7 +79,7 @@
         self.grants: dict[str, RolloutGrant] = {}  # by service
         self.endpoints: dict[str, Endpoint] = {}
         self.routers = 1  # alive in the fleet, this one included
-        self.fresh_at = -1e9  # steady s at which `fresh` last held
+        self.last_fresh_at = -1e9  # steady s at which `fresh` last held
         self.fresh = False  # the feed's source is currently in contact with the core's majority
         #: Called with "configuration", "endpoints", "stores", "grants" or "members".
         self.watchers: list[Callable[[str], None]] = []
@@ -88,29 +88,29 @@
         """The newest version of the model's weights that was acknowledged to the operator; 1 if none was."""
         return self.state.weight_versions.get(model, 1) if self.state else 1
 
-    def tell(self, topic: str) -> None:
+    def notify(self, topic: str) -> None:
         """Notifies the watchers that this topic has changed."""
         for each in self.watchers:
             each(topic)
 
-    def take_roster(self, roster: list[dict[str, Any]]) -> None:
+    def set_roster(self, roster: list[dict[str, Any]]) -> None:
         """Replaces the platform's list of endpoints (see plumline.routing.fleet_state)."""
         self.roster = roster
         self.endpoints = endpoints_from(self.roster, self.marks)
-        self.tell("endpoints")
+        self.notify("endpoints")
 
-    def take_stores(self, stores: Mapping[str, Mapping[str, Any]]) -> None:
+    def set_stores(self, stores: Mapping[str, Mapping[str, Any]]) -> None:
         """Replaces the status of the stores (see plumline.routing.fleet_state). Raises KeyError."""
         self.stores = {name: StoreStatus.from_wire(each) for name, each in stores.items()}
-        self.tell("stores")
+        self.notify("stores")
 
-    def take_grants(self, grants: Mapping[str, list[Any]]) -> None:
+    def set_grants(self, grants: Mapping[str, list[Any]]) -> None:
         """Replaces the grants of the roll-outs in progress. Raises ValueError, TypeError."""
         self.grants = {service: RolloutGrant.from_wire(each) for service, each in grants.items()}
-        self.tell("grants")
+        self.notify("grants")
 
-    def take_marks(self, marks: dict[str, dict[str, Any]]) -> None:
+    def set_marks(self, marks: dict[str, dict[str, Any]]) -> None:
         """Replaces the marks (see plumline.routing.fleet_state)."""
         self.marks = marks
         self.endpoints = endpoints_from(self.roster, self.marks)
-        self.tell("endpoints")
+        self.notify("endpoints")
--- a/plumline/routing/prefix_fetch.py
+++ b/plumline/routing/prefix_fetch.py
@@ -11,12 +11,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Holder:
-    """An endpoint or store that holds the first `held` tokens of a prompt."""
+class PrefixHolder:
+    """An endpoint or store that holds the first `held_tokens` tokens of a prompt."""
 
     address: Address
     zone: str
-    held: int
+    held_tokens: int
     link_mbps: float  # speed of its own link; 0: not known
 
 
@@ -36,16 +36,16 @@
     return OTHER_ZONE_FACTOR if regions.get(zone) == regions.get(other) else OTHER_REGION_FACTOR
 
 
-def may_gain(tokens: float, read_rate: float) -> bool:
+def can_save_time(tokens: float, read_rate: float) -> bool:
     """Whether fetching so many tokens over any link can be faster than reading them."""
     return tokens / read_rate > SETUP_MS
 
 
 def best_fetch(
-    holders: Sequence[Holder],
+    holders: Sequence[PrefixHolder],
     address: Address,
     zone: str,
-    kept: int,
+    cached_tokens: int,
     token_bytes: float,
     link_mbps: float,
     read_rate: float,
@@ -53,13 +53,13 @@
 ) -> Fetch | None:
     """The fetch to the endpoint at `address` that saves the most time; None if none saves any.
 
-    `kept`: tokens at the prompt's start that the endpoint caches itself; `read_rate`: tokens a ms that it
-    reads.
+    `cached_tokens`: tokens at the prompt's start that the endpoint caches itself; `read_rate`: tokens a
+    ms that it reads.
     """
     best: Fetch | None = None
     largest_gain = 0.0
     for each in holders:
-        tokens = each.held - kept
+        tokens = each.held_tokens - cached_tokens
         if tokens <= 0 or each.address == address:
             continue
         link = min(each.link_mbps or link_mbps, link_mbps or each.link_mbps)
--- a/plumline/routing/prefix_homes.py
+++ b/plumline/routing/prefix_homes.py
@@ -3,8 +3,8 @@
 All routers choose the same one by rendezvous hashing, so that one endpoint reads a part first and the others
 can fetch it from there. A home is only preferred: another endpoint costs some ms more.
 
-The module also measures a router's recent work by prompt length (`Work`). Heartbeats report it, since their
-format requires it and routers of earlier releases allocate endpoints by it; this release does not.
+The module also measures a router's recent work by prompt length (`RecentWork`). Heartbeats report it, since
+their format requires it and routers of earlier releases allocate endpoints by it; this release does not.
 
 Pure; times are steady seconds, work is ms of endpoint time.
 """
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Work:
+class RecentWork:
     """This router's recent work by prompt length, decaying with WORK_TIME_CONSTANT_S."""
 
     short: float = 0.0
@@ -66,7 +66,7 @@
 class PrefixHomes:
     """The homes of one service's shared prompt parts, and this router's work at the service."""
 
-    work: Work = field(default_factory=Work)
+    work: RecentWork = field(default_factory=RecentWork)
     endpoints: list[str] = field(default_factory=list)  # ids of those that take requests
 
     def set_endpoints(self, ids: Iterable[str]) -> None:
--- a/plumline/routing/rollout_evidence.py
+++ b/plumline/routing/rollout_evidence.py
@@ -99,11 +99,11 @@
             service: trial for service, trial in self._trials.items() if targets.get(service) == trial.target
         }
 
-    def take_report(self, service: str, whole: bool) -> list[list[Any]]:
+    def take_report(self, service: str, complete: bool) -> list[list[Any]]:
         """[endpoint, route, answers, bad ones] of the keys that changed since the last report, or of all."""
         trial = self._trials.get(service)
         if trial is None:
             return []
-        keys = list(trial.tallies) if whole else sorted(trial.changed)
+        keys = list(trial.tallies) if complete else sorted(trial.changed)
         trial.changed.clear()
         return [[*key, *trial.tallies[key]] for key in keys]
--- a/plumline/routing/rollout_report.py
+++ b/plumline/routing/rollout_report.py
@@ -1,6 +1,6 @@
 """Reports of routers about a roll-out in progress, and their wire form.
 
-    ["rollout-report", node, life, {service: [target, stage, others_running, tallies]}]
+    ["rollout-report", node, incarnation, {service: [target, stage, others_running, tallies]}]
 
 with [endpoint, route, answers, bad] for each of the tallies.
 
@@ -52,20 +52,22 @@
     """One report message of a router."""
 
     node: str
-    life: int  # a new one after each start of the router's process
+    incarnation: int  # a new one after each start of the router's process
     services: dict[str, ServiceReport]
 
     def to_wire(self) -> list[Any]:
         """The message as plain values."""
         services = {service: report.to_wire() for service, report in self.services.items()}
-        return [ROLLOUT_REPORT_KIND, self.node, self.life, services]
+        return [ROLLOUT_REPORT_KIND, self.node, self.incarnation, services]
 
     @classmethod
     def from_wire(cls, message: list[Any]) -> "RolloutReport":
         """The report of a message. Raises ValueError, TypeError for one that is malformed."""
         match message:
-            case ["rollout-report", str(node), int(life), dict(services)]:
+            case ["rollout-report", str(node), int(incarnation), dict(services)]:
                 return cls(
-                    node, life, {name: ServiceReport.from_wire(each) for name, each in services.items()}
+                    node,
+                    incarnation,
+                    {name: ServiceReport.from_wire(each) for name, each in services.items()},
                 )
         raise ValueError("malformed roll-out report")
--- a/tests/dispatch_world.py
+++ b/tests/dispatch_world.py
@@ -167,7 +167,7 @@
         settings = Settings(
             "n", LOCAL, (1, 1), zone="z", bounds=Bounds(version_apply_ms=8000), first_start=True
         )
-        self.fleet.take_roster([each.entry() for each in peers])
+        self.fleet.set_roster([each.entry() for each in peers])
         self.dispatcher = Dispatcher(
             settings, self.fleet, self.counters, rng=random.Random(4), budget=budget or FixedBudget()
         )
--- a/tests/drain_world.py
+++ b/tests/drain_world.py
@@ -184,7 +184,7 @@
         fleet = self.router.fleet
         fleet.fresh, fleet.state, fleet.table = True, ReplicatedConfiguration(), RouteTable(configuration())
         endpoint = {"id": "e", "service": "s", "address": f"{ENDPOINT[0]}:{ENDPOINT[1]}", "zone": "z"}
-        fleet.take_roster([endpoint | {"slots": 64, "draining": False, "cold_ms": 0, "models": {}}])
+        fleet.set_roster([endpoint | {"slots": 64, "draining": False, "cold_ms": 0, "models": {}}])
         self.terminated_at = 0.0
         self.stopped = loop.create_task(self.router.lifecycle.run_until_stopped())
 
--- a/tests/test_answer_matching.py
+++ b/tests/test_answer_matching.py
@@ -58,7 +58,7 @@
         router = await start_router(document(Kind="non_idempotent"), first)
         assert (await router.ask())[0] == 200
         second = await ScriptedEndpoint("e2", answer()).start()
-        router.fleet.take_roster([first.entry(), second.entry(zone="far")])
+        router.fleet.set_roster([first.entry(), second.entry(zone="far")])
         assert (await router.ask())[0] == 502
         assert (first.connections, len(second.heads)) == (1, 0)
         # On a new connection it can only be the answer to this request.
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -35,13 +35,13 @@
         peer = ScriptedEndpoint("e1", answer())
         router = await start_router(document(), peer)
         dispatcher = router.dispatcher
-        router.fleet.fresh_at = dispatcher.clock() - 60.0
+        router.fleet.last_fresh_at = dispatcher.clock() - 60.0
         assert (await router.ask())[
             0
         ] == 200  # without `RevocationClosed`: served with the known configuration
         dispatcher.bounds = replace(dispatcher.bounds, revocation_closed=True, revocation_ms=5000)
         assert (await router.ask())[0] == 503
-        router.fleet.fresh_at = dispatcher.clock() - 3.0
+        router.fleet.last_fresh_at = dispatcher.clock() - 3.0
         assert (await router.ask())[0] == 200
         assert len(peer.heads) == 2
 
@@ -121,7 +121,7 @@
         router = await start_router(
             document(Kind="non_idempotent"), await ScriptedEndpoint("bad", REFUSAL).start()
         )
-        router.fleet.take_roster([*router.fleet.roster, good.entry(zone="far")])
+        router.fleet.set_roster([*router.fleet.roster, good.entry(zone="far")])
         assert (await router.ask())[0] == 200
         assert len(good.heads) == 1
 
@@ -205,7 +205,7 @@
         assert [(await router.ask())[0] for _ in range(3)] == [503] * 3
         assert len(stale.heads) == 1 and router.counters.get("stale-endpoint") == 1
         assert router.dispatcher.outcomes.breakers["old"].failures == 0
-        router.fleet.take_roster([stale.entry(id="new")])
+        router.fleet.set_roster([stale.entry(id="new")])
         stale.acts = [answer()]
         assert (await router.ask())[0] == 200
 
@@ -219,8 +219,8 @@
         for _ in range(3):
             await router.ask()
         before = [len(each.heads) for each in peers]
-        router.fleet.take_marks({"e1": {"moving": True}})
-        router.fleet.take_roster([peers[0].entry(draining=True), peers[1].entry(), peers[2].entry()])
+        router.fleet.set_marks({"e1": {"moving": True}})
+        router.fleet.set_roster([peers[0].entry(draining=True), peers[1].entry(), peers[2].entry()])
         assert [(await router.ask())[0] for _ in range(4)] == [200] * 4
         assert [len(each.heads) for each in peers] == [before[0], before[1], before[2] + 4]
 
@@ -233,10 +233,10 @@
         router = await start_router(document() | {"Tenants": TENANTS}, peer)
         router.fleet.table.services["st"] = RouteTable({"Version": 1, "Services": [STORE]}).services["st"]
         router.fleet.state = ReplicatedConfiguration(weight_versions={"m": 4}, shared_cache_generation=7)
-        router.fleet.take_roster([peer.entry(models={"m": 4})])
+        router.fleet.set_roster([peer.entry(models={"m": 4})])
         await router.ask(X_Api_Key="key-p", **MODEL)
         await router.ask(X_Api_Key="key-w", **MODEL)
-        router.fleet.take_roster([peer.entry(models={"m": 5})])
+        router.fleet.set_roster([peer.entry(models={"m": 5})])
         await router.ask(X_Api_Key="key-p", **MODEL)
         observed = [(h["cache-salt"], h["expect-version"], h["priority"]) for h in peer.heads]
         assert observed == [("v4w7", "4", "3"), ("v4t:walled", "4", "0"), ("v5w7", "5", "3")]
@@ -247,7 +247,7 @@
         # The part is already being saved, so it is not sent to the store again.
         await router.ask(X_Api_Key="key-p", **LONG)
         assert "kv-save" not in peer.heads[-1]
-        router.fleet.take_roster([peer.entry(models={})])
+        router.fleet.set_roster([peer.entry(models={})])
         router.fleet.state = ReplicatedConfiguration()
         await router.ask(X_Api_Key="key-p", **LONG)
         await router.ask(X_Api_Key="key-p", **LONG)
@@ -268,13 +268,13 @@
         router.dispatcher.clock = lambda: now + asyncio.get_running_loop().time()
         router.dispatcher.versions.update(0.0)
         router.fleet.state = ReplicatedConfiguration(weight_versions={"m": 2})
-        router.fleet.tell("configuration")
-        router.fleet.take_roster([old.entry(), new.entry(models={"m": 2})])
+        router.fleet.notify("configuration")
+        router.fleet.set_roster([old.entry(), new.entry(models={"m": 2})])
         late = {"Remaining_Milliseconds": "900000"}
         router.fleet.table = RouteTable(document(TimeoutMs=900_000))
-        router.fleet.take_roster([old.entry()])
+        router.fleet.set_roster([old.entry()])
         assert (await router.ask(**MODEL, **late))[0] == 200
-        router.fleet.take_roster([old.entry(), new.entry(models={"m": 2})])
+        router.fleet.set_roster([old.entry(), new.entry(models={"m": 2})])
         for _ in range(3):  # to the endpoint with an idle connection: newer weights do not outweigh it
             assert (await router.ask(**MODEL, **late))[0] == 200
         assert (len(old.heads), len(new.heads)) == (4, 0)
@@ -286,7 +286,7 @@
             assert (await router.ask(**MODEL, **late))[0] == 200
         assert (len(old.heads), len(new.heads)) == (before[0], before[1] + 10)
         assert {head["expect-version"] for head in new.heads} == {"2"}
-        router.fleet.take_roster([old.entry()])
+        router.fleet.set_roster([old.entry()])
         assert (await router.ask(**MODEL, **late))[0] == 503
         assert len(old.heads) == before[0]
 
@@ -403,7 +403,7 @@
         assert not peer.heads
         router.fleet.state = ReplicatedConfiguration()
         router.fleet.table = RouteTable(document())
-        router.fleet.tell("configuration")
+        router.fleet.notify("configuration")
         assert (await early)[0] == 200
 
     run_with_timeout(work())
--- a/tests/test_isolation.py
+++ b/tests/test_isolation.py
@@ -56,7 +56,7 @@
         self.state = self.state.apply(["replace", version - 1, new])
         fleet = self.router.fleet
         fleet.state, fleet.table = self.state, RouteTable(new)
-        fleet.tell("configuration")
+        fleet.notify("configuration")
 
 
 async def router_and_operator(*peers: ScriptedEndpoint, **route: object) -> tuple[Router, Operator]:
--- a/tests/test_prefix_cache_index.py
+++ b/tests/test_prefix_cache_index.py
@@ -16,7 +16,7 @@
     Placement,
     PrefixCacheIndex,
 )
-from plumline.routing.prefix_fetch import SETUP_MS, Holder, best_fetch
+from plumline.routing.prefix_fetch import SETUP_MS, PrefixHolder, best_fetch
 from plumline.routing.prefix_homes import MIN_RATE_SPAN_S, WORK_TIME_CONSTANT_S, PrefixHomes, is_long
 
 A, B = ("10.0.0.1", 1), ("10.0.0.2", 1)
@@ -139,22 +139,25 @@
 
 
 def test_the_fetch_source_that_saves_most_is_chosen_and_none_where_reading_is_faster() -> None:
-    def fetch(*holders: Holder, kept: int = 0, zone: str = "z1"):  # noqa: ANN202
+    def fetch(*holders: PrefixHolder, kept: int = 0, zone: str = "z1"):  # noqa: ANN202
         regions = {"z1": "r1", "z2": "r1", "z3": "r2"}
         return best_fetch(holders, A, zone, kept, 163_840, 1_100_000, 61.2, regions)
 
-    peer, store = Holder(B, "z1", 13_300, 1_100_000), Holder(("10.9.9.9", 1), "z1", 13_300, 300_000)
+    peer, store = (
+        PrefixHolder(B, "z1", 13_300, 1_100_000),
+        PrefixHolder(("10.9.9.9", 1), "z1", 13_300, 300_000),
+    )
     best = fetch(store, peer)
     assert best is not None and best.source == B and best.tokens == 13_300
     assert math.isclose(best.ms, SETUP_MS + 13_300 * 163_840 * 8 / 1.1e9)
     # Farther away it takes longer, and from another region longer than reading.
-    assert fetch(Holder(B, "z2", 13_300, 1_100_000)).ms > best.ms
-    assert fetch(Holder(B, "z3", 13_300, 300_000)) is None
+    assert fetch(PrefixHolder(B, "z2", 13_300, 1_100_000)).ms > best.ms
+    assert fetch(PrefixHolder(B, "z3", 13_300, 300_000)) is None
     # No fetch of cached tokens, from the endpoint itself, over a link of unknown speed, or of a few tokens.
     assert fetch(peer, kept=13_300) is None
-    assert fetch(Holder(A, "z1", 13_300, 1_100_000)) is None
-    assert best_fetch([Holder(B, "z1", 9000, 0)], A, "z1", 0, 163_840, 0, 61.2, {}) is None
-    assert fetch(Holder(B, "z1", 60, 1_100_000)) is None
+    assert fetch(PrefixHolder(A, "z1", 13_300, 1_100_000)) is None
+    assert best_fetch([PrefixHolder(B, "z1", 9000, 0)], A, "z1", 0, 163_840, 0, 61.2, {}) is None
+    assert fetch(PrefixHolder(B, "z1", 60, 1_100_000)) is None
 
 
 def homes_of(count: int) -> PrefixHomes:
--- a/tests/test_reserved_share.py
+++ b/tests/test_reserved_share.py
@@ -256,7 +256,7 @@
         assert found.count(429) > 20
         # A new configuration without a reserved share ends the refusals.
         router.fleet.table = RouteTable(with_tenants(*PLAIN) | {"Version": 2})
-        router.fleet.tell("configuration")
+        router.fleet.notify("configuration")
         assert (await send_request(router, clock, "key-o", 2000))[0] == 200
         assert router.dispatcher.quotas.check(clock(), "s", "other", (9e9, 0.0), 1) is NOT_IN_SURGE
 
@@ -267,7 +267,7 @@
     async def work() -> None:
         router, clock, _ = await start_with_tenants(TENANTS)
         overloaded = await ScriptedEndpoint("full", REFUSAL).start()
-        router.fleet.take_roster([overloaded.entry()])
+        router.fleet.set_roster([overloaded.entry()])
         for _ in range(10):
             assert (await send_request(router, clock, "key-l", 1000))[0] == 503
         assert router.dispatcher.quotas.services["s"].strain > 0
--- a/tests/test_rollout_requests.py
+++ b/tests/test_rollout_requests.py
@@ -43,12 +43,12 @@
 
     def list_endpoints(self) -> None:
         entries = [self.old.entry(version="v1"), self.new.entry(version="v2")]
-        self.router.fleet.take_roster(entries)
+        self.router.fleet.set_roster(entries)
 
     def publish(self) -> None:
         fleet = self.router.fleet
         fleet.state = self.state
-        fleet.tell("configuration")
+        fleet.notify("configuration")
 
     def advance(self, stage: RolloutStage) -> None:
         self.state = self.state.apply(AdvanceRollout("s", "v2", stage, 1, 0).to_change())
@@ -56,7 +56,7 @@
 
     def grant(self, share: float, stage: RolloutStage = RolloutStage.CANARY) -> None:
         grant = RolloutGrant("v2", stage, share, None)
-        self.router.fleet.take_grants({"s": grant.to_wire()})
+        self.router.fleet.set_grants({"s": grant.to_wire()})
 
     async def ask(self, count: int = REQUESTS) -> None:
         for number in range(count):
@@ -158,7 +158,7 @@
         evidence.observe(timed_answer(50.0), TRIAL)
     for each in answers:
         evidence.observe(each, TRIAL)
-    return {endpoint: counts for endpoint, _, *counts in evidence.take_report("s", whole=True)}
+    return {endpoint: counts for endpoint, _, *counts in evidence.take_report("s", complete=True)}
 
 
 def test_an_answer_that_takes_several_times_the_usual_is_bad() -> None:
@@ -180,13 +180,13 @@
 def test_a_report_contains_changed_counts_and_a_complete_one_all() -> None:
     evidence = RolloutEvidence()
     evidence.observe(timed_answer(50.0), TRIAL)
-    assert evidence.take_report("s", whole=False) == [["", "r", 1, 0]]
+    assert evidence.take_report("s", complete=False) == [["", "r", 1, 0]]
     evidence.observe(timed_answer(50.0, "new", failed=True), TRIAL)
-    assert evidence.take_report("s", whole=False) == [["new", "r", 1, 1]]
-    assert evidence.take_report("s", whole=False) == []
-    assert len(evidence.take_report("s", whole=True)) == 2
+    assert evidence.take_report("s", complete=False) == [["new", "r", 1, 1]]
+    assert evidence.take_report("s", complete=False) == []
+    assert len(evidence.take_report("s", complete=True)) == 2
     evidence.retain({"s": "v3"})
-    assert evidence.take_report("s", whole=True) == []
+    assert evidence.take_report("s", complete=True) == []
 
 
 def test_reports_keep_their_wire_form_and_malformed_ones_are_rejected() -> None:
--- a/tests/test_subscriber.py
+++ b/tests/test_subscriber.py
@@ -110,12 +110,12 @@
     link.send(["entry", 6, ["weights", {"Model": "m", "Version": 9}]])
     link.send(["topic", "roster", [1, 1], []])
     await soon(wait_until(lambda: "roster" in feed_subscriber.soft_state.values))
-    assert (fleet.place, fleet.state.version, fleet.acknowledged_version("m")) == (6, 3, 2)
+    assert (fleet.applied_index, fleet.state.version, fleet.acknowledged_version("m")) == (6, 3, 2)
     # After a gap the missing entries are requested again.
     link.send(["entry", 9, ["weights", {"Model": "m", "Version": 4}]])
     assert await soon(registrar.received.get()) == ["follow", 0]
     assert await soon(registrar.received.get()) == ["follow", 6]
-    assert fleet.place == 6
+    assert fleet.applied_index == 6
     feed_subscriber.close()
     registrar.close()
 
@@ -171,7 +171,7 @@
     await soon(registrar.up.wait())
     registrar.links[0].send(["state", 5, {"not": "a state"}])
     await soon(wait_until(lambda: registrar.ended_links == 1))
-    assert (fleet.place, fleet.state) == (0, None)
+    assert (fleet.applied_index, fleet.state) == (0, None)
     assert counters.get("frames.frame-invalid") == 1
     feed_subscriber.close()
     registrar.close()
@@ -189,7 +189,7 @@
     first.links[0].send(["beat", True, 5, registrars, 4, {}])
     await soon(wait_until(lambda: feed_subscriber.primary is not None))
     first.links[0].send(["state", 5, ReplicatedConfiguration().apply(["replace", 0, DOCUMENT]).to_wire()])
-    await soon(wait_until(lambda: fleet.place == 5))
+    await soon(wait_until(lambda: fleet.applied_index == 5))
     feed_subscriber.reconcile_sources(feed_subscriber.loop.time())
     await soon(second.up.wait())
     second.links[0].send(["beat", True, 5, registrars, 4, {}])
@@ -242,7 +242,7 @@
     # The known configuration may be outdated, so no request may be denied by it.
     assert not fleet.fresh
     second.links[0].send(["entry", 6, ["weights", {"Model": "m", "Version": 2}]])
-    await soon(wait_until(lambda: fleet.place == 6))
+    await soon(wait_until(lambda: fleet.applied_index == 6))
     feed_subscriber.reconcile_sources(now + subscriber.LAG_TIMEOUT_S + 0.2)
     assert fleet.fresh
     feed_subscriber.close()
@@ -285,7 +285,7 @@
     feed_subscriber.reconcile_sources(feed_subscriber.loop.time())
     assert feed_subscriber.primary is not None and feed_subscriber.primary.address.startswith("127.0.0.2")
     assert await take_received(second) == [["follow", 5], ["primary", True]]
-    assert fleet.place == 5
+    assert fleet.applied_index == 5
     feed_subscriber.close()
     first.close()
     second.close()
@@ -302,14 +302,14 @@
     link.send(heartbeat_message(2, registrar))
     link.send(["entry", 1, ["replace", 0, DOCUMENT]])
     await soon(wait_until(lambda: feed_subscriber.applied_index == 1))
-    assert (fleet.state, fleet.table, fleet.place) == (None, None, 0)
+    assert (fleet.state, fleet.table, fleet.applied_index) == (None, None, 0)
     link.send(["entry", 2, ["amend", 3, {"Version": 4}]])
-    await soon(wait_until(lambda: fleet.place == 2))
+    await soon(wait_until(lambda: fleet.applied_index == 2))
     assert (fleet.state.version, fleet.table.version) == (4, 4)
     # From then on each entry is applied as it arrives.
     link.send(heartbeat_message(9, registrar))
     link.send(["entry", 3, ["amend", 4, {"Version": 5}]])
-    await soon(wait_until(lambda: fleet.place == 3))
+    await soon(wait_until(lambda: fleet.applied_index == 3))
     assert (fleet.state.version, fleet.table.version) == (5, 5)
     feed_subscriber.close()
     registrar.close()
--- a/tests/wire_world.py
+++ b/tests/wire_world.py
@@ -625,7 +625,7 @@
             loop.listeners["10.0.1.1", 1000 + refusing] = None
         for number in range(self.unreachable):
             loop.listeners.pop(("10.0.1.1", 1000 + number), None)
-        fleet.take_roster(roster)
+        fleet.set_roster(roster)
         self.dispatcher = Dispatcher(
             settings, fleet, Counters(), loop.time, random.Random(4), budget=self.retry_budget
         )
