--- a/plumline/router/request_handler.py
+++ b/plumline/router/request_handler.py
@@ -47,15 +47,15 @@
         try:
             if not self.router.initialized.is_set():
                 await self.wait_until_initialized()
-                if self.finished or exchange.gone:
+                if self.finished or exchange.client_gone:
                     return
             admitted = admit(self.router, exchange, self.id)
             if isinstance(admitted, Denial):
                 self.answer(admitted.status, admitted.name, admitted.retry_after_s)
                 return
             self.quota_status = admitted.quota_status
-            exchange.on_gone = self.on_client_gone
-            progress.client_left = exchange.gone
+            exchange.on_client_gone = self.on_client_gone
+            progress.client_left = exchange.client_gone
             left = admitted.deadline - self.router.clock()
             self.timer = asyncio.get_running_loop().call_later(max(left, 0), self.on_deadline)
             await self.run_attempts(admitted)
@@ -68,7 +68,7 @@
         finally:
             if self.timer:
                 self.timer.cancel()
-            exchange.on_gone = None
+            exchange.on_client_gone = None
 
     async def wait_until_initialized(self) -> None:
         """Waits for the configuration and the endpoints in a process that has just started. They arrive in a
@@ -107,7 +107,7 @@
         """Ends the request as the process stops: sends the final answer, or aborts one that has begun."""
         progress = self.progress
         progress.expired = True
-        if not (self.exchange.done or self.exchange.gone):
+        if not (self.exchange.done or self.exchange.client_gone):
             progress.may_have_run = progress.may_have_run or progress.connection is not None
             self.send_final_answer()
         if progress.connection:
