--- a/tests/test_read_rates.py
+++ b/tests/test_read_rates.py
@@ -17,46 +17,44 @@
 ANSWERS = 40  # of the service, within which the estimate must adapt
 
 
-def observe(
-    rates: ServiceReadRates, endpoint: str, rate: float, base_ms: float, chance: random.Random
-) -> None:
+def observe(rates: ServiceReadRates, endpoint: str, rate: float, base_ms: float, rng: random.Random) -> None:
     """Observes a prompt of random size at an endpoint that reads `rate` tokens a ms, with other delays."""
-    tokens = chance.uniform(2_000, 40_000)
-    rates.observe(endpoint, tokens, base_ms + tokens / rate + chance.uniform(0, 30))
+    tokens = rng.uniform(2_000, 40_000)
+    rates.observe(endpoint, tokens, base_ms + tokens / rate + rng.uniform(0, 30))
 
 
 @pytest.mark.parametrize("rate", [START_TOKENS_PER_MS / 3, 61.2, 157.0, START_TOKENS_PER_MS * 3])
 def test_the_estimate_adapts_to_the_rate_of_an_engine_within_some_answers(rate: float) -> None:
-    rates, chance = ServiceReadRates(), random.Random(1)
+    rates, rng = ServiceReadRates(), random.Random(1)
     for number in range(ANSWERS):
-        observe(rates, f"e{number % 8}", rate, 40.0, chance)
+        observe(rates, f"e{number % 8}", rate, 40.0, rng)
     assert rates.typical() == pytest.approx(rate, rel=0.15)
     assert rates.of("never seen") == rates.typical()
 
 
 def test_endpoints_of_one_service_get_different_rates() -> None:
-    rates, chance = ServiceReadRates(), random.Random(2)
+    rates, rng = ServiceReadRates(), random.Random(2)
     for _ in range(ANSWERS):
-        observe(rates, "fast", 157.0, 30.0, chance)
-        observe(rates, "slow", 157.0 / 3, 30.0, chance)
+        observe(rates, "fast", 157.0, 30.0, rng)
+        observe(rates, "slow", 157.0 / 3, 30.0, rng)
     assert rates.of("fast") > 2 * rates.of("slow")
 
 
 def test_noise_does_not_make_an_endpoint_seem_far_faster_than_the_others() -> None:
     """Guards against sending all prompts to an endpoint whose short prompts were slow and long ones fast."""
-    rates, chance = ServiceReadRates(), random.Random(4)
+    rates, rng = ServiceReadRates(), random.Random(4)
     for _ in range(ANSWERS):
-        observe(rates, "usual", 150.0, 30.0, chance)
+        observe(rates, "usual", 150.0, 30.0, rng)
     for tokens, ms in ((3_000, 400.0), (20_000, 140.0), (3_000, 400.0), (30_000, 220.0)):
         rates.observe("odd", tokens, ms)
     assert rates.of("odd") < 2 * rates.of("usual")
 
 
 def test_old_observations_decay_and_those_of_an_unlisted_endpoint_are_dropped() -> None:
-    rates, chance = ServiceReadRates(), random.Random(3)
+    rates, rng = ServiceReadRates(), random.Random(3)
     for rate in (300.0, 30.0):
         for _ in range(2 * ANSWERS):
-            observe(rates, "e", rate, 30.0, chance)
+            observe(rates, "e", rate, 30.0, rng)
         assert rates.of("e") == pytest.approx(rate, rel=0.2)
     rates.retain([])
     assert rates.of("e") == rates.typical()
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -42,7 +42,7 @@
         connection: EndpointConnection, asked: ClientRequest, arrival: Arrival, headers: Headers
     ) -> None:
         ends.append((asked.sent_at + TIMEOUT_S, arrival.at + int(headers[b"remaining-milliseconds"]) / 1000))
-        await asyncio.sleep(connection.chance.uniform(0.3, 0.9))
+        await asyncio.sleep(connection.rng.uniform(0.3, 0.9))
         lines = [b"Attempt-Id: " + asked.id.encode(), b"Not-Executed: 1"]
         await send_in_parts(connection, Answer(503, b"", lines).framed())
 
--- a/tests/test_reserved_quota.py
+++ b/tests/test_reserved_quota.py
@@ -53,11 +53,11 @@
 
 @given(CAPACITY, ASKED, PARTS, st.randoms())
 def test_the_order_of_tenants_does_not_matter(
-    capacity: float, asked: dict[str, float], parts: dict[str, float], chance: random.Random
+    capacity: float, asked: dict[str, float], parts: dict[str, float], rng: random.Random
 ) -> None:
     reserved = {tenant: part * capacity for tenant, part in parts.items()}
     mixed = list(asked)
-    chance.shuffle(mixed)
+    rng.shuffle(mixed)
     other = max_min_allocation(capacity, {tenant: asked[tenant] for tenant in mixed}, reserved)
     assert other == pytest.approx(max_min_allocation(capacity, asked, reserved), rel=1e-6, abs=1e-6)
 
@@ -179,7 +179,7 @@
         self.admitted: dict[str, float] = Counter()
         self.refused: Counter[str] = Counter()
         self.over_share: dict[str, float] = Counter()  # ms of requests that were sent although over the share
-        self.chance = random.Random(5)
+        self.rng = random.Random(5)
 
     def ask(self, router: int, tenant: str, ms: float) -> QuotaStatus:
         each = self.each[router]
@@ -199,8 +199,8 @@
         total = sum(rates.values()) / ms
         ends = self.now + seconds
         while self.now < ends:
-            self.now += self.chance.expovariate(total)
-            tenant = self.chance.choices(list(rates), list(rates.values()))[0]
+            self.now += self.rng.expovariate(total)
+            tenant = self.rng.choices(list(rates), list(rates.values()))[0]
             self.ask(to(), tenant, ms)
             if self.reporting and self.now - self.reported_at >= 1.0:
                 self.reported_at = self.now
@@ -209,7 +209,7 @@
                     each.set_fleet_report(self.now, "s", demand)
 
     def anywhere(self) -> int:
-        return self.chance.randrange(len(self.each))
+        return self.rng.randrange(len(self.each))
 
 
 RESERVED = {"library": 0.3, "guides": 0.2}
@@ -220,7 +220,7 @@
     fleet = Routers(3, RESERVED)
     for _ in range(2000):
         fleet.now += 0.08
-        assert fleet.ask(fleet.anywhere(), fleet.chance.choice("abc"), 30.0) is NOT_IN_SURGE
+        assert fleet.ask(fleet.anywhere(), fleet.rng.choice("abc"), 30.0) is NOT_IN_SURGE
 
 
 @pytest.mark.parametrize("reporting", [True, False], ids=["told", "untold"])
@@ -246,8 +246,8 @@
 def test_a_share_holds_for_the_fleet_however_a_flood_is_spread_over_the_routers() -> None:
     fleet = Routers(4, RESERVED)
     uneven = [0, 0, 0, 0, 0, 0, 0, 1, 1, 2, 3]
-    fleet.run(10, USUAL | {"other": 4000.0}, 30.0, lambda: fleet.chance.choice(uneven))
-    fleet.run(20, USUAL | {"other": 4000.0}, 30.0, lambda: fleet.chance.choice(uneven))
+    fleet.run(10, USUAL | {"other": 4000.0}, 30.0, lambda: fleet.rng.choice(uneven))
+    fleet.run(20, USUAL | {"other": 4000.0}, 30.0, lambda: fleet.rng.choice(uneven))
     left = fleet.capacity - USUAL["library"] - USUAL["guides"]
     assert fleet.admitted["other"] / 20 < 1.25 * left
     assert fleet.refused["library"] + fleet.refused["guides"] <= 2
--- a/tests/wire_world.py
+++ b/tests/wire_world.py
@@ -151,7 +151,7 @@
     transport: MemoryTransport
 
     def __init__(self, world: "World", endpoint: str) -> None:
-        self.world, self.endpoint, self.chance = world, endpoint, world.chance
+        self.world, self.endpoint, self.rng = world, endpoint, world.rng
         self.buffer = bytearray()
         self.refused_early = False  # the current request was refused before its body had arrived
         self.arrival: Arrival | None = None  # the request in progress
@@ -161,19 +161,19 @@
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
-        if self.chance.random() < 0.1:  # idle connections may close at any time
-            self.world.loop.call_later(self.chance.uniform(0.0, 3.0), self.close_if_idle)
+        if self.rng.random() < 0.1:  # idle connections may close at any time
+            self.world.loop.call_later(self.rng.uniform(0.0, 3.0), self.close_if_idle)
 
     def close_if_idle(self) -> None:
         if self.task is None:
-            self.transport.close() if self.chance.random() < 0.5 else self.transport.abort()
+            self.transport.close() if self.rng.random() < 0.5 else self.transport.abort()
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, error: BaseException | None) -> None:
         self.finish_arrival()
-        if self.task and not self.task.done() and not error and self.chance.random() < 0.2:
+        if self.task and not self.task.done() and not error and self.rng.random() < 0.2:
             return  # some endpoints continue for a disconnected caller
         if self.task:
             self.task.cancel()
@@ -199,7 +199,7 @@
         body = bytes(self.buffer[end + 4 : end + 4 + length])
         id_ = headers.get(b"attempt-id", b"").decode()
         if len(body) < length:
-            if not self.refused_early and self.chance.random() < 0.2:
+            if not self.refused_early and self.rng.random() < 0.2:
                 self.refused_early = True
                 self.send_early_refusal(id_)
             return
@@ -217,9 +217,9 @@
         """Responds before the request is complete; the rest of it is still read."""
         refusal = Answer(503, b"", [b"Attempt-Id: " + id_.encode(), b"Not-Executed: 1"])
         self.send(refusal.framed())
-        if self.chance.random() < 0.3:
+        if self.rng.random() < 0.3:
             self.transport.pause_reading()
-            self.world.loop.call_later(self.chance.uniform(0.0, 1.0), self.transport.resume_reading)
+            self.world.loop.call_later(self.rng.uniform(0.0, 1.0), self.transport.resume_reading)
 
     def send_surplus(self, data: bytes) -> None:
         """Sends surplus bytes, but not within another response, where they could not be distinguished."""
@@ -236,7 +236,7 @@
         if self.delayed_surplus:
             self.transport.write(self.delayed_surplus)
             self.delayed_surplus = b""
-        await asyncio.sleep(self.chance.choice([0.0, 0.002, 0.02]))
+        await asyncio.sleep(self.rng.choice([0.0, 0.002, 0.02]))
         request = self.world.requests.get(arrival.id)
         if request is None:
             self.transport.abort()
@@ -276,27 +276,27 @@
 
 async def send_in_parts(connection: EndpointConnection, data: bytes) -> None:
     """Sends the bytes in several parts with pauses."""
-    chance = connection.chance
-    for _ in range(chance.randrange(4)):
-        at = chance.randrange(len(data) + 1)
+    rng = connection.rng
+    for _ in range(rng.randrange(4)):
+        at = rng.randrange(len(data) + 1)
         connection.transport.write(data[:at])
         data = data[at:]
-        await asyncio.sleep(chance.choice([0.0, 0.002, 0.05]))
+        await asyncio.sleep(rng.choice([0.0, 0.002, 0.05]))
     connection.transport.write(data)
 
 
 async def answer_correctly(
     connection: EndpointConnection, request: ClientRequest, arrival: Arrival, headers: Headers
 ) -> None:
-    chance = connection.chance
+    rng = connection.rng
     answer = start_response(connection, request, arrival, headers)
-    if chance.random() < 0.1:
+    if rng.random() < 0.1:
         answer.headers.append(b"Connection: close")
-    if chance.random() < 0.3:
-        answer.headers.append(b"Keep-Alive: timeout=%d" % chance.randrange(5))
-    data = answer.framed(chance.choice([0, 7, 40, 1000]))
-    if chance.random() < 0.1:
-        data = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" * chance.randrange(1, 4) + data
+    if rng.random() < 0.3:
+        answer.headers.append(b"Keep-Alive: timeout=%d" % rng.randrange(5))
+    data = answer.framed(rng.choice([0, 7, 40, 1000]))
+    if rng.random() < 0.1:
+        data = b"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" * rng.randrange(1, 4) + data
     arrival.sent_body = answer.body
     await send_in_parts(connection, data)
     connection.last_response = data
@@ -309,7 +309,7 @@
 ) -> None:
     """A correct response after a delay that may exceed the timeout of the route."""
     arrival.ran = True
-    await asyncio.sleep(connection.chance.uniform(0.2, 1.1 * TIMEOUT_S))
+    await asyncio.sleep(connection.rng.uniform(0.2, 1.1 * TIMEOUT_S))
     await answer_correctly(connection, request, arrival, headers)
 
 
@@ -317,9 +317,9 @@
     connection: EndpointConnection, request: ClientRequest, arrival: Arrival, headers: Headers
 ) -> None:
     """A correct response and surplus bytes: at once, soon, or when the next request arrives."""
-    chance = connection.chance
+    rng = connection.rng
     answer = start_response(connection, request, arrival, headers)
-    surplus = chance.choice(
+    surplus = rng.choice(
         [
             answer.framed(),
             b"HTTP/1.1 421 It\r\nContent-Length: 0\r\n\r\n",
@@ -332,14 +332,14 @@
         ]
     )
     arrival.sent_body = answer.body
-    when = chance.randrange(4)
-    data = answer.framed(chance.choice([0, 9]))
+    when = rng.randrange(4)
+    data = answer.framed(rng.choice([0, 9]))
     if when == 0:
         await send_in_parts(connection, data + surplus)
     else:
         await send_in_parts(connection, data)
         if when == 1:
-            delay = chance.choice([0.0, 0.0005, 0.001, 0.002, 0.003, 0.1])
+            delay = rng.choice([0.0, 0.0005, 0.001, 0.002, 0.003, 0.1])
             connection.world.loop.call_later(delay, connection.send_surplus, surplus)
         else:
             connection.delayed_surplus = surplus
@@ -349,14 +349,14 @@
     connection: EndpointConnection, request: ClientRequest, arrival: Arrival, headers: Headers
 ) -> None:
     """The connection closes or stalls somewhere in the response."""
-    chance = connection.chance
+    rng = connection.rng
     answer = start_response(connection, request, arrival, headers)
-    data = answer.framed(chance.choice([0, 7, 40]))
-    cut = chance.choice([0, len(answer.head()), len(data) - 5, len(data) - 2, len(data) - 1])
-    if chance.random() < 0.6:
-        cut = chance.randrange(len(data))
+    data = answer.framed(rng.choice([0, 7, 40]))
+    cut = rng.choice([0, len(answer.head()), len(data) - 5, len(data) - 2, len(data) - 1])
+    if rng.random() < 0.6:
+        cut = rng.randrange(len(data))
     await send_in_parts(connection, data[: max(cut, 0)])
-    end = chance.random()
+    end = rng.random()
     if end < 0.4:
         connection.transport.close()
     elif end < 0.8:
@@ -371,17 +371,17 @@
     """A response without a length, which ends when the connection closes, unless that is reset."""
     answer = start_response(connection, request, arrival, headers)
     data = answer.head() + answer.body
-    end = connection.chance.random()
+    end = connection.rng.random()
     if end < 0.5:
         arrival.sent_body = answer.body
         await send_in_parts(connection, data)
         connection.transport.close()
     elif end < 0.7 and request.route in STREAMS and answer.body:
         # A regular close within the last event.
-        await send_in_parts(connection, data[: -connection.chance.randrange(1, 12)])
+        await send_in_parts(connection, data[: -connection.rng.randrange(1, 12)])
         connection.transport.close()
     else:
-        await send_in_parts(connection, data[: len(data) - connection.chance.randrange(len(answer.body) + 1)])
+        await send_in_parts(connection, data[: len(data) - connection.rng.randrange(len(answer.body) + 1)])
         connection.transport.abort()
 
 
@@ -389,11 +389,11 @@
     connection: EndpointConnection, request: ClientRequest, arrival: Arrival, headers: Headers
 ) -> None:
     """The request is executed, but the response is malformed, belongs to another request or is a failure."""
-    chance = connection.chance
+    rng = connection.rng
     answer = start_response(connection, request, arrival, headers)
-    wrong = chance.randrange(10)
+    wrong = rng.randrange(10)
     if wrong == 0:
-        answer.headers[0] = b"Attempt-Id: %016x" % chance.getrandbits(64)
+        answer.headers[0] = b"Attempt-Id: %016x" % rng.getrandbits(64)
     elif wrong == 1:
         del answer.headers[0]
     elif wrong == 2:
@@ -401,10 +401,10 @@
     elif wrong == 3:
         answer.headers.append(b"Content-Encoding: gzip")
     elif wrong == 4:
-        answer.status = chance.choice([500, 502, 504])
+        answer.status = rng.choice([500, 502, 504])
     elif wrong == 5:
         # Without Not-Executed.
-        answer.status = chance.choice(NOT_EXECUTED_STATUSES[:1] + NOT_EXECUTED_STATUSES[2:])
+        answer.status = rng.choice(NOT_EXECUTED_STATUSES[:1] + NOT_EXECUTED_STATUSES[2:])
     elif wrong == 6:
         answer.headers.append(b"Transfer-Encoding: chunked")
     elif wrong == 7 and connection.last_response:
@@ -421,17 +421,17 @@
             return
         answer = Answer(200, b"", [])
     arrival.sent_body = answer.body if wrong in (4, 5) else None
-    await send_in_parts(connection, answer.framed(0 if wrong == 6 else chance.choice([0, 9])))
+    await send_in_parts(connection, answer.framed(0 if wrong == 6 else rng.choice([0, 9])))
 
 
 async def refuse_unexecuted(
     connection: EndpointConnection, request: ClientRequest, arrival: Arrival, headers: Headers
 ) -> None:
     """The request is not executed, and the response proves it."""
-    chance = connection.chance
+    rng = connection.rng
     proof = b"Not-Executed: 1"
     lines = [b"Attempt-Id: " + request.id.encode()]
-    answer = chance.choice(
+    answer = rng.choice(
         [
             Answer(503, b"full", [*lines, proof, b"Retry-After: 0.05"]),
             Answer(503, b"", [*lines, proof]),
@@ -441,9 +441,9 @@
             Answer(421, b"", lines),
         ]
     )
-    data = answer.framed(chance.choice([0, 3]))
+    data = answer.framed(rng.choice([0, 3]))
     arrival.sent_body = answer.body
-    if chance.random() < 0.2:  # the proof is in the head, so the body may be cut
+    if rng.random() < 0.2:  # the proof is in the head, so the body may be cut
         await send_in_parts(connection, data[: len(data) - (1 if answer.body else 0)])
         connection.transport.abort()
     else:
@@ -458,12 +458,12 @@
         await answer_correctly(connection, request, arrival, headers)
         return
     answer = start_response(connection, request, arrival, headers)
-    if connection.chance.random() < 0.5:
+    if connection.rng.random() < 0.5:
         answer.body = b"".join(request.event(n, "") for n in range(1, request.event_count + 1))
     else:
         answer.headers[2] = b"Content-Type: text/html"
         answer.body = b"<p>sorry</p>\n\n"
-    await send_in_parts(connection, answer.framed(connection.chance.choice([0, 11])))
+    await send_in_parts(connection, answer.framed(connection.rng.choice([0, 11])))
 
 
 BEHAVIOURS: list[tuple[Behaviour, int]] = [
@@ -576,8 +576,8 @@
         self, seed: int, behaviours: list[tuple[Behaviour, int]] | None = None, unreachable: int | None = None
     ) -> None:
         """`unreachable`: the number of endpoints to which connections never open."""
-        self.chance = random.Random(seed)
-        self.unreachable = self.chance.choice([0, 0, 0, 1]) if unreachable is None else unreachable
+        self.rng = random.Random(seed)
+        self.unreachable = self.rng.choice([0, 0, 0, 1]) if unreachable is None else unreachable
         self.behaviours = behaviours or BEHAVIOURS
         self.requests: dict[str, ClientRequest] = {}
         self.arrivals: list[Arrival] = []
@@ -591,7 +591,7 @@
 
     def draw_behaviour(self, request: ClientRequest) -> Behaviour:
         behaviours, weights = zip(*self.behaviours, strict=True)
-        return self.chance.choices(behaviours, weights)[0]
+        return self.rng.choices(behaviours, weights)[0]
 
     def arrived(self, arrival: Arrival, first: bytes, body: bytes) -> None:
         self.arrivals.append(arrival)
@@ -620,7 +620,7 @@
             text = f"{address[0]}:{address[1]}"
             roster.append({"id": name, "service": "s", "address": text, "zone": "z", "slots": 8})
             roster[-1] |= {"draining": False, "cold_ms": 0, "models": {}}
-        refusing = self.chance.randrange(3 * ENDPOINTS)
+        refusing = self.rng.randrange(3 * ENDPOINTS)
         if refusing < ENDPOINTS:
             loop.listeners["10.0.1.1", 1000 + refusing] = None
         for number in range(self.unreachable):
@@ -643,39 +643,39 @@
             self.fault("connections counted wrong")
 
     def new_request(self) -> ClientRequest:
-        id_ = f"{self.chance.getrandbits(64):016x}"
-        route = self.chance.choice(list(ROUTES))
-        size = self.chance.choice([0, 10, 3000, 9000])
+        id_ = f"{self.rng.getrandbits(64):016x}"
+        route = self.rng.choice(list(ROUTES))
+        size = self.rng.choice([0, 10, 3000, 9000])
         body = (id_ * (size // 16 + 1)).encode()[:size]
         return ClientRequest(id_, route, body, self.loop.time())
 
     async def run_client(self, number: int) -> None:
-        chance, connection = self.chance, None
-        await asyncio.sleep(chance.uniform(0, 0.3))
+        rng, connection = self.rng, None
+        await asyncio.sleep(rng.uniform(0, 0.3))
         for _ in range(REQUESTS_EACH):
-            if connection is None or connection.transport.is_closing() or chance.random() < 0.3:
+            if connection is None or connection.transport.is_closing() or rng.random() < 0.3:
                 if connection is not None:
                     connection.transport.close()
                 connection = ClientConnection(self)
                 virtual_net.connect(self.loop, connection, Connection(self.server))
-            at_once = [self.new_request() for _ in range(1 if chance.random() < 0.8 else 2)]
+            at_once = [self.new_request() for _ in range(1 if rng.random() < 0.8 else 2)]
             data = b"".join(connection.encode_request(each) for each in at_once)
-            incomplete = chance.random() < 0.1
+            incomplete = rng.random() < 0.1
             if incomplete:  # a request that stays incomplete
                 data += b"POST /once/never HTTP/1.1\r\nHost: h.example\r\nAttempt-Id: never\r\nContent-Le"
-            cut = chance.randrange(len(data))
+            cut = rng.randrange(len(data))
             connection.transport.write(data[:cut])
-            await asyncio.sleep(chance.choice([0.0, 0.0, 0.01]))
+            await asyncio.sleep(rng.choice([0.0, 0.0, 0.01]))
             connection.transport.write(data[cut:])
-            max_wait_s = chance.choice([0.0, 0.01, 0.1]) if chance.random() < 0.15 else 2 * TIMEOUT_S
+            max_wait_s = rng.choice([0.0, 0.01, 0.1]) if rng.random() < 0.15 else 2 * TIMEOUT_S
             if not await self.all_answered(connection, max_wait_s):
                 for each in connection.pending:
                     each.disconnected_at = self.loop.time()
-                connection.transport.close() if chance.random() < 0.5 else connection.transport.abort()
+                connection.transport.close() if rng.random() < 0.5 else connection.transport.abort()
                 connection = None
             elif incomplete:
                 connection.transport.close()
-            await asyncio.sleep(chance.choice([0.0, 0.0005, 0.002, 0.3]))
+            await asyncio.sleep(rng.choice([0.0, 0.0005, 0.002, 0.3]))
         if connection is not None:
             connection.transport.close()
 
