--- a/plumline/lab/differential/system.py
+++ b/plumline/lab/differential/system.py
@@ -162,7 +162,7 @@
 
     async def wait_for_index(self, index: int) -> None:
         """Waits until it has applied the entry with this index."""
-        await wait_until(lambda: self.fleet.place >= index, f"entry {index} at {self.name}")
+        await wait_until(lambda: self.fleet.applied_index >= index, f"entry {index} at {self.name}")
 
     def set_reading(self, reading: bool) -> None:
         """Pauses or resumes reading from its connection."""
--- a/plumline/router/request_handler.py
+++ b/plumline/router/request_handler.py
@@ -11,7 +11,7 @@
 from plumline.router.router_state import RouterState
 from plumline.router.selection import EndpointChoice, Selection
 from plumline.routing.mechanisms import MECHANISMS
-from plumline.routing.reserved_quota import CALM
+from plumline.routing.reserved_quota import NOT_IN_SURGE
 from plumline.wire.exchange import Exchange
 
 #: Share of the latency target that a request may wait, in total, while other prompts with its shared part are
@@ -34,7 +34,7 @@
         self.router, self.exchange = router, exchange
         self.id = value_of(exchange.headers, b"attempt-id")
         self.progress = Progress()
-        self.standing = CALM
+        self.quota_status = NOT_IN_SURGE
         self.timer: asyncio.TimerHandle | None = None
         self.reading_wait_began_at: float | None = None  # monotonic s
         self.finished = False  # the final answer was sent, or none will be
@@ -47,15 +47,15 @@
         try:
             if not self.router.initialized.is_set():
                 await self.wait_until_initialized()
-                if self.finished or exchange.gone:
+                if self.finished or exchange.client_gone:
                     return
             admitted = admit(self.router, exchange, self.id)
             if isinstance(admitted, Denial):
                 self.answer(admitted.status, admitted.name, admitted.retry_after_s)
                 return
-            self.standing = admitted.standing
-            exchange.on_gone = self.on_client_gone
-            progress.client_left = exchange.gone
+            self.quota_status = admitted.quota_status
+            exchange.on_client_gone = self.on_client_gone
+            progress.client_left = exchange.client_gone
             left = admitted.deadline - self.router.clock()
             self.timer = asyncio.get_running_loop().call_later(max(left, 0), self.on_deadline)
             await self.run_attempts(admitted)
@@ -68,7 +68,7 @@
         finally:
             if self.timer:
                 self.timer.cancel()
-            exchange.on_gone = None
+            exchange.on_client_gone = None
 
     async def wait_until_initialized(self) -> None:
         """Waits for the configuration and the endpoints in a process that has just started. They arrive in a
@@ -107,7 +107,7 @@
         """Ends the request as the process stops: sends the final answer, or aborts one that has begun."""
         progress = self.progress
         progress.expired = True
-        if not (self.exchange.done or self.exchange.gone):
+        if not (self.exchange.done or self.exchange.client_gone):
             progress.may_have_run = progress.may_have_run or progress.connection is not None
             self.send_final_answer()
         if progress.connection:
@@ -186,7 +186,7 @@
             self.count("cut")
             self.exchange.abort()
         elif progress.quota_exceeded and not progress.may_have_run:
-            self.answer(429, "over-share", self.standing.wait)
+            self.answer(429, "over-share", self.quota_status.retry_after_s)
         elif not progress.may_have_run:
             least, most = RETRY_AFTER_RANGE_S
             self.answer(503, "refused", min(max(progress.retry_after_s, least), most))
--- a/plumline/router/router_state.py
+++ b/plumline/router/router_state.py
@@ -14,19 +14,19 @@
 from plumline.coordination.retry_budget import RetryBudget
 from plumline.counters import Counters
 from plumline.prefix_cache.blocks import PrefixBlock
-from plumline.prefix_cache.events import Done, Placed, Read, Stored, news_from
+from plumline.prefix_cache.events import Done, Placed, Read, Stored, decode_event
 from plumline.prefix_cache.index import Placement, PrefixCacheIndex
 from plumline.router.drain import DrainDeadlines
 from plumline.router.relay import Headers, value_of
 from plumline.router.upstream import ConnectionPool
-from plumline.routing.cache_salt import NamedVersions
-from plumline.routing.endpoint_load import Affinity, Load
+from plumline.routing.cache_salt import AcknowledgedVersions
+from plumline.routing.endpoint_load import Affinity, EndpointLoad
 from plumline.routing.fleet import Address, Endpoint, Fleet
 from plumline.routing.fleet_state import StoreStatus
 from plumline.routing.outcomes import Outcomes, store_key
 from plumline.routing.prefix_homes import PrefixHomes
 from plumline.routing.read_rates import ServiceReadRates
-from plumline.routing.reserved_quota import Shares
+from plumline.routing.reserved_quota import ReservedQuotas
 from plumline.routing.rollout_evidence import RolloutEvidence
 from plumline.routing.rollout_report import AnswerTally, ServiceReport
 from plumline.routing.version_gate import VersionGate
@@ -95,8 +95,8 @@
         #: Publishes to the other routers that a prompt was placed, read or done; set by the process.
         self.publish_prompt_event: Callable[[list[Any]], None] = lambda _: None
         self.stores: dict[str, StoreStatus] = {}  # by name, as the core reports them
-        self.versions = NamedVersions(self.named_versions, bounds.version_apply_ms / 1000)
-        self.shares = Shares(self.log_surge)
+        self.versions = AcknowledgedVersions(self.acknowledged_versions, bounds.version_apply_ms / 1000)
+        self.quotas = ReservedQuotas(self.log_surge)
         self.version_gate = VersionGate(clock)
         self.rollout_evidence = RolloutEvidence()
         self.shortest_latency_targets: dict[str, float] = {}  # ms, by service
@@ -104,7 +104,7 @@
         self.prefix_homes: dict[str, PrefixHomes] = {}  # by service
         # By endpoint id:
         self.models: dict[str, dict[str, int]] = {}  # versions of the weights, as listed
-        self.loads: dict[str, Load] = {}
+        self.loads: dict[str, EndpointLoad] = {}
         self.reported_versions: dict[str, dict[str, int]] = {}  # {model: version}, from its answers
         self.backoff_until: dict[str, float] = {}  # monotonic s
         self.replaced: set[str] = set()  # those whose address is now used by another incarnation
@@ -116,8 +116,8 @@
         self.on_fleet_change("endpoints")
         fleet.watchers.append(self.on_fleet_change)
 
-    def named_versions(self) -> dict[str, int] | None:
-        """The named version of each model's weights; None while no configuration is known."""
+    def acknowledged_versions(self) -> dict[str, int] | None:
+        """The newest acknowledged version of each model's weights; None while no configuration is known."""
         return self.fleet.state.weight_versions if self.fleet.state else None
 
     def on_fleet_change(self, topic: str) -> None:
@@ -138,8 +138,8 @@
     def on_configuration(self) -> None:
         """Applies a new configuration."""
         table = self.fleet.table
-        self.versions.look(self.clock())
-        self.shares.set_reserved(table.reserved_shares if table else {})
+        self.versions.update(self.clock())
+        self.quotas.set_reserved(table.reserved_shares if table else {})
         self.shortest_latency_targets = table.shortest_latency_targets() if table else {}
         self.update_version_traffic()
         self.update_usable_endpoints()
@@ -158,7 +158,7 @@
         self.update_version_traffic()
         self.update_usable_endpoints()
         self.pool.close_expired(now, listed)
-        self.outcomes.age(listed, now)
+        self.outcomes.expire(listed, now)
         self.replaced &= listed.keys()
         for known in (self.loads, self.reported_versions, self.backoff_until):
             for key in [key for key in known if key not in listed]:
@@ -191,11 +191,11 @@
             traffic = self.version_gate.traffic(service)
             homes = traffic.homes() if traffic else frozenset()
             usable = [
-                each.id for each in endpoints if each.id in homes and not (each.draining or each.moving)
+                each.id for each in endpoints if each.id in homes and not (each.draining or each.updating)
             ]
             self.prefix_homes.setdefault(service, PrefixHomes()).set_endpoints(usable)
             counts[service] = len(usable)
-        self.shares.set_endpoints(counts)
+        self.quotas.set_endpoints(counts)
         self.prefix_homes = {
             name: each for name, each in self.prefix_homes.items() if name in self.endpoints_by_service
         }
@@ -221,7 +221,7 @@
         found: dict[str, list[Any]] = {}
         for name, each in self.prefix_homes.items():
             found[name] = [round(rate, 1) for rate in each.work.rates(now)]
-            if (demand := self.shares.demand(now, name)) is not None:
+            if (demand := self.quotas.demand_report(now, name)) is not None:
                 found[name].append(demand)
         return found
 
@@ -229,7 +229,7 @@
         """Applies the whole fleet's work by service."""
         for name, (_, _, *demand) in work.items():
             if demand:
-                self.shares.take(self.clock(), name, demand[0])
+                self.quotas.set_fleet_report(self.clock(), name, demand[0])
 
     def log_surge(self, service: str, on: bool, times: float) -> None:
         """Logs the start or the end of a service's surge; `times`: demand as a multiple of its capacity."""
@@ -257,29 +257,34 @@
         Raises ValueError or TypeError for malformed events."""
         now = self.clock()
         for event in events:
-            match news_from(event):
+            match decode_event(event):
                 case Placed() as placed:
                     if placed.endpoint in self.fleet.endpoints:
                         placement = Placement(
-                            placed.endpoint, placed.salt, placed.parts, placed.missing, placed.saves, now
+                            placed.endpoint,
+                            placed.salt,
+                            placed.parts,
+                            placed.uncached_tokens,
+                            placed.save_store,
+                            now,
                         )
-                        self.index.placed((node, placed.number), placement)
+                        self.index.add_placement((node, placed.number), placement)
                 case Read(number):
-                    self.index.read((node, number), now)
+                    self.index.mark_read((node, number), now)
                 case Done(number):
-                    self.index.done((node, number))
+                    self.index.remove_stream((node, number))
                 case Stored(epoch, changes):
-                    self.index.store(node).changed(epoch, changes)
+                    self.index.store(node).apply_events(epoch, changes)
 
     def may_accept_revoked_keys(self) -> bool:
         """Whether this router may have missed the revocation of a key. With `RevocationClosed`, a router that
         has been out of date for too long accepts no keys."""
-        bounds, stale_s = self.bounds, self.clock() - self.fleet.fresh_at
+        bounds, stale_s = self.bounds, self.clock() - self.fleet.last_fresh_at
         return bounds.revocation_closed and stale_s > bounds.revocation_ms / 1000 * REVOCATION_SHARE
 
-    def load(self, key: str) -> Load:
+    def load(self, key: str) -> EndpointLoad:
         """This router's load on the endpoint with this id."""
-        return self.loads.get(key) or self.loads.setdefault(key, Load())
+        return self.loads.get(key) or self.loads.setdefault(key, EndpointLoad())
 
     def version_at(self, endpoint: Endpoint, model: str) -> int | None:
         """The newest version of the model's weights that the endpoint is known to have."""
@@ -291,9 +296,9 @@
         """Records the version of the weights that an answer reports."""
         reported = value_of(headers, b"versions")
         if model and reported and reported.isdigit() and len(reported) < 10:
-            # Only up to the named version: an endpoint recorded with a wrong one could not be used.
+            # Only up to the acknowledged version: an endpoint recorded with a wrong one could not be used.
             known = self.version_at(endpoint, model) or 0
-            if known < int(reported) <= self.fleet.named_version(model):
+            if known < int(reported) <= self.fleet.acknowledged_version(model):
                 self.reported_versions.setdefault(endpoint.id, {})[model] = int(reported)
 
     def store_for(self, parts: list[PrefixBlock]) -> Service | None:
--- a/plumline/router/selection.py
+++ b/plumline/router/selection.py
@@ -13,8 +13,8 @@
 from plumline.routing.endpoint_scoring import Candidate, choose, expected_ms
 from plumline.routing.fleet import Address, Endpoint
 from plumline.routing.mechanisms import MECHANISMS
-from plumline.routing.prefix_fetch import Fetch, Holder, best_fetch, may_gain
-from plumline.routing.prefix_homes import AWAY_SHARE, SHORT_AWAY_SHARE
+from plumline.routing.prefix_fetch import Fetch, PrefixHolder, best_fetch, can_save_time
+from plumline.routing.prefix_homes import OFF_HOME_COST_SHARE, SHORT_OFF_HOME_COST_SHARE
 from plumline.routing.read_rates import ServiceReadRates
 
 MIN_CONNECTIONS_PER_ENDPOINT = 2  # allowed to each router, however many share the endpoint's limit
@@ -41,7 +41,7 @@
     rates: ServiceReadRates
     reading_ms: float  # of a typical long prompt of the service
     salts: dict[int, Salt] = field(default_factory=dict)  # by version of the weights
-    holders: dict[str, list[Holder]] = field(default_factory=dict)  # by salt
+    holders: dict[str, list[PrefixHolder]] = field(default_factory=dict)  # by salt
 
 
 class Selection:
@@ -58,7 +58,7 @@
         request, however often an endpoint is selected for it."""
         traffic = self.router.version_gate.traffic(self.request.service)
         usable = traffic.in_use() if traffic else frozenset()
-        self.router.outcomes.asked(usable, max(len(usable), 1), now)
+        self.router.outcomes.record_request(usable, max(len(usable), 1), now)
 
     def select_endpoint(self, now: float) -> tuple[EndpointChoice | None, float]:
         """The endpoint to send to. If there is none: seconds until one may be ready, infinite if waiting does
@@ -97,18 +97,18 @@
         router = self.router
         listed = router.endpoints_by_service.get(self.request.service, ())
         endpoints = [each for each in listed if each.id in allowed]
-        router.index.age(now)
+        router.index.expire(now)
         context = self.build_context(now)
         wait = math.inf
         choices: dict[str, EndpointChoice] = {}
         for endpoint in endpoints:
-            if (ready_s := self.ready_in(endpoint, context)) > 0:
+            if (ready_s := self.ready_in_s(endpoint, context)) > 0:
                 wait = min(wait, ready_s)
             elif not self.memory_is_full(endpoint):
                 salt = self.salt_at(endpoint, context)
                 choices[endpoint.id] = EndpointChoice(endpoint, salt, self.candidate(endpoint, salt, context))
         candidates = [each.candidate for each in choices.values()]
-        self.add_away_costs(candidates, context)
+        self.add_off_home_costs(candidates, context)
         best = choose(candidates, router.rng)
         if best is None:
             return None, wait
@@ -132,18 +132,18 @@
 
     # Eligibility.
 
-    def ready_in(self, endpoint: Endpoint, context: ChoiceContext) -> float:
+    def ready_in_s(self, endpoint: Endpoint, context: ChoiceContext) -> float:
         """Seconds until the endpoint may be sent the request; 0: now, infinite: waiting does not help."""
         router, key, model = self.router, endpoint.id, self.request.prompt.model
-        if endpoint.draining or endpoint.moving or key in self.progress.attempted or key in router.replaced:
+        if endpoint.draining or endpoint.updating or key in self.progress.attempted or key in router.replaced:
             return math.inf
         if (shunned_until := router.backoff_until.get(key, 0.0)) > context.now:
             return shunned_until - context.now
         if model:
             version = router.version_at(endpoint, model) or 1
-            if not router.versions.usable(model, version, context.now):
+            if not router.versions.is_usable(model, version, context.now):
                 return math.inf
-        if (ready_s := router.outcomes.ready_in(key, context.now)) > 0:
+        if (ready_s := router.outcomes.ready_in_s(key, context.now)) > 0:
             return ready_s
         return 0.0 if router.pool.has_capacity(key, context.max_connections, context.now) else math.inf
 
@@ -155,7 +155,7 @@
             return False
         if not self.service or not self.service.cache_token_capacity:
             return False
-        occupied = self.router.index.occupied(endpoint.id)
+        occupied = self.router.index.occupied_tokens(endpoint.id)
         full = (
             bool(occupied)
             and prompt.tokens > self.service.cache_token_capacity * MEMORY_FILL_SHARE - occupied
@@ -195,7 +195,7 @@
 
     def candidate(self, endpoint: Endpoint, salt: Salt | None, context: ChoiceContext) -> Candidate:
         """The endpoint's scoring input for this request, without the cost of leaving the prompt's home, which
-        `add_away_costs` sets."""
+        `add_off_home_costs` sets."""
         router, prompt = self.router, self.request.prompt
         load = router.load(endpoint.id)
         read_rate = context.rates.of(endpoint.id)
@@ -203,19 +203,19 @@
         fetch = self.best_fetch_to(endpoint, salt, cached, read_rate, context)
         return Candidate(
             id=endpoint.id,
-            unread=load.unread + router.index.backlog(endpoint.id),
+            unread_tokens=load.unread_tokens + router.index.backlog(endpoint.id),
             running=load.running,
             slots=endpoint.slots,
-            missing=max(prompt.tokens - cached, 0),
-            movable=fetch.tokens if fetch else 0.0,
-            moved_ms=fetch.ms if fetch else 0.0,
-            excess_ms=load.excess(context.now),
+            uncached_tokens=max(prompt.tokens - cached, 0),
+            fetchable_tokens=fetch.tokens if fetch else 0.0,
+            fetch_ms=fetch.ms if fetch else 0.0,
+            excess_ms=load.excess_at(context.now),
             same_zone=endpoint.zone == router.zone,
             connected=router.pool.has_idle(endpoint.id, context.now),
             read_rate=read_rate,
             reading_ms=context.reading_ms,
             source=fetch.source if fetch else None,
-            again=self.tokens_read_again(salt, cached + (fetch.tokens if fetch else 0)),
+            reread_tokens=self.tokens_read_again(salt, cached + (fetch.tokens if fetch else 0)),
         )
 
     def cached_tokens_at(self, endpoint: Endpoint, salt: Salt | None, now: float) -> int:
@@ -224,8 +224,8 @@
         if salt is None or not prompt.parts:
             return 0
         if prompt.long:
-            return router.index.coming(endpoint.id, salt.text, prompt.parts)
-        return router.affinity.kept(salt.text, prompt.parts, endpoint.id, now)
+            return router.index.cached_or_reading_tokens(endpoint.id, salt.text, prompt.parts)
+        return router.affinity.cached_tokens(salt.text, prompt.parts, endpoint.id, now)
 
     def best_fetch_to(
         self, endpoint: Endpoint, salt: Salt | None, cached: int, read_rate: float, context: ChoiceContext
@@ -234,7 +234,7 @@
         service = self.service
         if not MECHANISMS.prefix_fetch:
             return None
-        if salt is None or service is None or not may_gain(self.shared_tokens - cached, read_rate):
+        if salt is None or service is None or not can_save_time(self.shared_tokens - cached, read_rate):
             return None
         return best_fetch(
             self.known_holders(salt, service, context),
@@ -251,17 +251,17 @@
         """Tokens of shared parts that would be read although they have been read before."""
         if salt is None or not self.request.prompt.long:
             return 0.0
-        return max(self.router.index.read_before(salt.text, self.shared) - spared, 0.0)
+        return max(self.router.index.read_or_reading_tokens(salt.text, self.shared) - spared, 0.0)
 
-    def known_holders(self, salt: Salt, service: Service, context: ChoiceContext) -> list[Holder]:
+    def known_holders(self, salt: Salt, service: Service, context: ChoiceContext) -> list[PrefixHolder]:
         """The endpoints and the cache store known to hold a prefix of this prompt's shared parts."""
         if (holders := context.holders.get(salt.text)) is not None:
             return holders
         holders = context.holders[salt.text] = []
         if self.request.prompt.long:
             for each in self.router.endpoints_by_service.get(self.request.service, ()):
-                if held := self.router.index.kept(each.id, salt.text, self.shared):
-                    holders.append(Holder(each.address, each.zone, held, service.link_speed_mbps))
+                if held := self.router.index.cached_tokens(each.id, salt.text, self.shared):
+                    holders.append(PrefixHolder(each.address, each.zone, held, service.link_speed_mbps))
         store = context.store
         if (
             store
@@ -269,7 +269,7 @@
             and (held := self.tokens_in_store(store.cache_store_address, salt))
         ):
             holders.append(
-                Holder(store.cache_store_address, store.cache_store_zone, held, store.link_speed_mbps)
+                PrefixHolder(store.cache_store_address, store.cache_store_zone, held, store.link_speed_mbps)
             )
         return holders
 
@@ -277,19 +277,19 @@
         """Tokens at the prompt's start that the store holds. It reports only those of long prompts; for short
         ones, prompts sent before stand in."""
         if self.request.prompt.long:
-            return self.router.index.store(address_text(store)).held(salt.text, self.shared)
-        return self.router.affinity.seen(salt.text, self.shared)
+            return self.router.index.store(address_text(store)).held_tokens(salt.text, self.shared)
+        return self.router.affinity.sent_tokens(salt.text, self.shared)
 
-    def add_away_costs(self, candidates: list[Candidate], context: ChoiceContext) -> None:
+    def add_off_home_costs(self, candidates: list[Candidate], context: ChoiceContext) -> None:
         """Adds the cost of sending the request to an endpoint other than the home of its shared parts."""
         prompt = self.request.prompt
         homes = self.router.prefix_homes.get(self.request.service)
         home = homes.home(prompt.parts) if homes and prompt.model else None
         if home is None:
             return
-        away_ms = context.reading_ms * (AWAY_SHARE if prompt.long else SHORT_AWAY_SHARE)
+        off_home_ms = context.reading_ms * (OFF_HOME_COST_SHARE if prompt.long else SHORT_OFF_HOME_COST_SHARE)
         for each in candidates:
-            each.away_ms = away_ms if each.id != home else 0.0
+            each.off_home_ms = off_home_ms if each.id != home else 0.0
 
     # Whether to send the request now.
 
@@ -304,7 +304,10 @@
             return False
         if not index.is_being_read(salt.text, self.shared[-1]):
             return False
-        available = index.kept(picked.endpoint.id, salt.text, self.shared) + picked.candidate.movable
+        available = (
+            index.cached_tokens(picked.endpoint.id, salt.text, self.shared)
+            + picked.candidate.fetchable_tokens
+        )
         return self.shared_tokens - available >= TRACKED_TOKENS
 
     def is_over_share(self, best: Candidate) -> bool:
@@ -312,7 +315,7 @@
         at the cheapest endpoint."""
         request = self.request
         rejected = (
-            request.standing.over
+            request.quota_status.over_quota
             and expected_ms(best) > request.route.latency_target_ms
             and not self.progress.attempts
         )
--- a/plumline/routing/prefix_homes.py
+++ b/plumline/routing/prefix_homes.py
@@ -3,8 +3,8 @@
 All routers choose the same one by rendezvous hashing, so that one endpoint reads a part first and the others
 can fetch it from there. A home is only preferred: another endpoint costs some ms more.
 
-The module also measures a router's recent work by prompt length (`Work`). Heartbeats report it, since their
-format requires it and routers of earlier releases allocate endpoints by it; this release does not.
+The module also measures a router's recent work by prompt length (`RecentWork`). Heartbeats report it, since
+their format requires it and routers of earlier releases allocate endpoints by it; this release does not.
 
 Pure; times are steady seconds, work is ms of endpoint time.
 """
@@ -22,14 +22,14 @@
 WORK_TIME_CONSTANT_S = 10.0  # of the exponential decay of measured work
 MIN_RATE_SPAN_S = 0.5  # a burst right after the first request is not yet a rate
 # Costs, as shares of the reading time of a typical long prompt of the service:
-AWAY_SHARE = 0.1  # of reading away from home: the part is fetched, or read twice
-SHORT_AWAY_SHARE = 0.025  # the same for a short request
+OFF_HOME_COST_SHARE = 0.1  # of reading away from home: the part is fetched, or read twice
+SHORT_OFF_HOME_COST_SHARE = 0.025  # the same for a short request
 
 Rates = tuple[float, float]  # ms of endpoints' time a second: for short requests, for long ones
 
 
 @dataclass(slots=True)
-class Work:
+class RecentWork:
     """This router's recent work by prompt length, decaying with WORK_TIME_CONSTANT_S."""
 
     short: float = 0.0
@@ -66,7 +66,7 @@
 class PrefixHomes:
     """The homes of one service's shared prompt parts, and this router's work at the service."""
 
-    work: Work = field(default_factory=Work)
+    work: RecentWork = field(default_factory=RecentWork)
     endpoints: list[str] = field(default_factory=list)  # ids of those that take requests
 
     def set_endpoints(self, ids: Iterable[str]) -> None:
