--- a/message_sender/__main__.py
+++ b/message_sender/__main__.py
@@ -16,7 +16,7 @@
 from message_sender.net.loop import Loop
 from message_sender.net.sender import EXIT_RESTART, Sender
 from message_sender.settings import settings_from
-from plumline.process_signals import block_signals, finish_unless, handle_signals
+from plumline.process_signals import block_signals, cancel_on_event, handle_signals
 from plumline.wire.http import address_from
 
 MEGABYTE = 1_000_000
@@ -111,7 +111,7 @@
     signals = EarlySignals()
     # Without a handler a signal would end a process that has just taken over clients and calls.
     handle_signals(asyncio.get_running_loop(), signals.on_terminate, signals.on_reload)
-    taken_over = await finish_unless(signals.stop_requested, acquire_state_folder(config.state))
+    taken_over = await cancel_on_event(signals.stop_requested, acquire_state_folder(config.state))
     code = 0
     if taken_over is not None:
         sender = Sender(config, taken_over.result(), control)
--- a/plumline/configuration/entities.py
+++ b/plumline/configuration/entities.py
@@ -83,10 +83,10 @@
 class ClientLimits:
     """Limits on the size and the duration of what a client sends."""
 
-    header_bytes: int = 16384
-    body_bytes: int = 4 * 1024 * 1024
-    header_ms: float = 3000
-    idle_ms: float = 15000
+    max_header_bytes: int = 16384
+    max_body_bytes: int = 4 * 1024 * 1024
+    header_timeout_ms: float = 3000
+    idle_timeout_ms: float = 15000
 
 
 def traffic_split_of(item: Document) -> tuple[tuple[str, float], ...]:
@@ -154,10 +154,10 @@
     """The limits of a valid Limits object."""
     defaults = ClientLimits()
     return ClientLimits(
-        header_bytes=_value_or(item, "HeaderLimitBytes", defaults.header_bytes),
-        body_bytes=_value_or(item, "BodyLimitBytes", defaults.body_bytes),
-        header_ms=_value_or(item, "HeaderTimeoutMs", defaults.header_ms),
-        idle_ms=_value_or(item, "IdleTimeoutMs", defaults.idle_ms),
+        max_header_bytes=_value_or(item, "HeaderLimitBytes", defaults.max_header_bytes),
+        max_body_bytes=_value_or(item, "BodyLimitBytes", defaults.max_body_bytes),
+        header_timeout_ms=_value_or(item, "HeaderTimeoutMs", defaults.header_timeout_ms),
+        idle_timeout_ms=_value_or(item, "IdleTimeoutMs", defaults.idle_timeout_ms),
     )
 
 
--- a/plumline/configuration/replicated_state.py
+++ b/plumline/configuration/replicated_state.py
@@ -44,7 +44,7 @@
     """The state. Immutable; `apply` returns the next state, which shares what hasn't changed."""
 
     configuration: Document | None = None  # None until the operator has sent the first one
-    weight_versions: dict[str, int] = field(default_factory=dict)  # model -> newest announced version
+    model_versions: dict[str, int] = field(default_factory=dict)  # model -> newest announced version
     shared_cache_generation: int = 0  # rises when a tenant leaves the prefix cache that tenants share
     history: History = field(default_factory=History)  # recent changes, to recognise repeats
     departed_tenants: frozenset[str] = frozenset()  # removed tenants with prompts in the shared cache
@@ -100,7 +100,7 @@
             raise ConfigurationInvalidError(fault_line("Model", model, NAME.allowed))
         if not MODEL_VERSION.test(version):
             raise ConfigurationInvalidError(fault_line("Version", version, MODEL_VERSION.allowed))
-        if version <= self.weight_versions.get(model, 0):
+        if version <= self.model_versions.get(model, 0):
             return True  # a delayed duplicate gets the same answer as the first
         known = model_names(self.configuration)
         if known and model not in known:
@@ -135,9 +135,9 @@
         return self if advanced is self.rollouts else replace(self, rollouts=advanced)
 
     def _with_weights(self, model: str, version: int) -> "ReplicatedConfiguration":
-        if version <= self.weight_versions.get(model, 0):
+        if version <= self.model_versions.get(model, 0):
             return self
-        return replace(self, weight_versions={**self.weight_versions, model: version})
+        return replace(self, model_versions={**self.model_versions, model: version})
 
     def _with_document_change(self, kind: str, based_on: int, body: Document) -> "ReplicatedConfiguration":
         digest = change_digest(kind, based_on, body)
@@ -168,7 +168,7 @@
         """
         wire = {
             "configuration": self.configuration,
-            "versions": self.weight_versions,
+            "versions": self.model_versions,
             "wall": self.shared_cache_generation,
             "history": (self.history if history else History(horizon=self.version)).to_wire(),
             "departed": sorted(self.departed_tenants),
@@ -183,13 +183,13 @@
         match wire:
             case {
                 "configuration": dict() | None as configuration,
-                "versions": dict(weight_versions),
+                "versions": dict(model_versions),
                 "wall": int(generation),
                 "departed": list(departed),
             }:
                 history = _history_from_wire(wire)
                 rollouts = _rollouts_from_wire(wire)
-                return cls(configuration, weight_versions, generation, history, frozenset(departed), rollouts)
+                return cls(configuration, model_versions, generation, history, frozenset(departed), rollouts)
         raise ReplicatedStateInvalidError(
             "not a state: configuration, versions, wall, history and departed are needed"
         )
--- a/plumline/coordination/core.py
+++ b/plumline/coordination/core.py
@@ -202,7 +202,7 @@
         if self.local_member in view.acceptors:
             voters = [member.address for member in view.acceptors]
         created_now = view.number == 1 and self.bootstrap.installed_first_view
-        self.lease_election.set_view(self._now, view.number, voters, formed_now=created_now)
+        self.lease_election.set_view(self._now, view.number, voters, created_now=created_now)
         self._observer.on_view_installed(view)
 
     def on_message(self, now: float, sender: str, message: Message) -> bool:
--- a/plumline/coordination/lease/election.py
+++ b/plumline/coordination/lease/election.py
@@ -47,17 +47,17 @@
         """The whole durable state, for a compaction of the log."""
         return [record.to_stored() for record in self.voter.records()]
 
-    def set_view(self, now: float, number: int, voters: Iterable[str], *, formed_now: bool = False) -> None:
+    def set_view(self, now: float, number: int, voters: Iterable[str], *, created_now: bool = False) -> None:
         """Take part in view `number` from now on; a view that isn't newer is ignored.
 
         `voters` omits each node, including this one, whose incarnation differs from the one in the view.
-        `formed_now`: this process has itself just taken part in forming the first view.
+        `created_now`: this process has itself just taken part in forming the first view.
         """
         if number <= self._view:
             return
         self._view = number
         electorate = Electorate(number, tuple(sorted(voters)))
-        self.voter.set_view(now, electorate, formed_now=formed_now)
+        self.voter.set_view(now, electorate, created_now=created_now)
         self.candidate.set_view(now, electorate)
 
     def stop_granting(self, view: int) -> None:
--- a/plumline/coordination/lease/voter.py
+++ b/plumline/coordination/lease/voter.py
@@ -79,14 +79,15 @@
 
     # Views
 
-    def set_view(self, now: float, electorate: Electorate, *, formed_now: bool) -> None:
+    def set_view(self, now: float, electorate: Electorate, *, created_now: bool) -> None:
         """Vote in this view from now on; abstain as long as grants unknown to this node may bind.
 
-        `formed_now`: this process has just taken part in forming the first view, so there was no earlier one.
+        `created_now`: this process has just taken part in forming the first view, so there was no earlier
+        one.
         """
         previous = self._electorate
         nothing_granted = not any(vote.term.number for vote in self._votes.values())
-        is_first_view = formed_now and electorate.view == 1 and nothing_granted
+        is_first_view = created_now and electorate.view == 1 and nothing_granted
         # Views before the previous one could reach no majority after this node learned of the previous one.
         # Their earlier grants it has taken into account, or has abstained for.
         voted_in_previous = self._node in previous.voters and previous.view == electorate.view - 1
--- a/plumline/lab/differential/resolver.py
+++ b/plumline/lab/differential/resolver.py
@@ -177,7 +177,7 @@
         results[f"{name} shares"] = table.shares_cache(name)
     for name in SERVICE_NAMES:
         results[name] = _service_attributes(table.services.get(name))
-    results["body limit"] = table.limits.body_bytes
+    results["body limit"] = table.limits.max_body_bytes
     results["targets"] = table.shortest_latency_targets()
     return results
 
--- a/plumline/process_signals.py
+++ b/plumline/process_signals.py
@@ -34,7 +34,7 @@
     block_signals()
 
 
-async def finish_unless(
+async def cancel_on_event(
     event: asyncio.Event, work: Coroutine[Any, Any, Result]
 ) -> asyncio.Task[Result] | None:
     """Runs the work and returns its finished task; cancels it and returns None if the event is set first."""
--- a/plumline/registrar/process.py
+++ b/plumline/registrar/process.py
@@ -15,7 +15,7 @@
 from plumline.coordination.view import View
 from plumline.counters import Counters
 from plumline.errors import ToleranceUnattainableError
-from plumline.process_signals import finish_unless, handle_signals
+from plumline.process_signals import cancel_on_event, handle_signals
 from plumline.registrar.durable_state import DurableState
 from plumline.registrar.message_handlers import PeerMessageHandler, RouterMessageHandler
 from plumline.registrar.operator_api import OperatorApi
@@ -225,7 +225,7 @@
         """Runs until SIGTERM, then shuts down. An error in any loop is raised and ends the process."""
         handle_signals(self.loop, self.stop_requested.set, self.settings_file.request_reload)
         # If it is stopped before its incarnation is synced, as on a stalled disk, nothing is to hand over.
-        synced = await finish_unless(self.stop_requested, self.durable_state.wait_for_incarnation())
+        synced = await cancel_on_event(self.stop_requested, self.durable_state.wait_for_incarnation())
         if synced is not None:
             synced.result()
             await self._serve()
--- a/plumline/registrar/rollout/loop.py
+++ b/plumline/registrar/rollout/loop.py
@@ -36,7 +36,7 @@
         """Publishes the states that routers need, if the lease is still held."""
 
 
-class RolloutController:
+class EndpointRolloutLoop:
     """Executes the plan while the lease is held; checks the lease again whenever an order is sent."""
 
     def __init__(
--- a/plumline/registrar/service_rollout/evidence.py
+++ b/plumline/registrar/service_rollout/evidence.py
@@ -157,7 +157,7 @@
     def __init__(self) -> None:
         self.by_service: dict[str, RolloutReports] = {}
 
-    def take(self, report: RolloutReport) -> None:
+    def add_report(self, report: RolloutReport) -> None:
         """Adds a router's report."""
         for service, each in report.services.items():
             self.reports_of(service, each.target).add_report(report.node, report.life, each)
--- a/plumline/registrar/service_rollout/loop.py
+++ b/plumline/registrar/service_rollout/loop.py
@@ -53,14 +53,14 @@
     def publish(self, grants: Grants) -> None:
         """Publishes the grants, if the lease is still held."""
 
-    def published_any(self) -> bool:
+    def has_published_grants(self) -> bool:
         """Whether the newest grants published by any lease holder are non-empty."""
 
     def record(self, decision: AdvanceRollout, on_result: Callable[[PlumlineError | None], None]) -> None:
         """Submits a decision to the chain."""
 
 
-class RolloutSteering:
+class ServiceRolloutLoop:
     """Controls all roll-outs in progress while the lease is held; tracks their age also without it."""
 
     def __init__(
@@ -194,7 +194,7 @@
         changed = grants != self._published_grants
         if not changed and (not grants or now < self._published_at + GRANT_INTERVAL_S):
             return
-        if not grants and self._published_grants is None and not self.environment.published_any():
+        if not grants and self._published_grants is None and not self.environment.has_published_grants():
             self._published_grants = grants
             return
         self._published_grants, self._published_at = grants, now
--- a/plumline/registrar/singleton_environments.py
+++ b/plumline/registrar/singleton_environments.py
@@ -121,7 +121,7 @@
 
 
 class RegistrarRolloutEnvironment:
-    """The environment of RolloutController."""
+    """The environment of EndpointRolloutLoop."""
 
     def __init__(
         self,
@@ -142,7 +142,7 @@
 
     def desired_versions(self) -> Mapping[str, int]:
         """The committed versions of the weights, by model."""
-        return self._configuration().weight_versions
+        return self._configuration().model_versions
 
     def publish(self, states: RolloutStates) -> None:
         """Publishes the states, if the lease is still held."""
@@ -152,7 +152,7 @@
 
 
 class RegistrarServiceRolloutEnvironment:
-    """The environment of RolloutSteering."""
+    """The environment of ServiceRolloutLoop."""
 
     def __init__(
         self,
@@ -189,7 +189,7 @@
             value = {service: grant.to_wire() for service, grant in grants.items()}
             self._replicator.publish(Topic.GRANTS, token, value)
 
-    def published_any(self) -> bool:
+    def has_published_grants(self) -> bool:
         """Whether the newest grants that any lease holder has published are not empty."""
         return bool(self._replicator.soft_state.get(Topic.GRANTS))
 
--- a/plumline/registrar/singleton_roles.py
+++ b/plumline/registrar/singleton_roles.py
@@ -23,10 +23,10 @@
 from plumline.registrar.discovery import EndpointDiscovery
 from plumline.registrar.forwarding import RequestForwarder
 from plumline.registrar.publisher import FeedPublisher
-from plumline.registrar.rollout.loop import RolloutController
+from plumline.registrar.rollout.loop import EndpointRolloutLoop
 from plumline.registrar.router_directory import RouterDirectory
 from plumline.registrar.service_rollout.controller import ExposureBound
-from plumline.registrar.service_rollout.loop import RolloutSteering
+from plumline.registrar.service_rollout.loop import ServiceRolloutLoop
 from plumline.registrar.singleton_environments import (
     RegistrarCacheStoreEnvironment,
     RegistrarDiscoveryEnvironment,
@@ -84,7 +84,7 @@
         self.core, self.clock, self.forwarder = core, clock, forwarder
         self.known_terms: dict[Lease, int | None] = {}  # of the leases held here, as of the last check
         caller = Caller(clock)
-        self.rollout = RolloutController(
+        self.rollout = EndpointRolloutLoop(
             caller,
             settings.node_name,
             RegistrarRolloutEnvironment(
@@ -95,7 +95,7 @@
             clock,
             apply_timeout_s=settings.bounds.version_apply_ms / 1000,
         )
-        self.service_rollouts = RolloutSteering(
+        self.service_rollouts = ServiceRolloutLoop(
             RegistrarServiceRolloutEnvironment(
                 token=lambda: self._active_term(Lease.DISCOVERY),
                 configuration=lambda: core.chain.state,
@@ -159,7 +159,7 @@
 
     def on_rollout_report(self, report: RolloutReport) -> None:
         """Records a router's report of the roll-outs that are under way."""
-        self.service_rollouts.reports.take(report)
+        self.service_rollouts.reports.add_report(report)
 
     def on_configuration_changed(self) -> None:
         """Wakes the loops that read the configuration."""
--- a/plumline/router/process.py
+++ b/plumline/router/process.py
@@ -18,7 +18,7 @@
 SUMMARY_INTERVAL_S = 10.0  # between log summaries of the counters
 #: Used until a configuration is known. Generous, so that requests which the configuration will allow are
 #: answered with 503, not with 413 or 431.
-UNCONFIGURED_LIMITS = FixedLimits(header_bytes=64 * 1024, body_bytes=16 * 1024 * 1024)
+UNCONFIGURED_LIMITS = FixedLimits(max_header_bytes=64 * 1024, max_body_bytes=16 * 1024 * 1024)
 
 log = logs.logger("router")
 
--- a/plumline/router/readiness.py
+++ b/plumline/router/readiness.py
@@ -5,7 +5,7 @@
 from plumline.wire.exchange import Exchange
 from plumline.wire.server import FixedLimits, Server
 
-LIMITS = FixedLimits(header_bytes=4096, body_bytes=0, header_ms=3000, idle_ms=15000)
+LIMITS = FixedLimits(max_header_bytes=4096, max_body_bytes=0, header_timeout_ms=3000, idle_timeout_ms=15000)
 
 
 class Readiness:
--- a/plumline/router/router_state.py
+++ b/plumline/router/router_state.py
@@ -118,7 +118,7 @@
 
     def named_versions(self) -> dict[str, int] | None:
         """The named version of each model's weights; None while no configuration is known."""
-        return self.fleet.state.weight_versions if self.fleet.state else None
+        return self.fleet.state.model_versions if self.fleet.state else None
 
     def on_fleet_change(self, topic: str) -> None:
         """Updates the state after a change of the fleet."""
--- a/plumline/routing/fleet.py
+++ b/plumline/routing/fleet.py
@@ -86,7 +86,7 @@
 
     def named_version(self, model: str) -> int:
         """The newest version of the model's weights that was acknowledged to the operator; 1 if none was."""
-        return self.state.weight_versions.get(model, 1) if self.state else 1
+        return self.state.model_versions.get(model, 1) if self.state else 1
 
     def tell(self, topic: str) -> None:
         """Notifies the watchers that this topic has changed."""
--- a/plumline/wire/server.py
+++ b/plumline/wire/server.py
@@ -38,22 +38,22 @@
     """Limits on the size and duration of requests."""
 
     @property
-    def header_bytes(self) -> int:
+    def max_header_bytes(self) -> int:
         """Maximum size of a request head in bytes."""
         ...
 
     @property
-    def body_bytes(self) -> int:
+    def max_body_bytes(self) -> int:
         """Maximum size of a request body in bytes."""
         ...
 
     @property
-    def header_ms(self) -> float:
+    def header_timeout_ms(self) -> float:
         """Maximum time in ms from the first to the last byte of a head."""
         ...
 
     @property
-    def idle_ms(self) -> float:
+    def idle_timeout_ms(self) -> float:
         """Maximum time in ms between requests, and between two reads of a body."""
         ...
 
@@ -61,10 +61,10 @@
 class FixedLimits(NamedTuple):
     """Limits of a server for whose clients there is no configuration."""
 
-    header_bytes: int = 16384
-    body_bytes: int = 4194304
-    header_ms: float = 3000
-    idle_ms: float = 15000
+    max_header_bytes: int = 16384
+    max_body_bytes: int = 4194304
+    header_timeout_ms: float = 3000
+    idle_timeout_ms: float = 15000
 
 
 class Phase(Enum):
@@ -112,7 +112,7 @@
         if (sock := transport.get_extra_info("socket")) is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.server.connections.add(self)
-        self.expire_in(self.limits.idle_ms / 1000)
+        self.expire_in(self.limits.idle_timeout_ms / 1000)
 
     def connection_lost(self, error: Exception | None) -> None:
         """Transport callback: the connection has ended."""
@@ -197,7 +197,7 @@
 
     def read_head(self) -> bool:
         """Parses the head if it is complete, and returns whether it is."""
-        limit = self.limits.header_bytes
+        limit = self.limits.max_header_bytes
         end = self.buffer.find(b"\r\n\r\n", max(self.searched_bytes - 3, 0))
         size = len(self.buffer) if end < 0 else end + 4
         if size > limit:
@@ -205,15 +205,15 @@
         if end < 0:
             check_octets(self.buffer)  # a head with other line ends would never be complete
             if not self.searched_bytes:
-                self.expire_in(self.limits.header_ms / 1000)
+                self.expire_in(self.limits.header_timeout_ms / 1000)
             self.searched_bytes = size
             return False
         raw = bytes(self.buffer[:size])
         del self.buffer[:size]
         head = parse_head(raw)
         if head.length is None:
-            self.chunks = ChunkedBody(self.limits.body_bytes)
-        elif head.length > self.limits.body_bytes:
+            self.chunks = ChunkedBody(self.limits.max_body_bytes)
+        elif head.length > self.limits.max_body_bytes:
             raise RequestRefusedError("the body is too long", 413, "body-too-long")
         if head.length != 0 and self.server.buffered_body_bytes + (head.length or 0) > self.server.held_limit:
             raise RequestRefusedError("too many bodies at once", 503, "bodies-too-many")
@@ -243,7 +243,7 @@
             return body
         if self.server.buffered_body_bytes > self.server.held_limit:
             raise RequestRefusedError("too many bodies at once", 503, "bodies-too-many")
-        self.expire_in(self.limits.idle_ms / 1000)  # counted from the latest read
+        self.expire_in(self.limits.idle_timeout_ms / 1000)  # counted from the latest read
         return None
 
     def handle_request(self, body: bytes) -> None:
@@ -272,7 +272,7 @@
         """See `ExchangeConnection`."""
         if not persistent or self.server.closing_connections:
             return b"Connection: close\r\n\r\n", False
-        timeout_s = int(self.limits.idle_ms / 1000 - KEEP_ALIVE_MARGIN_S)
+        timeout_s = int(self.limits.idle_timeout_ms / 1000 - KEEP_ALIVE_MARGIN_S)
         if timeout_s < 1:
             return b"\r\n", True
         return b"Keep-Alive: timeout=%d\r\n\r\n" % timeout_s, True
@@ -290,7 +290,7 @@
         else:
             self.phase = Phase.IDLE
             self.unsent_bytes = 0
-            self.expire_in(self.limits.idle_ms / 1000)
+            self.expire_in(self.limits.idle_timeout_ms / 1000)
             if len(self.buffer) <= PIPELINE_BUFFER_BYTES:
                 self.transport.resume_reading()
             if self.buffer:
@@ -328,7 +328,7 @@
             self.transport.write_eof()
             self.transport.resume_reading()
             self.unsent_bytes = self.transport.get_write_buffer_size()
-            self.expire_in(self.limits.idle_ms / 1000 if self.unsent_bytes else LINGER_S)
+            self.expire_in(self.limits.idle_timeout_ms / 1000 if self.unsent_bytes else LINGER_S)
 
     def notify_disconnected(self) -> None:
         """Notifies the current exchange, if any, that the client has disconnected."""
@@ -368,7 +368,7 @@
             self.transport.abort()
         elif unsent and self.phase in (Phase.IDLE, Phase.LINGERING):
             self.unsent_bytes = unsent
-            self.expire_in(self.limits.idle_ms / 1000)
+            self.expire_in(self.limits.idle_timeout_ms / 1000)
         elif self.phase is Phase.LINGERING:
             self.transport.abort()
         elif self.phase is Phase.IDLE:
--- a/tests/rollout_simulation.py
+++ b/tests/rollout_simulation.py
@@ -11,7 +11,7 @@
     StartRollout,
 )
 from plumline.errors import PlumlineError, UnavailableError
-from plumline.registrar.service_rollout.loop import Grants, RolloutSteering
+from plumline.registrar.service_rollout.loop import Grants, ServiceRolloutLoop
 from plumline.routing.fleet_state import GRANT_DURATION_S, ListedEndpoint, RolloutGrant
 from plumline.routing.rollout_evidence import NOT_ON_TRIAL
 from plumline.routing.rollout_report import AnswerTally, RolloutReport, ServiceReport
@@ -65,7 +65,7 @@
             self.fleet.granted_term, self.fleet.granted_at = self.term, self.fleet.now
             self.fleet.grants = dict(grants)
 
-    def published_any(self) -> bool:
+    def has_published_grants(self) -> bool:
         return bool(self.fleet.grants)
 
     def record(self, decision: AdvanceRollout, on_result: Callable[[PlumlineError | None], None]) -> None:
@@ -105,9 +105,9 @@
         self.steering = self.new_steering()
         self.cut_off_routers: set[str] = set()
 
-    def new_steering(self) -> RolloutSteering:
+    def new_steering(self) -> ServiceRolloutLoop:
         """The control loop of another registrar, or of this one after a restart; it has no reports."""
-        return RolloutSteering(self.environment, lambda: 1000.0 + self.now)
+        return ServiceRolloutLoop(self.environment, lambda: 1000.0 + self.now)
 
     @property
     def stage(self) -> RolloutStage:
@@ -175,7 +175,7 @@
         )
         others_running = 0 if stage is RolloutStage.HOLDING else 3
         report = ServiceReport(NEW, stage, others_running, tallies)
-        self.steering.reports.take(RolloutReport(router, 7, {"s": report}))
+        self.steering.reports.add_report(RolloutReport(router, 7, {"s": report}))
 
     def allowed_exposure(self) -> float:
         """The stated limit of requests to a bad version: a tenth of all until the deadline, plus 50."""
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -402,11 +402,11 @@
     change = ["weights", {"Model": "m1", "Version": 3}]
     assert state.check(change) is False
     new = state.apply(change)
-    assert (state.weight_versions, new.weight_versions) == ({}, {"m1": 3})
+    assert (state.model_versions, new.model_versions) == ({}, {"m1": 3})
     assert new.check(change) is True and new.apply(change) is new
     late = ["weights", {"Model": "m1", "Version": 2}]
     assert new.check(late) is True and new.apply(late) is new
-    assert new.apply(["weights", {"Model": "m2", "Version": 1}]).weight_versions == {"m1": 3, "m2": 1}
+    assert new.apply(["weights", {"Model": "m2", "Version": 1}]).model_versions == {"m1": 3, "m2": 1}
 
 
 @pytest.mark.parametrize(
@@ -647,7 +647,12 @@
     )
     assert table.cache_stores["store"].link_speed_mbps == 390000.0
     limits = table.limits
-    assert (limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms) == (
+    assert (
+        limits.max_header_bytes,
+        limits.max_body_bytes,
+        limits.header_timeout_ms,
+        limits.idle_timeout_ms,
+    ) == (
         100,
         1 << 22,
         3000,
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -232,7 +232,7 @@
         peer = ScriptedEndpoint("e1", answer())
         router = await start_router(document() | {"Tenants": TENANTS}, peer)
         router.fleet.table.services["st"] = RouteTable({"Version": 1, "Services": [STORE]}).services["st"]
-        router.fleet.state = ReplicatedConfiguration(weight_versions={"m": 4}, shared_cache_generation=7)
+        router.fleet.state = ReplicatedConfiguration(model_versions={"m": 4}, shared_cache_generation=7)
         router.fleet.take_roster([peer.entry(models={"m": 4})])
         await router.ask(X_Api_Key="key-p", **MODEL)
         await router.ask(X_Api_Key="key-w", **MODEL)
@@ -267,7 +267,7 @@
         now = 100.0
         router.dispatcher.clock = lambda: now + asyncio.get_running_loop().time()
         router.dispatcher.versions.look(0.0)
-        router.fleet.state = ReplicatedConfiguration(weight_versions={"m": 2})
+        router.fleet.state = ReplicatedConfiguration(model_versions={"m": 2})
         router.fleet.tell("configuration")
         router.fleet.take_roster([old.entry(), new.entry(models={"m": 2})])
         late = {"Remaining_Milliseconds": "900000"}
--- a/tests/test_hostile_clients.py
+++ b/tests/test_hostile_clients.py
@@ -8,7 +8,7 @@
 from plumline.wire.exchange import Exchange
 from plumline.wire.server import FixedLimits, Server
 
-LIMITS = FixedLimits(header_bytes=2048, body_bytes=4096, header_ms=200, idle_ms=400)
+LIMITS = FixedLimits(max_header_bytes=2048, max_body_bytes=4096, header_timeout_ms=200, idle_timeout_ms=400)
 TEST_TIMEOUT_S = 10.0  # after which a hanging test fails
 VALID_REQUEST = b"POST /a/b?c=d HTTP/1.1\r\nHost: x.example\r\nContent-Length: 3\r\n\r\nabc"
 SMUGGLED = b"GET /smuggled HTTP/1.1\r\nHost: x.example\r\n\r\n"
@@ -205,7 +205,7 @@
         writer.close()
         await assert_still_serving(server, requests)
 
-    run_scenario(scenario, LIMITS._replace(header_ms=60000, idle_ms=60000))
+    run_scenario(scenario, LIMITS._replace(header_timeout_ms=60000, idle_timeout_ms=60000))
 
 
 REQUESTS_IN_BODIES = {
--- a/tests/test_lease_election.py
+++ b/tests/test_lease_election.py
@@ -122,7 +122,7 @@
         election.restore(node.disk)
         if formed:
             node.view = 1
-            election.set_view(self.now, 1, self.voters(node, 1), formed_now=True)
+            election.set_view(self.now, 1, self.voters(node, 1), created_now=True)
         elif node.view:
             election.set_view(self.now, node.view, self.voters(node, node.view))
         election.stop_granting(node.accepted)
@@ -510,9 +510,9 @@
     print(caught.value)
 
 
-def new_voter(*, formed_now: bool = True) -> LeaseElection:
+def new_voter(*, created_now: bool = True) -> LeaseElection:
     election = LeaseElection("v", DURATIONS, Random(1))
-    election.set_view(0.0, 1, ["c", "d", "v"], formed_now=formed_now)
+    election.set_view(0.0, 1, ["c", "d", "v"], created_now=created_now)
     return election
 
 
@@ -555,7 +555,7 @@
     election = LeaseElection("v", DURATIONS, Random(1))
     election.restore([["ballot", LEASE, 7, "c/1"], ["entry", 3], ["ballot", LEASE, 6, "d/1"]])
     # Its records show that it voted before, so it abstains.
-    election.set_view(0.0, 1, ["c", "d", "v"], formed_now=True)
+    election.set_view(0.0, 1, ["c", "d", "v"], created_now=True)
     election.on_message(1.0, "d", request_message(8))
     assert election.take_actions() == [Send("d", ["refuse", LEASE, 1, 7, 9, 0.5])]
     election.on_message(1.0, "c", request_message(7, renewal=True))
@@ -612,7 +612,7 @@
 
 def test_two_removals_in_a_row_make_voters_abstain() -> None:
     election = LeaseElection("v", DURATIONS, Random(1))
-    election.set_view(0.0, 1, list("vwxyz"), formed_now=True)
+    election.set_view(0.0, 1, list("vwxyz"), created_now=True)
     election.set_view(5.0, 2, list("vwxy"))
     election.on_message(5.0, "w", request_message(9 << 20, view=2))
     assert isinstance(election.take_actions()[0], Persist)
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -435,7 +435,7 @@
         assert harness.server.counters == {"client-stalled": 1}
         sock.close()
 
-    run_scenario(scenario, FixedLimits(idle_ms=50))
+    run_scenario(scenario, FixedLimits(idle_timeout_ms=50))
 
 
 def test_an_idle_connection_ends() -> None:
@@ -446,7 +446,7 @@
         rest = await client.rest()
         assert rest.startswith(b"HTTP/1.1 200 ") and b"Keep-Alive" not in rest
 
-    run_scenario(scenario, FixedLimits(idle_ms=50))
+    run_scenario(scenario, FixedLimits(idle_timeout_ms=50))
 
 
 def test_the_server_does_not_limit_the_handlers_time() -> None:
@@ -460,7 +460,7 @@
         exchange.respond(200)
         assert (await client.head()).startswith(b"HTTP/1.1 200 ")
 
-    run_scenario(scenario, FixedLimits(idle_ms=50, header_ms=50))
+    run_scenario(scenario, FixedLimits(idle_timeout_ms=50, header_timeout_ms=50))
 
 
 def test_the_readiness_status_follows_the_callback() -> None:
--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -49,7 +49,7 @@
     # The newest entry of the first process is committed when the next one starts, before any message arrives.
     second = RegistrarProcess(settings_for(tmp_path))
     assert second.core.local_member == first.core.local_member
-    assert second.core.chain.state.weight_versions == {"m": 3}
+    assert second.core.chain.state.model_versions == {"m": 3}
     assert second.core.chain.is_head() and second.core.chain.caught_up
     second.durable_state.close()
 
--- a/tests/test_request_bounds.py
+++ b/tests/test_request_bounds.py
@@ -82,8 +82,8 @@
     run_with_timeout(work())
     usual = FixedLimits()
     assert (
-        UNCONFIGURED_LIMITS.header_bytes > usual.header_bytes
-        and UNCONFIGURED_LIMITS.body_bytes > usual.body_bytes
+        UNCONFIGURED_LIMITS.max_header_bytes > usual.max_header_bytes
+        and UNCONFIGURED_LIMITS.max_body_bytes > usual.max_body_bytes
     )
 
 
@@ -120,10 +120,10 @@
     async def work() -> None:
         router = await start_router(document(), ScriptedEndpoint("e1", answer()))
         assert isinstance(router.server, Server)
-        limits = FixedLimits(header_bytes=400)
+        limits = FixedLimits(max_header_bytes=400)
         router.server.limits = lambda: limits
         assert (await router.ask(X_Long="x" * 500))[0] == 431
-        limits = FixedLimits(header_bytes=4000)
+        limits = FixedLimits(max_header_bytes=4000)
         assert (await router.ask(X_Long="x" * 500))[0] == 200
 
     run_with_timeout(work())
--- a/tests/test_rollout_durability.py
+++ b/tests/test_rollout_durability.py
@@ -16,7 +16,7 @@
 )
 from plumline.coordination.lease import LeaseDurations
 from plumline.errors import PlumlineError, UnavailableError
-from plumline.registrar.service_rollout.loop import Grants, RolloutSteering
+from plumline.registrar.service_rollout.loop import Grants, ServiceRolloutLoop
 from plumline.routing.fleet_state import ListedEndpoint
 from tests.control_world import ControlWorld, short_memory
 from tests.core_world import Node
@@ -51,7 +51,7 @@
     def publish(self, grants: Grants) -> None:
         self.world.published.append((self.world.now, dict(grants)))
 
-    def published_any(self) -> bool:
+    def has_published_grants(self) -> bool:
         return False
 
     def record(self, decision: AdvanceRollout, on_result: Callable[[PlumlineError | None], None]) -> None:
@@ -73,10 +73,10 @@
         super().start_core(node)
         assert node.core is not None
         node.core.campaign(self.now + node.offset, LEASE)
-        steering = RolloutSteering(RegistrarEnvironment(self, node), lambda: self.now + node.offset)
+        steering = ServiceRolloutLoop(RegistrarEnvironment(self, node), lambda: self.now + node.offset)
         self.run_steps(node, node.generation, steering)
 
-    def run_steps(self, node: Node, life: int, steering: RolloutSteering) -> None:
+    def run_steps(self, node: Node, life: int, steering: ServiceRolloutLoop) -> None:
         def step() -> None:
             steering.step()
             self.after_step(node)
--- a/tests/test_rollout_loop.py
+++ b/tests/test_rollout_loop.py
@@ -5,7 +5,7 @@
 import pytest
 from rollout_world import endpoint, from_wire, to_wire
 
-from plumline.registrar.rollout.loop import RolloutController
+from plumline.registrar.rollout.loop import EndpointRolloutLoop
 from plumline.registrar.rollout.plan import RolloutStates
 from plumline.routing.fleet_state import ListedEndpoint
 from plumline.wire.calls import Caller
@@ -74,7 +74,7 @@
     def __init__(self, caller: Caller, address: tuple[str, int]) -> None:
         self.now = 100.0
         self.environment = Environment(address)
-        self.controller = RolloutController(caller, "node-1", self.environment, lambda: self.now)
+        self.controller = EndpointRolloutLoop(caller, "node-1", self.environment, lambda: self.now)
 
     async def reconcile(self, after: float = 0.0) -> float:
         """Reconciles once and waits for the calls that were started."""
--- a/tests/test_singleton_environments.py
+++ b/tests/test_singleton_environments.py
@@ -26,7 +26,7 @@
 
 @dataclass
 class Configuration:
-    weight_versions: dict[str, int] = field(default_factory=dict)
+    model_versions: dict[str, int] = field(default_factory=dict)
     configuration: Any = None
 
 
--- a/tests/wire_world.py
+++ b/tests/wire_world.py
@@ -629,7 +629,7 @@
         self.dispatcher = Dispatcher(
             settings, fleet, Counters(), loop.time, random.Random(4), budget=self.retry_budget
         )
-        self.server = Server(self.dispatcher.handle, lambda: FixedLimits(idle_ms=60_000))
+        self.server = Server(self.dispatcher.handle, lambda: FixedLimits(idle_timeout_ms=60_000))
         await asyncio.gather(*(self.run_client(number) for number in range(CLIENTS)))
         await asyncio.sleep(3 * TIMEOUT_S)
         self.check_nothing_left()
