--- a/message_sender/__main__.py
+++ b/message_sender/__main__.py
@@ -45,7 +45,9 @@
             # On sockets a list must always be requested, whatever the simulator does at this site, and the
             # list cached on this machine applies as well.
             settings=replace(
-                settings_from(document["settings"], ends_answered=True), must_ask=True, told_unheard=True
+                settings_from(document["settings"], ends_acknowledged=True),
+                must_subscribe=True,
+                wait_for_fresh_list=True,
             ),
         )
     except KeyError as error:
--- a/message_sender/adapter.py
+++ b/message_sender/adapter.py
@@ -202,7 +202,7 @@
                     raise line.error("table", f"no sheet {table}")
                 return face.EndpointsListed(listing, self.endpoint_lists[table])
             case "req":
-                return face.MessageTaken(
+                return face.MessageAccepted(
                     message=line.text("ref"),
                     message_class=line.text("service"),
                     destination=line.integer("dest"),
--- a/message_sender/interface.py
+++ b/message_sender/interface.py
@@ -96,10 +96,10 @@
     over_share_worth: float = 1.0
     halves: bool = False  # the value of a late message halves per latency aim; else it falls linearly
     zone_fees: tuple[tuple[str, float], ...] = ()  # zone, value lost per message on a separate route there
-    must_ask: bool = False  # the list of endpoints is sent only on request
-    told_unheard: bool = False  # discovery's state binds from the start, even if not yet received
+    must_subscribe: bool = False  # the list of endpoints is sent only on request
+    wait_for_fresh_list: bool = False  # discovery's state binds from the start, even if not yet received
     ask_within: int = 10_000_000
-    rates_told: bool = False  # Endpoint.scale is the rate limit of the destination in calls per second
+    rates_announced: bool = False  # Endpoint.scale is the rate limit of the destination in calls per second
     may_cancel: bool = True
     max_retry_after: int = 0  # longest wait that a client observes; 0: clients are given none
     cold: int = 10_000_000  # warm-up time of a destination after an outage
@@ -109,7 +109,7 @@
     connect_timeout: int = 1_500_000  # a connection not established by then has failed
     key_quiet: int = 0
     drain_grace: int = 0
-    ends_answered: bool = False  # a message ended here is complete only on its EndAnswered
+    ends_acknowledged: bool = False  # a message ended here is complete only on its EndAcknowledged
 
     def __post_init__(self) -> None:
         counts = ("slots", "max_open", "max_attempts", "fleet_size")
@@ -154,7 +154,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MessageTaken:
+class MessageAccepted:
     """A client has submitted a message."""
 
     message: str
@@ -170,17 +170,17 @@
 class MessageRestored:
     """A message that an earlier process of this sender accepted."""
 
-    taken: MessageTaken
+    taken: MessageAccepted
     attempts: int  # so far; an attempt in flight when the process ended counts as a reset
-    risky_since: int | None  # send time of the first attempt that may have run
-    risky_zone: str
+    possible_run_at: int | None  # send time of the first attempt that may have run
+    possible_run_zone: str
     #: Endpoint and outcome of each completed attempt sent after the last one that the destination served.
     outcomes: tuple[tuple[str, Outcome], ...] = ()
-    held: bool = True  # queued; else in flight or ended, as the TakenOver that follows says
+    held: bool = True  # queued; else in flight or ended, as the MemoryReceived that follows says
 
 
 @dataclass(frozen=True, slots=True)
-class TakenOver:
+class MemoryReceived:
     """State of another process of this sender at its handover: its Dispatcher.memory()."""
 
     memory: Mapping[str, Any]
@@ -205,8 +205,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndAnswered:
-    """The refusal or failure of a message has been answered; see Settings.ends_answered."""
+class EndAcknowledged:
+    """The refusal or failure of a message has been answered; see Settings.ends_acknowledged."""
 
     message: str
 
@@ -225,12 +225,12 @@
 
 Event = (
     EndpointsListed
-    | MessageTaken
+    | MessageAccepted
     | MessageRestored
-    | TakenOver
+    | MemoryReceived
     | AttemptEnded
     | MessageWithdrawn
-    | EndAnswered
+    | EndAcknowledged
     | Stopping
     | WakeUp
 )
--- a/message_sender/net/sender.py
+++ b/message_sender/net/sender.py
@@ -56,7 +56,7 @@
 
 
 def is_taken_event(event: face.Event, name: str) -> bool:
-    return isinstance(event, face.MessageTaken) and event.message == name
+    return isinstance(event, face.MessageAccepted) and event.message == name
 
 
 class Sender:
@@ -98,7 +98,7 @@
             config.settings.connect_timeout / 1e6,
             share.calls,
             lambda: self.discovery.addresses,
-            lambda endpoint, wait: self.dispatcher.wait_told(endpoint, self.now() + wait),
+            lambda endpoint, wait: self.dispatcher.apply_wait(endpoint, self.now() + wait),
             self.counters.count_forward,
         )
         self.inbox: list[face.Event] = []
@@ -180,7 +180,7 @@
             self.post(self.restored_event(entry, (in_flight[name],) if name in in_flight else ()))
         if not handover.state:
             return
-        self.post(face.TakenOver(handover.state["module"]))
+        self.post(face.MemoryReceived(handover.state["module"]))
         self.finished = handover.state["ended"]
         for details, sock in handover.idle:
             self.client.adopt_idle(details, sock)
@@ -253,8 +253,8 @@
         return face.MessageRestored(
             taken=self.taken_event(entry.message),
             attempts=max(entry.attempts, default=-1) + 1,
-            risky_since=min(risk.at, self.now()) if risk else None,
-            risky_zone=risk.zone if risk else "",
+            possible_run_at=min(risk.at, self.now()) if risk else None,
+            possible_run_zone=risk.zone if risk else "",
             outcomes=tuple((each.endpoint, each.outcome) for each in since if each.outcome),
             held=not in_flight and entry.message.id not in self.discovery.notices,
         )
@@ -348,7 +348,7 @@
                 self.discovery.seq,
                 len(self.dispatcher.endpoints),
                 ", ".join(f"{name} {count}" for name, count in sorted(counts.items())) or "nothing",
-                "; ".join(self.dispatcher.most_held(LOGGED_DESTINATIONS)) or "none",
+                "; ".join(self.dispatcher.longest_queues(LOGGED_DESTINATIONS)) or "none",
             )
             self.server.longest_unread = 0.0
 
@@ -370,7 +370,7 @@
         gauges = {
             "outstanding": 0 if self.handed_over else len(self.journal.entries),
             "discovered": len(self.discovery.addresses),
-            "ejected": self.dispatcher.avoided(),
+            "ejected": self.dispatcher.count_avoided(),
         }
         return "\n".join([*self.counters.lines(gauges), "eof"])
 
@@ -383,8 +383,8 @@
             self.turn_scheduled = True
             self.loop.call_soon(self.turn)
 
-    def taken_event(self, message: HandedIn) -> face.MessageTaken:
-        return face.MessageTaken(
+    def taken_event(self, message: HandedIn) -> face.MessageAccepted:
+        return face.MessageAccepted(
             message=message.id,
             message_class=message.message_class,
             destination=message.destination,
@@ -421,7 +421,7 @@
     def reject(self, message: HandedIn, connection: Connection, text: str = "") -> None:
         """Rejects a message that was not accepted, so no attempt of it has run."""
         self.counters.count_end(message.message_class, End.DECLINED)
-        connection.answer(503, self.dispatcher.come_again(), text)
+        connection.answer(503, self.dispatcher.default_retry_after(), text)
 
     def known_digest(self, name: str) -> str | None:
         if entry := self.journal.entries.get(name):
@@ -447,7 +447,7 @@
         if entry := self.journal.entries.get(name):
             self.counters.count_end(entry.message.message_class, END_BY_NOTICE_STATE[state])
         self.finish_message(name)
-        self.post(face.EndAnswered(name))
+        self.post(face.EndAcknowledged(name))
         self.stop_if_done()
 
     def call_ended(self, name: str, number: int, task: asyncio.Task[Answer]) -> None:
@@ -513,11 +513,13 @@
         self, action: face.Refuse | face.Fail, message: HandedIn, clients: Iterable[Connection]
     ) -> None:
         """Answers a message that was not accepted, so no attempt of it has run."""
-        after = action.retry_after if isinstance(action, face.Refuse) else self.dispatcher.come_again()
+        after = (
+            action.retry_after if isinstance(action, face.Refuse) else self.dispatcher.default_retry_after()
+        )
         self.counters.count_end(message.message_class, End.DECLINED)
         for connection in clients:
             connection.answer(429, after)
-        self.post(face.EndAnswered(action.message))
+        self.post(face.EndAcknowledged(action.message))
 
     def perform_action(self, action: face.Action, rejected: set[str]) -> None:
         match action:
@@ -560,7 +562,7 @@
             endpoint,
             message,
             action.timeout / 1e6,
-            lambda: self.dispatcher.may_still_go(endpoint, message.destination, self.now()),
+            lambda: self.dispatcher.may_still_send(endpoint, message.destination, self.now()),
             message.message_class in self.unsafe_classes,
         )
         self.watch_call(name, number, call)
--- a/message_sender/rules.py
+++ b/message_sender/rules.py
@@ -53,15 +53,15 @@
 
 
 class Message:
-    def __init__(self, taken: face.MessageTaken, kind: face.MessageClass, now: int, share: float) -> None:
+    def __init__(self, taken: face.MessageAccepted, kind: face.MessageClass, now: int, share: float) -> None:
         self.id, self.kind, self.destination = taken.message, kind, taken.destination
         self.key = taken.key if kind.in_order else ""
         self.expires_at, self.created_at = now + taken.time_left, now + taken.time_left - kind.deadline
         self.protected_until = now + MIN_HOLD_SHARE * taken.time_left
         self.share = share  # factor on its value: 1, or less when its tenant is over its share
         self.attempts, self.out, self.ended = 0, False, False
-        self.risky_since: int | None = None  # send time of the first attempt that may have run
-        self.risky_zone = ""
+        self.possible_run_at: int | None = None  # send time of the first attempt that may have run
+        self.possible_run_zone = ""
 
 
 class Call:
@@ -106,7 +106,7 @@
         self.messages: dict[str, Message] = {}
         self.arriving: set[str] = set()  # accepted in this call of handle()
         self.waiting: dict[int, dict[str, Message]] = {}
-        self.unanswered: dict[str, Message] = {}  # ended here, EndAnswered not received yet
+        self.unanswered: dict[str, Message] = {}  # ended here, EndAcknowledged not received yet
         self.keys: dict[str, KeyQueue] = {}
         self.calls: dict[tuple[str, int], Call] = {}
         self.idle: dict[str, Endpoint] = {}  # endpoints where a call has just ended
@@ -116,7 +116,7 @@
         self.key_pauses: list[tuple[int, str]] = []  # a heap: when a key's pause ends
         self.now, self.wake_at, self.count = -NEVER, NEVER, itertools.count()
         self.stops_at, self.last_expiry = NEVER, -NEVER
-        self.subscribe_at, self.subscribe_attempts = (-NEVER if settings.must_ask else NEVER), 0
+        self.subscribe_at, self.subscribe_attempts = (-NEVER if settings.must_subscribe else NEVER), 0
         self.list_wait_until = -NEVER  # no calls by a cached, maybe outdated list before this
         self.actions: list[face.Action] = []
 
@@ -127,11 +127,11 @@
         self.now, self.actions, self.arriving = now_us, [], set()
         for event in events:
             match event:
-                case face.MessageTaken():
+                case face.MessageAccepted():
                     self.accept(event)
                 case face.MessageRestored():
                     self.restore_message(event)
-                case face.TakenOver(memory):
+                case face.MemoryReceived(memory):
                     self.restore_memory(memory)
                 case face.AttemptEnded():
                     self.attempt_ended(event)
@@ -139,7 +139,7 @@
                     self.update_endpoints(event)
                 case face.MessageWithdrawn(message) if message in self.messages:
                     self.finish(self.messages[message])
-                case face.EndAnswered(message) if message in self.unanswered:
+                case face.EndAcknowledged(message) if message in self.unanswered:
                     self.finish(self.unanswered.pop(message))
                 case face.Stopping(left):
                     self.stops_at = now_us + left
@@ -153,7 +153,7 @@
 
     # Events.
 
-    def accept(self, taken: face.MessageTaken) -> None:
+    def accept(self, taken: face.MessageAccepted) -> None:
         if taken.message_class not in self.classes:
             raise ValueError(f"unknown class {taken.message_class}")
         if taken.message in self.messages:
@@ -164,7 +164,7 @@
         self.arriving.add(message.id)
         routes = self.breakers_at.get(message.destination, ())
         for breaker in routes:
-            breaker.asked_for(self.now, len(routes))
+            breaker.count_message(self.now, len(routes))
         self.waiting.setdefault(message.destination, {})[message.id] = message
         heapq.heappush(self.deadlines, (message.expires_at, next(self.count), message))
         if message.key:
@@ -174,8 +174,8 @@
         """Rules: a call in flight when the process ended may have run or may still run, so its key pauses."""
         self.accept(restored.taken)
         message = self.messages[restored.taken.message]
-        message.attempts, message.risky_since = restored.attempts, restored.risky_since
-        message.risky_zone = restored.risky_zone
+        message.attempts, message.possible_run_at = restored.attempts, restored.possible_run_at
+        message.possible_run_zone = restored.possible_run_zone
         self.arriving.discard(message.id)  # accepted earlier; the time it had left then is unknown
         self.pause_key(message.key)
         self.watch_repeat_window(message)
@@ -296,8 +296,8 @@
         self.count_result(call, ended)
         if ended.outcome in UNCERTAIN:
             self.pause_key(message.key)
-        if ended.outcome not in face.NEVER_RAN and message.risky_since is None:
-            message.risky_since, message.risky_zone = call.sent, call.endpoint.listed.zone
+        if ended.outcome not in face.NEVER_RAN and message.possible_run_at is None:
+            message.possible_run_at, message.possible_run_zone = call.sent, call.endpoint.listed.zone
         if message.ended or ended.finished:
             self.finish(message)
         elif self.now + self.settings.tick >= message.expires_at or not self.may_send_again(message):
@@ -313,20 +313,20 @@
 
     def watch_repeat_window(self, message: Message) -> None:
         """Checks a queued message again when the window ends in which it may be repeated."""
-        if message.risky_since is not None and message.kind.effect is Effect.KEYED:
-            last = self.repeat_until(message, message.risky_since) + self.settings.tick
+        if message.possible_run_at is not None and message.kind.effect is Effect.KEYED:
+            last = self.repeat_until(message, message.possible_run_at) + self.settings.tick
             heapq.heappush(self.deadlines, (last, next(self.count), message))
 
     def repeat_until(self, message: Message, sent: int) -> float:
         """Until when a repeat may be sent; `sent`: send time of an attempt that may have run."""
-        window_start = sent if message.risky_since is None else message.risky_since
+        window_start = sent if message.possible_run_at is None else message.possible_run_at
         return window_start + message.kind.window - 2 * self.settings.tick - message.kind.aim * CALL_SHARE
 
     def count_result(self, call: Call, ended: face.AttemptEnded) -> None:
         """The first result of a call counts for all its messages."""
         breaker, endpoint = call.breaker, call.endpoint
         if ended.wait:  # rule: a wait that any answer requests is observed
-            breaker.told_wait(self.now + ended.wait)
+            breaker.set_wait(self.now + ended.wait)
         if not call.messages:
             breaker.out -= 1
             endpoint.out -= 1
@@ -386,7 +386,7 @@
             self.subscribe_at = self.now + delay * self.random.uniform(0.5, 1)
             return
         # Rule: drains. Discovery that stays silent learns nothing new, so after a wait its last list holds.
-        is_cached = listed.listing is Listing.CACHED and self.settings.told_unheard
+        is_cached = listed.listing is Listing.CACHED and self.settings.wait_for_fresh_list
         self.list_wait_until = self.now + LIST_TIMEOUT if is_cached else -NEVER
         self.subscribe_attempts, known = 0, self.endpoints
         self.endpoints = dict(known) if listed.listing is Listing.CHANGES else {}
@@ -398,7 +398,7 @@
         self.by_destination, self.breakers_at = {}, {}
         for endpoint in self.endpoints.values():
             endpoint.breaker = breaker = self.breaker_for(endpoint)
-            if self.settings.rates_told and endpoint.listed.scale > 0:
+            if self.settings.rates_announced and endpoint.listed.scale > 0:
                 breaker.set_rate(endpoint.listed.scale)
             self.by_destination.setdefault(endpoint.listed.destination, []).append(endpoint)
             breakers = self.breakers_at.setdefault(endpoint.listed.destination, [])
@@ -443,25 +443,25 @@
         """Rule: no effect twice."""
         if message.attempts >= self.settings.max_attempts:
             return False
-        if message.risky_since is None or message.kind.effect is Effect.SAFE:
+        if message.possible_run_at is None or message.kind.effect is Effect.SAFE:
             return True
-        until = self.repeat_until(message, message.risky_since)
+        until = self.repeat_until(message, message.possible_run_at)
         return message.kind.effect is Effect.KEYED and self.now < until
 
     def may_refuse(self, message: Message) -> bool:
         """Rule: no effect twice; a refusal lets the client safely submit the message again."""
-        if message.risky_since is None or message.kind.effect is Effect.SAFE:
+        if message.possible_run_at is None or message.kind.effect is Effect.SAFE:
             return True
         return message.kind.effect is Effect.KEYED and not message.kind.window_by_zone
 
     def end(self, message: Message) -> None:
-        refusal = face.Refuse(message.id, self.come_again())
+        refusal = face.Refuse(message.id, self.default_retry_after())
         self.actions.append(refusal if self.may_refuse(message) else face.Fail(message.id))
-        if self.settings.ends_answered:
+        if self.settings.ends_acknowledged:
             self.unanswered[message.id] = message
         self.finish(message)
 
-    def come_again(self) -> int:
+    def default_retry_after(self) -> int:
         return min(RESET_TIMEOUT, self.settings.max_retry_after)
 
     def finish(self, message: Message) -> None:
@@ -532,15 +532,15 @@
         """Rule: an accepted message that cannot have run is kept for most of its time. One from the current
         call of handle() does not count as accepted yet."""
         due = message.id in self.arriving or message.protected_until <= self.now
-        return self.may_refuse(message) and (due or message.risky_since is not None)
+        return self.may_refuse(message) and (due or message.possible_run_at is not None)
 
-    def most_held(self, count: int) -> list[str]:
+    def longest_queues(self, count: int) -> list[str]:
         """For the status line: the destinations with the longest queues, and what delays their next call."""
         top = heapq.nlargest(count, ((len(queue), name) for name, queue in self.waiting.items() if queue))
         states = {name: [each.state(self.now) for each in self.breakers_at.get(name, ())] for _, name in top}
         return [f"{name}: {size} {' '.join(states[name]) or '(no endpoint)'}" for size, name in top]
 
-    def avoided(self) -> int:
+    def count_avoided(self) -> int:
         """For the metrics: listed endpoints that get no calls now, or only if no other endpoint can."""
         return sum(
             each.breaker.failures >= FAILURE_THRESHOLD or each.bad_until > self.now
@@ -578,7 +578,7 @@
                 self.end(message)
             elif endpoint := self.choose_endpoint(message, batches):
                 self.send(message, endpoint, batches)
-            elif not message.risky_zone:
+            elif not message.possible_run_zone:
                 shut.add(message.destination)
             if len(self.out) >= self.settings.slots and not self.batches:
                 break
@@ -591,12 +591,12 @@
             ]
         self.idle = {}
 
-    def wait_told(self, endpoint: str, until: int) -> None:
+    def apply_wait(self, endpoint: str, until: int) -> None:
         """Rule: waits. Applies a wait at once, also to calls about to start before the event is handled."""
         if known := self.endpoints.get(endpoint):
-            known.breaker.told_wait(until)
+            known.breaker.set_wait(until)
 
-    def may_still_go(self, endpoint: str, destination: int, now: int) -> bool:
+    def may_still_send(self, endpoint: str, destination: int, now: int) -> bool:
         """Rules: drains and waits, checked again before the first byte of a call is written, as connecting
         takes time. The endpoint may have been reassigned to another destination since then."""
         if (known := self.endpoints.get(endpoint)) is None or known.listed.destination != destination:
@@ -606,7 +606,7 @@
     def choose_endpoint(self, message: Message, batches: dict[str, Call]) -> Endpoint | None:
         options = []
         for endpoint in self.by_destination.get(message.destination, ()):
-            if message.kind.window_by_zone and message.risky_zone not in ("", endpoint.listed.zone):
+            if message.kind.window_by_zone and message.possible_run_zone not in ("", endpoint.listed.zone):
                 continue  # rule: no effect twice; only that zone drops repeats
             breaker, listed = endpoint.breaker, endpoint.listed
             joins = self.may_join(batches.get(listed.id), listed)
--- a/message_sender/settings.py
+++ b/message_sender/settings.py
@@ -7,8 +7,8 @@
 EFFECTS = {"repeatable": face.Effect.SAFE, "by_key": face.Effect.KEYED, "once": face.Effect.UNSAFE}
 
 
-def settings_from(info: dict[str, Any], ends_answered: bool = False) -> face.Settings:
-    """The settings in `info`. `ends_answered`: this sender reports answered notices with EndAnswered."""
+def settings_from(info: dict[str, Any], ends_acknowledged: bool = False) -> face.Settings:
+    """The settings in `info`. `ends_acknowledged`: this sender reports answers by EndAcknowledged."""
     limits, safety, specifics = info["limits"], info["safety"], info["specifics"]
     zones, models = info["zones"], info["models"]
     classes = tuple(
@@ -47,9 +47,9 @@
         over_share_worth=info.get("over_share_worth", 1.0),
         halves=specifics.get("loses_worth") == "halves",
         zone_fees=tuple(zip(zones, specifics.get("zone_fee") or (), strict=False)),
-        must_ask=info["membership_mode"] == "on_request",
+        must_subscribe=info["membership_mode"] == "on_request",
         ask_within=safety.get("ask_within", 10_000_000),
-        rates_told=info.get("weight_kind") == "nominal",
+        rates_announced=info.get("weight_kind") == "nominal",
         may_cancel=limits["cancelling"],
         max_retry_after=limits.get("max_retry_after", 0),
         cold=safety["cold"],
@@ -59,5 +59,5 @@
         connect_timeout=limits.get("connect_timeout", 1_500_000),
         key_quiet=safety.get("key_quiet", 0),
         drain_grace=safety["drain_grace"],
-        ends_answered=ends_answered,
+        ends_acknowledged=ends_acknowledged,
     )
--- a/plumline/breaker/breaker.py
+++ b/plumline/breaker/breaker.py
@@ -73,7 +73,7 @@
         self.initial_gap = min(GAP_STEP * self.crowd, RATE_STEP * self.rate_gap)
         self.max_gap = min(RESET_TIMEOUT * self.crowd, RATE_MAX * self.rate_gap)
 
-    def asked_for(self, now: int, routes: int) -> None:
+    def count_message(self, now: int, routes: int) -> None:
         """Counts a message for this destination. In a large fleet their interval sets the first and largest
         gap, as this sender's part of a rate limit is of that order. A smaller first gap has no effect, so no
         call is served where refused ones use up the limit; a far larger one takes many calls to shrink."""
@@ -87,7 +87,7 @@
             longest = DEMAND_MAX * interval / self.fleet_factor
             self.max_gap = max(RESET_TIMEOUT, min(RESET_TIMEOUT * self.crowd, longest))
 
-    def told_wait(self, until: int) -> None:
+    def set_wait(self, until: int) -> None:
         """Rule: waits. Many senders share machines, whose clocks may be ahead of the destination's clock."""
         self.wait_until = max(self.wait_until, until + math.ceil(WAIT_SLACK * self.fleet_factor))
 
--- a/plumline/routing/outcomes.py
+++ b/plumline/routing/outcomes.py
@@ -78,7 +78,7 @@
         """Records a request that could be sent to any of these `routes` endpoints."""
         at = microseconds(now)
         for key in keys:
-            self.breaker(key, now).asked_for(at, routes)
+            self.breaker(key, now).count_message(at, routes)
 
     def begin(self, key: str, now: float) -> Call:
         """Begins a call: the single trial if the breaker is half-open, else an ordinary call."""
@@ -117,7 +117,7 @@
         if self.settle(call):
             at = microseconds(now)
             if wait > 0:
-                call.breaker.told_wait(at + microseconds(wait))
+                call.breaker.set_wait(at + microseconds(wait))
             call.breaker.refused(at, call, microseconds(wait))
 
     def nothing(self, call: Call) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -52,7 +52,7 @@
     def take(self, kind: str = "safe", after: int = 0, **changes: object) -> list[face.Action]:
         self.count += 1
         values: dict[str, object] = {"message": f"m{self.count}", "destination": 1, "time_left": 20 * SECOND}
-        return self.step(face.MessageTaken(message_class=kind, **(values | changes)), after=after)  # type: ignore[arg-type]
+        return self.step(face.MessageAccepted(message_class=kind, **(values | changes)), after=after)  # type: ignore[arg-type]
 
     def answer(
         self, message: str, outcome: face.Outcome, after: int = 10 * MS, wait: int = 0
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -140,13 +140,13 @@
 
 def test_sends_of_one_round_share_a_call_where_batches_are_allowed() -> None:
     world = World(endpoint("a", kind="apart"), slots=1)
-    events = [face.MessageTaken(f"x{each}", "safe", 1, 20 * SECOND) for each in range(7)]
+    events = [face.MessageAccepted(f"x{each}", "safe", 1, 20 * SECOND) for each in range(7)]
     assert len(sent(world.step(*events))) == 5
 
 
 def test_same_events_give_the_same_actions() -> None:
     def run() -> list[list[face.Action]]:
-        world = World(endpoint("a"), endpoint("b"), must_ask=True)
+        world = World(endpoint("a"), endpoint("b"), must_subscribe=True)
         out = [world.step(face.EndpointsListed(face.Listing.FAILED))]
         for number in range(30):
             actions = world.take(("safe", "once", "keyed")[number % 3], after=50 * MS)
@@ -192,7 +192,7 @@
 
 def test_failures_before_a_restart_open_the_breaker_to_a_trial_and_warm_it_up() -> None:
     world = World()
-    taken = [face.MessageTaken(f"m{each}", "safe", 1, 20 * SECOND) for each in range(FAILURE_THRESHOLD)]
+    taken = [face.MessageAccepted(f"m{each}", "safe", 1, 20 * SECOND) for each in range(FAILURE_THRESHOLD)]
     failed = (("a", Outcome.CONNECT_FAILED),)
     actions = world.step(*[face.MessageRestored(each, 1, None, "", failed) for each in taken])
     assert sent(actions) == ["m0"]
@@ -203,7 +203,7 @@
 
 def test_a_single_failure_before_a_restart_delays_nothing() -> None:
     world = World()
-    taken = [face.MessageTaken(f"m{each}", "safe", 1, 20 * SECOND) for each in range(2)]
+    taken = [face.MessageAccepted(f"m{each}", "safe", 1, 20 * SECOND) for each in range(2)]
     actions = world.step(
         face.MessageRestored(taken[0], 1, 0, "z1", (("a", Outcome.ERROR),)),
         face.MessageRestored(taken[1], 0, None, ""),
@@ -236,7 +236,7 @@
 
 def test_the_gap_stays_within_the_limits_of_the_announced_rate() -> None:
     """Refusals had raised the gap to 2 s at a destination that takes 58 calls per second."""
-    world = World(endpoint("a", scale=50.0), fleet_size=2, rates_told=True)
+    world = World(endpoint("a", scale=50.0), fleet_size=2, rates_announced=True)
     (breaker,) = world.dispatcher.breakers.values()
     gaps = []
     world.take()
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -59,9 +59,9 @@
     """A call came 80 ms before the end of a wait by the destination's clock, as clocks differ in a fleet."""
     for fleet, least in ((2, 0), (LARGE_FLEET, 80 * MS)):
         world = World(fleet_size=fleet)
-        world.dispatcher.wait_told("a", world.now + SECOND)
-        assert not world.dispatcher.may_still_go("a", 1, world.now + SECOND + least - 1)
-        assert world.dispatcher.may_still_go("a", 1, world.now + SECOND + 100 * MS)
+        world.dispatcher.apply_wait("a", world.now + SECOND)
+        assert not world.dispatcher.may_still_send("a", 1, world.now + SECOND + least - 1)
+        assert world.dispatcher.may_still_send("a", 1, world.now + SECOND + 100 * MS)
         (breaker,) = world.dispatcher.breakers.values()
         assert breaker.wait_until == SECOND or fleet == LARGE_FLEET
 
@@ -69,7 +69,7 @@
 def test_the_first_gap_in_a_large_fleet_follows_the_announced_rate() -> None:
     gaps = []
     for scale in (1.0, 40.0):
-        world = World(endpoint("a", scale=scale), fleet_size=LARGE_FLEET, rates_told=True)
+        world = World(endpoint("a", scale=scale), fleet_size=LARGE_FLEET, rates_announced=True)
         world.take()
         world.answer("m1", Outcome.FULL)
         gaps += [breaker.gap for breaker in world.dispatcher.breakers.values()]
@@ -186,7 +186,7 @@
     """26 of 40 senders retried every 4 s, and discovery answered none of them."""
     pauses = []
     for fleet in (2, 4, 40):
-        world = World(fleet_size=fleet, must_ask=True)
+        world = World(fleet_size=fleet, must_subscribe=True)
         asked = [world.now]
         for _ in range(6):
             actions = world.step(face.EndpointsListed(face.Listing.FAILED), after=MS)
@@ -205,7 +205,7 @@
     first = []
     for fleet in (2, LARGE_FLEET):
         world = World(fleet_size=fleet, classes=(short, long))
-        world.dispatcher.wait_told("a", 6 * SECOND)
+        world.dispatcher.apply_wait("a", 6 * SECOND)
         world.take("long", time_left=12 * SECOND)
         world.take("short", time_left=12 * SECOND, after=500 * MS)
         world.now += 6 * SECOND
@@ -262,7 +262,7 @@
     """Shedding more than half of the restored messages without a call would be a failure."""
     world = World(endpoint("b", destination=2), max_open=5)
     kept = [
-        face.MessageRestored(face.MessageTaken(f"r{n}", "safe", 1, 20 * SECOND), 0, None, "")
+        face.MessageRestored(face.MessageAccepted(f"r{n}", "safe", 1, 20 * SECOND), 0, None, "")
         for n in range(9)
     ]
     assert ended(world.step(*kept)) == []
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -171,11 +171,15 @@
 def taken_over(world: World, *held: face.MessageRestored) -> tuple[Dispatcher, list[face.Action]]:
     successor = Dispatcher(world.dispatcher.settings, seed=8)
     listed = face.EndpointsListed(face.Listing.CACHED, (endpoint("a"),))
-    return successor, successor.handle(world.now, [listed, *held, face.TakenOver(world.dispatcher.memory())])
+    return successor, successor.handle(
+        world.now, [listed, *held, face.MemoryReceived(world.dispatcher.memory())]
+    )
 
 
 def restored(name: str, kind: str = "once", attempts: int = 1, held: bool = False) -> face.MessageRestored:
-    return face.MessageRestored(face.MessageTaken(name, kind, 1, 20 * SECOND), attempts, None, "", held=held)
+    return face.MessageRestored(
+        face.MessageAccepted(name, kind, 1, 20 * SECOND), attempts, None, "", held=held
+    )
 
 
 def test_the_module_continues_with_a_call_in_flight() -> None:
@@ -192,7 +196,7 @@
     world = World()
     world.open_breaker()
     successor, actions = taken_over(world, restored("x", "safe", 0, held=True))
-    assert not sent(actions) and successor.avoided() == 1
+    assert not sent(actions) and successor.count_avoided() == 1
     world = World()
     world.take()
     world.answer("m1", Outcome.FULL, wait=3 * SECOND)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -213,7 +213,7 @@
     world.take()
     world.answer("m1", Outcome.FULL, wait=3 * SECOND)
     world.take(destination=9)
-    (held, nowhere) = sorted(world.dispatcher.most_held(3))
+    (held, nowhere) = sorted(world.dispatcher.longest_queues(3))
     assert held.startswith("1: 1 (") and "told wait 3.00 s" in held
     assert nowhere == "9: 1 (no endpoint)"
 
@@ -244,11 +244,11 @@
 
 
 def restored(
-    message: str, attempts: int = 1, risky_since: int | None = 0, **changes: object
+    message: str, attempts: int = 1, possible_run_at: int | None = 0, **changes: object
 ) -> face.MessageRestored:
     values: dict[str, object] = {"message_class": "zoned", "destination": 1, "time_left": 20 * SECOND}
-    taken = face.MessageTaken(message=message, **(values | changes))  # type: ignore[arg-type]
-    return face.MessageRestored(taken, attempts, risky_since, "z2" if risky_since is not None else "")
+    taken = face.MessageAccepted(message=message, **(values | changes))  # type: ignore[arg-type]
+    return face.MessageRestored(taken, attempts, possible_run_at, "z2" if possible_run_at is not None else "")
 
 
 def test_restored_message_keeps_the_zone_and_window_of_its_first_attempt_that_may_have_run() -> None:
@@ -282,12 +282,12 @@
 
 
 def test_key_waits_for_the_answered_end_where_ends_are_answered() -> None:
-    world = World(ends_answered=True)
+    world = World(ends_acknowledged=True)
     world.take("ordered", key="k", destination=9, time_left=SECOND)
     world.take("ordered", key="k")
     assert ended(world.step(face.WakeUp(), after=SECOND)) == [face.Refuse("m1")]
     assert sent(world.step(face.WakeUp(), after=5 * SECOND)) == []
-    assert sent(world.step(face.EndAnswered("m1"))) == ["m2"]
+    assert sent(world.step(face.EndAcknowledged("m1"))) == ["m2"]
 
 
 def test_no_call_starts_that_may_be_in_flight_when_the_process_ends() -> None:
@@ -301,12 +301,12 @@
     world = World(endpoint("a"), endpoint("b", destination=2))
     world.take()
     world.take()
-    assert world.dispatcher.may_still_go("a", 1, world.now)
+    assert world.dispatcher.may_still_send("a", 1, world.now)
     world.answer("m1", Outcome.FULL, wait=SECOND)
-    assert not world.dispatcher.may_still_go("a", 1, world.now + SECOND - 1)
-    assert world.dispatcher.may_still_go("a", 1, world.now + SECOND)
+    assert not world.dispatcher.may_still_send("a", 1, world.now + SECOND - 1)
+    assert world.dispatcher.may_still_send("a", 1, world.now + SECOND)
     world.step(face.EndpointsListed(face.Listing.CHANGES, (endpoint("b", state=face.EndpointState.GONE),)))
-    assert not world.dispatcher.may_still_go("b", 1, world.now)
+    assert not world.dispatcher.may_still_send("b", 1, world.now)
 
 
 def test_unused_state_expires_but_not_a_wait_in_force() -> None:
@@ -351,7 +351,7 @@
     """Without a history the pace was a guess: after a restart two busy destinations got a call per 2.8 s."""
     gaps = []
     for exact in (False, True):
-        world = World(endpoint("a", scale=40.0), fleet_size=2, rates_told=exact)
+        world = World(endpoint("a", scale=40.0), fleet_size=2, rates_announced=exact)
         (breaker,) = world.dispatcher.breakers.values()
         for _ in range(3):
             breaker.failed(world.now)
@@ -361,8 +361,8 @@
 
 def test_a_requested_wait_applies_to_calls_about_to_start_before_its_events_are_handled() -> None:
     world = World()
-    world.dispatcher.wait_told("a", world.now + SECOND)
-    assert not world.dispatcher.may_still_go("a", 1, world.now) and sent(world.take()) == []
+    world.dispatcher.apply_wait("a", world.now + SECOND)
+    assert not world.dispatcher.may_still_send("a", 1, world.now) and sent(world.take()) == []
     assert sent(world.step(face.WakeUp(), after=SECOND)) == ["m1"]
 
 
@@ -408,7 +408,7 @@
 def test_a_call_does_not_start_at_an_endpoint_reassigned_to_another_destination() -> None:
     """The endpoint is reassigned while the connection is being established."""
     world = World()
-    assert sent(world.take()) == ["m1"] and world.dispatcher.may_still_go("a", 1, world.now)
+    assert sent(world.take()) == ["m1"] and world.dispatcher.may_still_send("a", 1, world.now)
     world.step(face.EndpointsListed(face.Listing.CHANGES, (endpoint("a", 2),)))
-    assert not world.dispatcher.may_still_go("a", 1, world.now)
-    assert world.dispatcher.may_still_go("a", 2, world.now)
+    assert not world.dispatcher.may_still_send("a", 1, world.now)
+    assert world.dispatcher.may_still_send("a", 2, world.now)
--- a/tests/test_sender.py
+++ b/tests/test_sender.py
@@ -255,7 +255,11 @@
         async with Running(world.told, state) as again:
             assert list(again.sender.dispatcher.messages) == ["m1", "m2"]
             restored = again.sender.dispatcher.messages["m1"]
-            assert restored.attempts == 1 and restored.risky_zone == "z" and restored.risky_since is not None
+            assert (
+                restored.attempts == 1
+                and restored.possible_run_zone == "z"
+                and restored.possible_run_at is not None
+            )
             request = await world.receiver.next()
             assert restored.attempts == 2
             assert (request.id, request.body) == ("m1", first.body) and world.receiver.requests.empty()
@@ -464,7 +468,11 @@
             await world.running.task
             again = Sender(config_from(world.told, state))
             restored = again.restored_event(again.journal.entries["m1"])
-            assert (restored.attempts, restored.risky_since, restored.risky_zone) == (3, 1001, "z1")
+            assert (restored.attempts, restored.possible_run_at, restored.possible_run_zone) == (
+                3,
+                1001,
+                "z1",
+            )
 
     play(test)(tmp_path)
 
--- a/tests/test_shared_breaker.py
+++ b/tests/test_shared_breaker.py
@@ -140,14 +140,14 @@
 
 def test_a_requested_wait_applies_in_every_state_and_a_shorter_one_changes_nothing() -> None:
     for breaker in (a_breaker(), opened()):
-        breaker.told_wait(START + 5 * SECOND)
-        breaker.told_wait(START + SECOND)
+        breaker.set_wait(START + 5 * SECOND)
+        breaker.set_wait(START + SECOND)
         assert breaker.ready_at(START) == START + 5 * SECOND
 
 
 def test_a_large_fleet_extends_a_requested_wait_slightly() -> None:
     breaker = a_breaker(PlainSettings(2 * SECOND, fleet_size=LARGE_FLEET))
-    breaker.told_wait(START)
+    breaker.set_wait(START)
     assert START + 80 * MS <= breaker.wait_until <= START + WAIT_SLACK
 
 
@@ -162,11 +162,11 @@
     breaker = opened(PlainSettings(2 * SECOND, fleet_size))
     now = START
     for routes in (1, 2, 1):
-        breaker.asked_for(now, routes)
+        breaker.count_message(now, routes)
     now = int(breaker.ready_at(now))
     breaker.served(now + MS, trial_of(breaker, now))
     breaker.refused(now + 2 * MS, SentCall(now + MS), 3 * SECOND)
-    breaker.asked_for(now + 2 * MS, 1)
+    breaker.count_message(now + 2 * MS, 1)
     breaker.served(now + SECOND, SentCall(now + MS))
     breaker.served(now + SECOND, SentCall(now + MS))
     for at in (START, now, now + SECOND, now + 3 * SECOND):
@@ -187,7 +187,7 @@
         breaker, now = a_breaker(owner_settings), START
         for number in range(60):
             now = max(now, int(breaker.ready_at(now)) + 1)
-            breaker.asked_for(now, 1)
+            breaker.count_message(now, 1)
             call = send(breaker, now)
             if breaker.failures >= FAILURE_THRESHOLD:
                 breaker.trial = call
