--- a/message_sender/net/client.py
+++ b/message_sender/net/client.py
@@ -14,13 +14,13 @@
 from message_sender.net.message import HandedIn
 from message_sender.net.reuse import ReuseRisk
 from plumline.wire.http import (
-    BODY_LIMIT,
-    BROKEN,
+    CONNECTION_ERRORS,
+    MAX_BODY_BYTES,
     Address,
     Connection,
     ResponseMalformedError,
-    decimal,
     header,
+    parse_decimal,
 )
 
 IDLE_LIMIT_SHARE = 0.8  # of the receiver's idle limit, after which a pooled connection is closed
@@ -45,7 +45,7 @@
         case 200:
             return Answer(Outcome.OK, finished=True)
         case 429:
-            retry_after = decimal(header(response.headers, b"retry-after") or "") or 0.0
+            retry_after = parse_decimal(header(response.headers, b"retry-after") or "") or 0.0
             return Answer(Outcome.FULL, wait=math.ceil(min(retry_after, MAX_WAIT) * 1e6))
         case 503 if header(response.headers, b"x-egress-full") == "1":
             return Answer(Outcome.NOT_SENT)
@@ -142,10 +142,10 @@
             return Answer(Outcome.TIMEOUT if progress.written else Outcome.CONNECT_FAILED, wait=progress.wait)
         except ResponseMalformedError as error:
             # The request may have run; a status line of 200 still means success.
-            if error.said == 200:
+            if error.claimed_status == 200:
                 return Answer(Outcome.OK, finished=True)
             return Answer(Outcome.SPOILT, wait=progress.wait)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             return self.answer_for_break(progress)
         finally:
             if self.in_flight.get(name) is progress:
@@ -205,7 +205,7 @@
         if answer.wait:
             progress.wait = answer.wait
             self.on_wait(endpoint, answer.wait)
-        if int(header(response.headers, b"content-length") or 0) > BODY_LIMIT:
+        if int(header(response.headers, b"content-length") or 0) > MAX_BODY_BYTES:
             raise ResponseMalformedError(response.status_code, "the answer is too long")
         if answer.outcome in NEVER_RAN:
             # A malformed response may mean that the request ran; only a complete one proves that it did not.
@@ -251,9 +251,9 @@
         read in the background, as a delivery need not wait for it. A call with another outcome may be retried
         at once, so its connection is closed unless the response is already complete."""
         try:
-            if connection.whole():
+            if connection.is_response_complete():
                 return connection.next_cycle() and self.keep(endpoint, connection)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             return False
         if not in_background:
             return False
@@ -268,7 +268,7 @@
             async with asyncio.timeout(BODY_TIMEOUT):
                 await connection.skip_body()
             kept = connection.next_cycle() and self.keep(endpoint, connection)
-        except BROKEN:
+        except CONNECTION_ERRORS:
             pass  # also TimeoutError; the outcome is already decided
         finally:
             if not kept:
@@ -306,17 +306,17 @@
         assert progress.connection is not None
         progress.connection_kept = True
         self.open.discard(progress.connection)
-        progress.connection.let_go()
+        progress.connection.close_after_handover()
 
     def abort_call(self, name: str) -> Outcome:
         """Aborts a call before its message can be sent again."""
         progress = self.in_flight.get(name)
         if progress and progress.connection:
-            progress.connection.break_off()
+            progress.connection.shut_down()
         return Outcome.CANCELLED if progress and progress.written else Outcome.NOT_SENT
 
     def adopt_idle(self, details: dict[str, Any], sock: socket.socket) -> None:
-        connection = Connection.adopt(sock, tuple(details["address"]))
+        connection = Connection.from_socket(sock, tuple(details["address"]))
         self.open.add(connection)
         if self.keep(details["endpoint"], connection):
             connection.idle_since = details["idle_since"]
@@ -324,7 +324,9 @@
             self.drop(connection)
 
     def adopt_call(self, details: dict[str, Any], sock: socket.socket) -> CallProgress:
-        connection = Connection.adopt(sock, tuple(details["address"]), details["unread"].encode("latin-1"))
+        connection = Connection.from_socket(
+            sock, tuple(details["address"]), details["unread"].encode("latin-1")
+        )
         self.open.add(connection)
         return CallProgress(
             details["endpoint"], details["deadline"], connection, details["idle"], written=True
@@ -342,7 +344,7 @@
             if at_most_once and self.reuse.is_risky(now - connection.idle_since):
                 return None
             self.remove_from_pool(connection)
-            if not connection.ended() and not self.is_expired(connection):
+            if not connection.is_unusable() and not self.is_expired(connection):
                 return connection
             self.drop(connection)
         return None
@@ -367,7 +369,7 @@
     def close_expired(self) -> None:
         """Closes idle connections that have expired or ended, to free their descriptors. Called
         periodically."""
-        for connection in [each for each in self.idle if self.is_expired(each) or each.ended()]:
+        for connection in [each for each in self.idle if self.is_expired(each) or each.is_unusable()]:
             self.close_idle_connection(connection)
 
     def close_unlisted(self) -> None:
--- a/message_sender/net/discovery.py
+++ b/message_sender/net/discovery.py
@@ -11,7 +11,7 @@
 import h11
 
 from message_sender import interface as face
-from plumline.wire.http import BROKEN, Address, Connection, address_from
+from plumline.wire.http import CONNECTION_ERRORS, Address, Connection, address_from
 
 # A change at discovery counts as known to the sender 6 s later, and 4 s after SIGHUP, received or not.
 SILENCE_TIMEOUT = 3.0  # s without a line after which a watch is dead, as empty lines come every 2 s
@@ -164,7 +164,7 @@
                 finally:
                     connection.close()
                     duration = loop.time() - began
-            except (*BROKEN, *PARSE_ERRORS) as error:
+            except (*CONNECTION_ERRORS, *PARSE_ERRORS) as error:
                 log.warning("the watch ended: %r", error)
                 silent, refused = (isinstance(error, each) for each in (TimeoutError, ConnectionRefusedError))
             else:
@@ -275,7 +275,7 @@
             return True  # the watch requests the first list of a new address
         try:
             update = await self.fetch(address)
-        except (*BROKEN, *PARSE_ERRORS) as error:
+        except (*CONNECTION_ERRORS, *PARSE_ERRORS) as error:
             log.info("the list could not be read: %s", str(error) or type(error).__name__)
             return False
         if (address, version) == (self.address, self.seq) and update.seq != version:
@@ -360,7 +360,7 @@
             sent, began = dict(list(self.notices.items())[:batch_size]), time.monotonic()
             try:
                 async with asyncio.timeout(NOTICE_TIMEOUT * 2 ** min(attempts, NOTICE_DOUBLINGS)):
-                    if connection and (connection.address != self.address or connection.ended()):
+                    if connection and (connection.address != self.address or connection.is_unusable()):
                         connection.close()
                         connection = None
                     connection = connection or await Connection.open(self.address)
@@ -369,7 +369,7 @@
                 if not connection.next_cycle():
                     connection.close()
                     connection = None
-            except BROKEN as error:
+            except CONNECTION_ERRORS as error:
                 log.warning("notices not answered: %s", str(error) or type(error).__name__)
                 status = 0
                 if connection:
--- a/message_sender/net/server.py
+++ b/message_sender/net/server.py
@@ -17,7 +17,14 @@
 from message_sender.interface import Effect, MessageClass
 from message_sender.net.loop import selector_of
 from message_sender.net.message import HandedIn
-from plumline.wire.http import BODY_LIMIT, HEADER_LIMIT, READ_SIZE, Address, decimal, header
+from plumline.wire.http import (
+    MAX_BODY_BYTES,
+    MAX_HEADER_BYTES,
+    READ_BUFFER_BYTES,
+    Address,
+    header,
+    parse_decimal,
+)
 
 READY_PATH = "/health/ready"
 # A client that cannot be served must get an error or a close within 3 s of connecting.
@@ -71,7 +78,7 @@
     dest = route.get("dest", "")
     if not (dest.isascii() and dest.isdecimal() and len(dest) < 19):
         raise BadRequest(400, f"X-Route-To holds no dest: {route}")
-    if (time_left := decimal(required("X-Time-Left"))) is None:
+    if (time_left := parse_decimal(required("X-Time-Left"))) is None:
         raise BadRequest(400, f"X-Time-Left cannot be {field('X-Time-Left')!r}")
     left = min(int(time_left * 1e6), kind.deadline)
     left = max(left - min(TRANSIT_ALLOWANCE, max(left // 2, MIN_TRANSIT_ALLOWANCE)), 0)
@@ -97,7 +104,7 @@
 
     def __init__(self, server: "Server", sock: socket.socket) -> None:
         self.server, self.sock = server, sock
-        self.codec = h11.Connection(h11.SERVER, max_incomplete_event_size=HEADER_LIMIT)
+        self.codec = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
         self.began: int | None = None  # us, wall clock: when the current request may have begun to arrive
         self.accepted_at = server.poll_position()
         # s: when the current wait began, for a request or for the client to close
@@ -171,7 +178,7 @@
                     self.check_head(event)
                 elif isinstance(event, h11.Data):
                     self.body += event.data
-                    if len(self.body) > BODY_LIMIT:
+                    if len(self.body) > MAX_BODY_BYTES:
                         raise BadRequest(413, "the body is too long")
                 elif isinstance(event, h11.EndOfMessage):
                     self.answering = True
@@ -187,13 +194,13 @@
 
     def check_head(self, request: h11.Request) -> None:
         # The codec limits only an incomplete head, not one that arrives at once.
-        if len(request.target) + sum(len(k) + len(v) for k, v in request.headers) > HEADER_LIMIT:
+        if len(request.target) + sum(len(k) + len(v) for k, v in request.headers) > MAX_HEADER_BYTES:
             raise BadRequest(431, "the head is too long")
         length = header(request.headers, b"content-length")
         # Two lengths may hide a second request in the body (request smuggling).
         if length and header(request.headers, b"transfer-encoding"):
             raise BadRequest(400, "both Content-Length and Transfer-Encoding")
-        if length and int(length) > BODY_LIMIT:
+        if length and int(length) > MAX_BODY_BYTES:
             raise BadRequest(413, "the body is too long")
 
     def handle_request(self) -> None:
@@ -367,7 +374,7 @@
         self.accept_queue_since: float | None = None  # clients may have waited since then to be accepted
         self.longest_unread = 0.0  # s, since the last status line
         # shared by all connections: received bytes are copied before another one reads
-        self.buffer = bytearray(READ_SIZE)
+        self.buffer = bytearray(READ_BUFFER_BYTES)
         self.connections: set[Connection] = set()
         # Groups of these connections, each in the order of joining:
         self.silent: dict[Connection, None] = {}  # without a byte so far
--- a/plumline/registrar/cache_stores.py
+++ b/plumline/registrar/cache_stores.py
@@ -215,7 +215,7 @@
                 headers={calls.WAIT_MS: str(LONG_POLL_MS)} if long_poll else None,
                 prepare=self._require_lease,
                 timeout_s=timeout_s,
-                connect_s=CONNECT_TIMEOUT_S,
+                connect_timeout_s=CONNECT_TIMEOUT_S,
             )
             cursor = parse_cursor(answer)
             self._publish_events(store, parse_events(answer, cursor.epoch))
--- a/plumline/registrar/discovery.py
+++ b/plumline/registrar/discovery.py
@@ -13,7 +13,7 @@
 from plumline.routing.fleet_state import ListedEndpoint
 from plumline.wire import calls
 from plumline.wire.calls import Answer, CallFailedError, CallWithdrawnError
-from plumline.wire.http import Address, address_from, decimal
+from plumline.wire.http import Address, address_from, parse_decimal
 
 MIN_INTERVAL_S, MAX_INTERVAL_S = 0.4, 1.2  # between the starts of two reads
 READS_PER_DRAIN = 3  # within the time that an endpoint takes to drain
@@ -137,7 +137,7 @@
 
 def parse_retry_after(text: str) -> float:
     """Parses `Retry-After` in s, fractions included; 0 if it is missing or malformed."""
-    return decimal(text) or 0.0
+    return parse_decimal(text) or 0.0
 
 
 def comparison_key(endpoints: Sequence[ListedEndpoint]) -> dict[str, ListedEndpoint]:
--- a/plumline/registrar/operator_api.py
+++ b/plumline/registrar/operator_api.py
@@ -157,5 +157,5 @@
 
 def _respond(exchange: Exchange, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
     """Writes the response, unless the caller has disconnected."""
-    if not exchange.gone:
+    if not exchange.client_disconnected:
         exchange.respond(status, headers, body)
--- a/plumline/router/admission.py
+++ b/plumline/router/admission.py
@@ -10,7 +10,7 @@
 from plumline.routing.prefix_homes import OUTPUT_WEIGHT, is_long
 from plumline.routing.reserved_quota import Standing, priority
 from plumline.wire.exchange import Exchange
-from plumline.wire.http import decimal
+from plumline.wire.http import parse_decimal
 
 UNCONFIGURED_RETRY_AFTER_S = 0.3  # no configuration is loaded yet, or it may be outdated
 DRAINING_RETRY_AFTER_S = 0.0  # this router is shutting down; any other can serve the request at once
@@ -158,7 +158,7 @@
 def remaining_ms(headers: Headers) -> float:
     """Milliseconds that the client will wait, infinite if it sends no limit."""
     value = value_of(headers, b"remaining-milliseconds")
-    ms = decimal(value.decode("latin-1")) if value else None
+    ms = parse_decimal(value.decode("latin-1")) if value else None
     return float("inf") if ms is None else ms
 
 
--- a/plumline/router/lifecycle.py
+++ b/plumline/router/lifecycle.py
@@ -56,7 +56,7 @@
         self.phase = Phase.DRAINING
         self.deadlines = DrainDeadlines.from_grace_period(self.loop.time(), self.grace_s)
         self.on_drain(self.deadlines)
-        self.server.begin_ending()
+        self.server.begin_drain()
         self._shutdown_requested.set()
 
     async def run_until_stopped(self) -> None:
--- a/plumline/router/process.py
+++ b/plumline/router/process.py
@@ -43,7 +43,7 @@
             self.dispatcher.handle,
             lambda: self.fleet.table.limits if self.fleet.table else UNCONFIGURED_LIMITS,
             self.counters.group("clients"),
-            held_limit=int(settings.limits.memory_mb * 1024 * 1024 * BODY_MEMORY_SHARE),
+            max_buffered_body_bytes=int(settings.limits.memory_mb * 1024 * 1024 * BODY_MEMORY_SHARE),
         )
         self.lifecycle = Lifecycle(
             self.server,
--- a/plumline/router/request_handler.py
+++ b/plumline/router/request_handler.py
@@ -47,15 +47,15 @@
         try:
             if not self.router.initialized.is_set():
                 await self.wait_until_initialized()
-                if self.finished or exchange.gone:
+                if self.finished or exchange.client_disconnected:
                     return
             admitted = admit(self.router, exchange, self.id)
             if isinstance(admitted, Denial):
                 self.answer(admitted.status, admitted.name, admitted.retry_after_s)
                 return
             self.standing = admitted.standing
-            exchange.on_gone = self.on_client_gone
-            progress.client_left = exchange.gone
+            exchange.on_client_disconnect = self.on_client_disconnect
+            progress.client_left = exchange.client_disconnected
             left = admitted.deadline - self.router.clock()
             self.timer = asyncio.get_running_loop().call_later(max(left, 0), self.on_deadline)
             await self.run_attempts(admitted)
@@ -68,7 +68,7 @@
         finally:
             if self.timer:
                 self.timer.cancel()
-            exchange.on_gone = None
+            exchange.on_client_disconnect = None
 
     async def wait_until_initialized(self) -> None:
         """Waits for the configuration and the endpoints in a process that has just started. They arrive in a
@@ -97,7 +97,7 @@
         if self.progress.response_started and not self.exchange.done:
             self.exchange.abort()  # also wakes a task that waits for a client to read
 
-    def on_client_gone(self) -> None:
+    def on_client_disconnect(self) -> None:
         """The client has disconnected."""
         self.progress.client_left = True
         if self.progress.connection:
@@ -107,7 +107,7 @@
         """Ends the request as the process stops: sends the final answer, or aborts one that has begun."""
         progress = self.progress
         progress.expired = True
-        if not (self.exchange.done or self.exchange.gone):
+        if not (self.exchange.done or self.exchange.client_disconnected):
             progress.may_have_run = progress.may_have_run or progress.connection is not None
             self.send_final_answer()
         if progress.connection:
--- a/plumline/wire/calls.py
+++ b/plumline/wire/calls.py
@@ -12,7 +12,7 @@
 import h11
 
 from plumline.errors import PlumlineError
-from plumline.wire.http import BROKEN, Address, Connection
+from plumline.wire.http import CONNECTION_ERRORS, Address, Connection
 
 # Headers.
 ATTEMPT_ID = "Attempt-Id"
@@ -193,7 +193,7 @@
         prepare: Callable[[], Any] | None = None,
         path: str = "",
         timeout_s: float,
-        connect_s: float = CONNECT_TIMEOUT_S,
+        connect_timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> Answer:
         """Makes one call; any status is a response. `body` is sent as JSON; `path` overrides the table.
 
@@ -209,7 +209,7 @@
         connection: Connection | None = None
         try:
             async with asyncio.timeout(timeout_s) as call_timeout:
-                connection = await self._connection_for(row, address, min(connect_s, timeout_s))
+                connection = await self._connection_for(row, address, min(connect_timeout_s, timeout_s))
                 connection.set_user_timeout(timeout_s)
                 if prepare:
                     body = prepare()
@@ -223,7 +223,7 @@
         except TimeoutError:
             reason = f"no answer in {timeout_s} s" if call_timeout.expired() else "the head does not end"
             raise CallTimeoutError(f"{name}: {reason}", sent=sent) from None
-        except BROKEN as error:
+        except CONNECTION_ERRORS as error:
             raise CallFailedError(f"{name}: {error or type(error).__name__}", sent=sent) from error
         else:
             if not self._keep_if_reusable(connection, answer):
@@ -236,17 +236,17 @@
             elif connection:
                 connection.close()
 
-    async def _connection_for(self, row: Call, address: Address, connect_s: float) -> Connection:
+    async def _connection_for(self, row: Call, address: Address, connect_timeout_s: float) -> Connection:
         """An idle connection if the call allows it, otherwise a new one."""
         idle = self._pop_idle(address) if row.response_matchable else None
-        return idle or await self._open_connection(address, connect_s)
+        return idle or await self._open_connection(address, connect_timeout_s)
 
-    async def _open_connection(self, address: Address, connect_s: float) -> Connection:
+    async def _open_connection(self, address: Address, connect_timeout_s: float) -> Connection:
         try:
-            async with asyncio.timeout(connect_s):
+            async with asyncio.timeout(connect_timeout_s):
                 return await Connection.open(address)
         except TimeoutError:
-            raise CallTimeoutError(f"no connection in {connect_s} s") from None
+            raise CallTimeoutError(f"no connection in {connect_timeout_s} s") from None
 
     async def _read_answer(self, connection: Connection, attempt_id: str | None) -> Answer:
         """Reads the complete response. Rejects bodies that are too long and responses to other calls."""
@@ -271,7 +271,7 @@
         idle = self.idle.pop(address, None)
         if idle is None:
             return None
-        if self.clock() < idle.expires_at and not idle.connection.ended():
+        if self.clock() < idle.expires_at and not idle.connection.is_unusable():
             return idle.connection
         idle.connection.close()
         return None
--- a/plumline/wire/exchange.py
+++ b/plumline/wire/exchange.py
@@ -279,7 +279,7 @@
 
 class Exchange:
     """One complete request, which the handler answers exactly once: with `respond`, with `start`, `write` and
-    `finish`, or with `abort`. When `gone` is true the client has disconnected: these methods do nothing, and
+    `finish`, or with `abort`. When `client_disconnected` is true these methods do nothing, and
     no response is required."""
 
     __slots__ = (
@@ -293,12 +293,12 @@
         "_persistent",
         "began",
         "body",
+        "client_disconnected",
         "done",
-        "gone",
         "headers",
         "host",
         "method",
-        "on_gone",
+        "on_client_disconnect",
         "path",
         "started",
         "target",
@@ -309,8 +309,10 @@
         self.method, self.target, self.host = head.method, head.target, head.host
         self.path = head.target.partition("?")[0]
         self.headers, self.body, self.began = head.headers, body, began
-        self.gone = False
-        self.on_gone: Callable[[], None] | None = None  # called once if the client disconnects early
+        self.client_disconnected = False
+        self.on_client_disconnect: Callable[[], None] | None = (
+            None  # called once if the client disconnects early
+        )
         self.started = self.done = False
         self._connection = connection
         self._is_http_1_1, self._persistent = head.is_http_1_1, head.persistent
@@ -322,7 +324,7 @@
     def respond(self, status: int, headers: Iterable[tuple[bytes, bytes]] = (), body: bytes = b"") -> None:
         """Sends a complete response in one write. Raises AnswerInvalidError, with nothing sent."""
         assert not self.started and not self.done
-        if self.gone:
+        if self.client_disconnected:
             self.done = True
             return
         lines, length = self._lines(status, headers)
@@ -344,7 +346,7 @@
         head is sent together with the data written in the same loop iteration. Raises AnswerInvalidError."""
         assert not self.started and not self.done
         assert status >= 200
-        if self.gone:
+        if self.client_disconnected:
             self.started = True
             return
         lines, length = self._lines(status, headers)
@@ -369,7 +371,7 @@
     def write(self, data: bytes) -> None:
         """Sends more bytes of the body immediately."""
         assert self.started and not self.done
-        if self.gone or self._bodiless or not data:
+        if self.client_disconnected or self._bodiless or not data:
             return
         if self._body_bytes_left is not None:
             if len(data) > self._body_bytes_left:
@@ -388,7 +390,7 @@
         if self._body_bytes_left:
             self.abort()
             return
-        if not self.gone:
+        if not self.client_disconnected:
             if self._chunked:
                 self._pending.append(b"0\r\n\r\n")
             self._flush()
@@ -398,7 +400,7 @@
         """Closes the connection so that the client can't take the partial response for a complete one."""
         assert not self.done
         self.done = True
-        if self.gone:
+        if self.client_disconnected:
             return
         self._flush()
         transport = self._connection.transport
@@ -410,16 +412,16 @@
 
     async def drain(self) -> None:
         """Waits while over MAX_UNREAD_RESPONSE_BYTES are unread; returns at once if the client is gone."""
-        if not self.gone:
+        if not self.client_disconnected:
             self._flush()
             await self._connection.writable()
 
     def notify_client_disconnected(self) -> None:
         """Called by the connection when its client has disconnected."""
-        self.gone = True
+        self.client_disconnected = True
         self._pending = []
-        if not self.done and self.on_gone is not None:
-            callback, self.on_gone = self.on_gone, None
+        if not self.done and self.on_client_disconnect is not None:
+            callback, self.on_client_disconnect = self.on_client_disconnect, None
             callback()
 
     def _lines(self, status: int, headers: Iterable[tuple[bytes, bytes]]) -> tuple[list[bytes], int | None]:
@@ -436,13 +438,13 @@
         return lines, length
 
     def _flush(self) -> None:
-        if self._pending and not self.gone:
+        if self._pending and not self.client_disconnected:
             data = b"".join(self._pending)
             self._pending = []
             self._connection.transport.write(data)
 
     def _end(self, keep_alive: bool) -> None:
         self.done = True
-        self.on_gone = None
-        if not self.gone:
+        self.on_client_disconnect = None
+        if not self.client_disconnected:
             self._connection.on_response_end(keep_alive)
--- a/plumline/wire/http.py
+++ b/plumline/wire/http.py
@@ -10,9 +10,9 @@
 from plumline.errors import PlumlineError
 from plumline.wire.sockets import NO_LINGER
 
-HEADER_LIMIT = 16 * 1024  # bytes
-BODY_LIMIT = 64 * 1024  # bytes
-READ_SIZE = 64 * 1024  # bytes
+MAX_HEADER_BYTES = 16 * 1024  # bytes
+MAX_BODY_BYTES = 64 * 1024  # bytes
+READ_BUFFER_BYTES = 64 * 1024  # bytes
 HEAD_TIMEOUT_S = 1.0  # from the first bytes of a response to the end of its head
 MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
 STATUS_LINE = re.compile(rb"HTTP/1\.[01] (\d{3})(?: [^\r\n]*)?\r?\n")
@@ -30,17 +30,17 @@
 
 
 class ResponseMalformedError(PlumlineError):
-    """A response that can't be parsed. `said` is the status in its status line, 0 if it has none."""
+    """A response that can't be parsed. `claimed_status` is that of its status line, 0 if it has none."""
 
     code, status = "response-malformed", 502
 
-    def __init__(self, said: int, text: str) -> None:
+    def __init__(self, claimed_status: int, text: str) -> None:
         super().__init__(text)
-        self.said = said
+        self.claimed_status = claimed_status
 
 
 #: Raised for a broken connection or a malformed response.
-BROKEN = (OSError, ResponseMalformedError)
+CONNECTION_ERRORS = (OSError, ResponseMalformedError)
 
 
 def address_from(text: str) -> Address:
@@ -56,7 +56,7 @@
     return next((value.decode("latin-1") for key, value in headers if key == name), None)
 
 
-def decimal(text: str) -> float | None:
+def parse_decimal(text: str) -> float | None:
     """Parses a decimal number. Returns None for forms that only float() accepts ('1e308', '1_0', 'inf',
     digits of other scripts) and for numbers with too many digits."""
     return float(text) if DECIMAL.fullmatch(text) else None
@@ -87,7 +87,7 @@
 
     def __init__(self, sock: socket.socket, address: Address) -> None:
         self.sock, self.address = sock, address
-        self.codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=HEADER_LIMIT)
+        self.codec = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES)
         self.idle_since = 0.0
         self.body_bytes = 0  # received of the current response's body
 
@@ -105,7 +105,7 @@
         return cls(sock, address)
 
     @classmethod
-    def adopt(cls, sock: socket.socket, address: Address, unread: bytes | None = None) -> "Connection":
+    def from_socket(cls, sock: socket.socket, address: Address, unread: bytes | None = None) -> "Connection":
         """Takes over a connection that another process opened. `unread` is set if a response is outstanding
         and holds its received part."""
         connection = cls(sock, address)
@@ -139,7 +139,7 @@
         # Code that ends a call or hands it over between two loop iterations therefore knows its exact state.
         while True:
             try:
-                self.codec.receive_data(self.sock.recv(READ_SIZE))
+                self.codec.receive_data(self.sock.recv(READ_BUFFER_BYTES))
                 return
             except (BlockingIOError, InterruptedError):
                 await readable(self.sock)
@@ -203,20 +203,20 @@
         status_line = STATUS_LINE.match(unread)
         return status_line is not None and int(status_line[1]) == 200
 
-    def whole(self) -> bool:
+    def is_response_complete(self) -> bool:
         """Reads the received part of the body and returns whether the response is complete. Its head has been
         read, or its status line says 200."""
         while (event := self.read_event()) is not None:
             if isinstance(event, h11.EndOfMessage):
                 return True
             self.body_bytes += len(event.data) if isinstance(event, h11.Data) else 0
-            if self.body_bytes > BODY_LIMIT:
+            if self.body_bytes > MAX_BODY_BYTES:
                 raise ResponseMalformedError(0, "the answer is too long")
         return False
 
     async def skip_body(self) -> None:
         """Reads the rest of the response, so that the connection can be reused."""
-        while not self.whole():
+        while not self.is_response_complete():
             await self.receive()
 
     def next_cycle(self) -> bool:
@@ -229,7 +229,7 @@
         self.codec.start_next_cycle()
         return True
 
-    def ended(self) -> bool:
+    def is_unusable(self) -> bool:
         """Whether an idle connection can't be reused: the peer has closed it or sent unsolicited bytes."""
         try:
             self.sock.recv(1, socket.MSG_PEEK)
@@ -253,13 +253,13 @@
         this process is suspended."""
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(seconds * 1000))
 
-    def let_go(self) -> None:
+    def close_after_handover(self) -> None:
         """Closes this process's descriptor after the connection was handed to another process. Otherwise the
         connection would stay open after the other process closes it."""
         asyncio.get_running_loop().remove_reader(self.sock.fileno())
         self.sock.close()
 
-    def break_off(self) -> None:
+    def shut_down(self) -> None:
         """Shuts the connection down at once, before the task that waits on it gets to close it."""
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
--- a/plumline/wire/server.py
+++ b/plumline/wire/server.py
@@ -215,7 +215,10 @@
             self.chunks = ChunkedBody(self.limits.body_bytes)
         elif head.length > self.limits.body_bytes:
             raise RequestRefusedError("the body is too long", 413, "body-too-long")
-        if head.length != 0 and self.server.buffered_body_bytes + (head.length or 0) > self.server.held_limit:
+        if (
+            head.length != 0
+            and self.server.buffered_body_bytes + (head.length or 0) > self.server.max_buffered_body_bytes
+        ):
             raise RequestRefusedError("too many bodies at once", 503, "bodies-too-many")
         self.head = head
         self.phase = Phase.BODY
@@ -241,7 +244,7 @@
             body = bytes(self.buffer[:received])
             del self.buffer[:received]
             return body
-        if self.server.buffered_body_bytes > self.server.held_limit:
+        if self.server.buffered_body_bytes > self.server.max_buffered_body_bytes:
             raise RequestRefusedError("too many bodies at once", 503, "bodies-too-many")
         self.expire_in(self.limits.idle_ms / 1000)  # counted from the latest read
         return None
@@ -387,24 +390,24 @@
 
 class Server:
     """Listens and manages the connections. `limits` is called for each request; `counters` counts errors by
-    code; `held_limit` is the maximum total of buffered body bytes over all connections."""
+    code; `max_buffered_body_bytes` is the maximum total of buffered body bytes over all connections."""
 
     def __init__(
         self,
         handler: Callable[[Exchange], None],
         limits: Callable[[], Limits] = FixedLimits,
         counters: MutableMapping[str, int] | None = None,
-        held_limit: int = 64 * 1024 * 1024,
+        max_buffered_body_bytes: int = 64 * 1024 * 1024,
     ) -> None:
         self.handler, self.limits = handler, limits
         self.counters: MutableMapping[str, int] = {} if counters is None else counters
-        self.held_limit = held_limit
+        self.max_buffered_body_bytes = max_buffered_body_bytes
         self.buffered_body_bytes = 0
         self.loop = asyncio.get_running_loop()
         self.buffer = bytearray(READ_BUFFER_BYTES)  # shared: each connection copies its data at once
         self.connections: set[Connection] = set()
         self.closing_connections = False  # each response closes its connection
-        self.drain: DrainRecord | None = None  # set by `begin_ending`
+        self.drain: DrainRecord | None = None  # set by `begin_drain`
         self.listener: socket.socket | None = None
         self.asyncio_server: asyncio.Server | None = None
         self.accept_tasks: set[asyncio.Task[object]] = set()
@@ -427,7 +430,7 @@
         """Increments the counter of this error code."""
         self.counters[code] = self.counters.get(code, 0) + 1
 
-    def begin_ending(self) -> None:
+    def begin_drain(self) -> None:
         """From now on each response closes its connection; new connections are still accepted."""
         self.closing_connections = True
         self.drain = DrainRecord(self.loop.time())
--- a/tests/test_cache_stores.py
+++ b/tests/test_cache_stores.py
@@ -113,9 +113,9 @@
         headers: Mapping[str, str] | None,
         prepare: Callable[[], Any],
         timeout_s: float,
-        connect_s: float,
+        connect_timeout_s: float,
     ) -> Answer:
-        assert (name, connect_s) == ("kv_events", 0.4)
+        assert (name, connect_timeout_s) == ("kv_events", 0.4)
         prepare()
         self.idle.pop(address, None)
         call = Call(address, query, (headers or {}).get("Wait-Ms"), timeout_s, asyncio.Future())
--- a/tests/test_calls_properties.py
+++ b/tests/test_calls_properties.py
@@ -44,7 +44,7 @@
         server_socket.setblocking(False)
         self.connections += 1
         self.tasks.append(asyncio.create_task(self.serve(server_socket, self.connections)))
-        return Connection.adopt(client_socket, address)
+        return Connection.from_socket(client_socket, address)
 
     async def serve(self, sock: socket.socket, number: int) -> None:
         loop, buffer = asyncio.get_running_loop(), b""
@@ -150,7 +150,7 @@
     return count
 
 
-@pytest.mark.parametrize("guards", [("ended", "next_cycle")])
+@pytest.mark.parametrize("guards", [("is_unusable", "next_cycle")])
 def test_without_its_guards_a_reused_connection_mixes_up_responses(
     guards: tuple[str, str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -163,6 +163,6 @@
         return True
 
     assert count_failing_seeds(20) == 0
-    monkeypatch.setattr(Connection, "ended", lambda _: False)
+    monkeypatch.setattr(Connection, "is_unusable", lambda _: False)
     monkeypatch.setattr(Connection, "next_cycle", next_cycle)
     assert count_failing_seeds(20) > 0
--- a/tests/test_hostile_clients.py
+++ b/tests/test_hostile_clients.py
@@ -256,7 +256,7 @@
 
 def test_the_total_of_buffered_bodies_is_bounded() -> None:
     async def scenario(server: Server, requests: list[Exchange]) -> None:
-        server.held_limit = 1000
+        server.max_buffered_body_bytes = 1000
         answer = await exchange_bytes(server, post(b"Content-Length: 2000", b"Expect: 100-continue"))
         assert answer.startswith(b"HTTP/1.1 503 ") and b"\r\nRetry-After: 1\r\n" in answer
         answer = await exchange_bytes(server, chunked(b"7d0\r\n" + b"a" * 1500))
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -78,7 +78,7 @@
 
 def client_gone_event(exchange: Exchange) -> asyncio.Event:
     event = asyncio.Event()
-    exchange.on_gone = event.set
+    exchange.on_client_disconnect = event.set
     return event
 
 
@@ -346,7 +346,7 @@
         else:
             client.writer.close()
         await event.wait()
-        assert exchange.gone
+        assert exchange.client_disconnected
         exchange.start(200)
         exchange.write(b"abc")  # has no effect any more
         await exchange.drain()
@@ -409,7 +409,7 @@
         sock.close()
         await drain_task
         await event.wait()
-        assert exchange.gone
+        assert exchange.client_disconnected
 
     run_scenario(scenario)
 
--- a/tests/test_registrar_process.py
+++ b/tests/test_registrar_process.py
@@ -72,7 +72,7 @@
     """A fake of an operator's request that records the response."""
 
     def __init__(self, method: str, path: str, body: bytes = b"", based_on: bytes = b"0") -> None:
-        self.method, self.path, self.body, self.gone = method, path, body, False
+        self.method, self.path, self.body, self.client_disconnected = method, path, body, False
         self.headers = [(b"based-on-version", based_on)]
         self.answer: tuple[int, dict[bytes, bytes], bytes] | None = None
 
--- a/tests/test_wire_properties.py
+++ b/tests/test_wire_properties.py
@@ -118,7 +118,7 @@
     Guard(EventJoiner, "may_join", "return self.position_known and ", "return ", streams=True),
     # One request at a time per connection; no work for disconnected clients or after the timeout.
     Guard(Connection, "advance", "self.phase in (Phase.ANSWER, Phase.LINGERING) or ", ""),
-    Guard(RequestHandler, "on_client_gone", "self.progress.connection.close()", "pass"),
+    Guard(RequestHandler, "on_client_disconnect", "self.progress.connection.close()", "pass"),
     Guard(RequestHandler, "run_attempts", "if progress.client_left:", "if False:"),
     Guard(RequestHandler, "on_deadline", "self.progress.connection.close()", "pass"),
 ]
