--- a/plumline/wire/server.py
+++ b/plumline/wire/server.py
@@ -407,7 +407,7 @@
         self.buffer = bytearray(READ_BUFFER_BYTES)  # shared: each connection copies its data at once
         self.connections: set[Connection] = set()
         self.closing_connections = False  # each response closes its connection
-        self.drain: DrainRecord | None = None  # set by `begin_ending`
+        self.drain: DrainRecord | None = None  # set by `begin_drain`
         self.listener: socket.socket | None = None
         self.asyncio_server: asyncio.Server | None = None
         self.accept_tasks: set[asyncio.Task[object]] = set()
@@ -430,7 +430,7 @@
         """Increments the counter of this error code."""
         self.counters[code] = self.counters.get(code, 0) + 1
 
-    def begin_ending(self) -> None:
+    def begin_drain(self) -> None:
         """From now on each response closes its connection; new connections are still accepted."""
         self.closing_connections = True
         self.drain = DrainRecord(self.loop.time())
